--- /dev/null
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -0,0 +1,245 @@
+package copperglade.compat
+
+import com.fasterxml.jackson.databind.JsonNode
+import copperglade.protocol.JobId
+import copperglade.protocol.JobSpec
+import copperglade.protocol.JobSpecCodec
+import copperglade.protocol.Json
+import copperglade.protocol.ParsedJob
+import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerWire
+import copperglade.protocol.Team
+import copperglade.protocol.TeamName
+import copperglade.sim.SimSite
+import copperglade.sim.Simulation
+import copperglade.sim.SiteScale
+import copperglade.sim.arrays
+import copperglade.sim.services
+import copperglade.storage.Keys
+import copperglade.transport.Request
+import java.io.File
+import java.util.Base64
+import java.util.TreeMap
+
+/**
+ * Runs simulated days at the commit that is checked out and keeps a small set of what its controllers write to the state
+ * service and send to each other, as the files that `CompatibilityTest` reads. It is not a test and runs in no build;
+ * `src/test/resources/production/README.md` tells when and how to run it. The only argument is the directory to write to.
+ */
+fun main(arguments: Array<String>) {
+    val directory = File(arguments.single()).apply { mkdirs() }
+    val recorder = SampleRecorder()
+    mixedDay(recorder)
+    recallDay(recorder)
+    stragglerDay(recorder)
+    longAbsenceDay(recorder)
+    File(directory, "records.json").writeText(recorder.recordsJson())
+    File(directory, "peer-messages.json").writeText(recorder.messagesJson())
+}
+
+/** Arrays and services, placement limits, cancellations, and most of the failures that the controllers know. */
+private fun mixedDay(recorder: SampleRecorder) {
+    val site = SimSite(Simulation(seed = 71), scale = SiteScale(machinesPerZone = 2, valueKb = 2.0), slowMachine = "i-000002")
+    recorder.listenTo(site)
+    site.services(jobs = 2, tasks = 3)
+    site.arrays(jobs = 12, tasks = 6)
+    site.submit(SimSite.job(601, tasks = 3, oneZone = true)) { 30.0 }
+    site.submit(SimSite.job(602, tasks = 4, spread = true)) { 30.0 }
+    site.submit(SimSite.job(603, tasks = 2, zone = "south", spot = false)) { 20.0 }
+    site.submit(jobOnNamedTypes()) { 20.0 }
+    site.submit(SimSite.job(605, tasks = 300, cpus = 0.25, image = 2)) { 12.0 }
+    step(site, 20.0, recorder)
+    listOf("job-602", "job-501", "job-605").forEach { site.cancel(JobId(it)) }
+    step(site, 5.0, recorder)
+    site.arrays(jobs = 8, tasks = 12, first = 20)
+    site.killMachine(0)
+    step(site, 15.0, recorder)
+    site.cutPeers()
+    step(site, 8.0, recorder)
+    site.heal()
+    site.crash(site.leader() ?: 0)
+    step(site, 15.0, recorder)
+    site.state.outage = true
+    step(site, 4.0, recorder)
+    site.state.outage = false
+    site.cutController(1, from = "workers")
+    step(site, 15.0, recorder)
+    site.heal()
+    repeat(site.nodes) { site.crash(it) }
+    step(site, 60.0, recorder)
+    check(site.breaches.isEmpty()) { site.breaches.toString() }
+}
+
+/** A team takes back what another one has borrowed, so that assignments are recalled. */
+private fun recallDay(recorder: SampleRecorder) {
+    val lender = TeamName("lender")
+    val site = SimSite(
+        Simulation(seed = 21),
+        scale = SiteScale(machinesPerZone = 1, teamCpus = 100.0),
+        otherTeam = Team(lender, 32.0, 100.0, 0.0, 0.0),
+    )
+    recorder.listenTo(site)
+    site.submit(SimSite.job(701, tasks = 240)) { 600.0 }
+    site.run(40.0)
+    site.submit(SimSite.job(702, tasks = 16, team = lender)) { 20.0 }
+    site.run(55.0)
+    check(site.breaches.isEmpty()) { site.breaches.toString() }
+}
+
+/** One machine is slow, so that some of its tasks are restarted on another one of its block. */
+private fun stragglerDay(recorder: SampleRecorder) {
+    val site = SimSite(Simulation(seed = 5), nodes = 1, scale = SiteScale(machinesPerZone = 12, teamCpus = 400.0), slowMachine = "i-000002")
+    recorder.listenTo(site)
+    repeat(60) { number ->
+        site.sim.after(number * 4000.0) { site.submit(SimSite.job(801 + number, tasks = 16, etaS = 15.0)) { task -> 12.0 + task } }
+    }
+    site.run(300.0)
+    check(site.breaches.isEmpty()) { site.breaches.toString() }
+}
+
+/** A controller is away for long, so that blocks are moved to it when it is back. */
+private fun longAbsenceDay(recorder: SampleRecorder) {
+    val site = SimSite(Simulation(seed = 5), scale = SiteScale(machinesPerZone = 3))
+    recorder.listenTo(site)
+    site.arrays(jobs = 20)
+    site.run(20.0)
+    site.crash(1, backAfterMs = 20_000.0)
+    site.run(60.0)
+    check(site.breaches.isEmpty()) { site.breaches.toString() }
+}
+
+private fun step(site: SimSite, seconds: Double, recorder: SampleRecorder) = repeat((seconds / STEP_S).toInt()) {
+    site.run(STEP_S)
+    recorder.look(site)
+}
+
+/** A job with every field that may be left out. */
+private fun jobOnNamedTypes(): JobSpec {
+    val text = """{"nameId":"job-604","load":"batch","crew":"team","haul":"array","urgency":"best_effort","boxes":2,"vcpus":1.5,
+        "gpus":0.0,"memoryGb":2.25,"manifest":"img-3","pullGb":0.5,"fleets":["box"],"depot":"north","oneZone":false,
+        "spread":false,"borrowed":true,"etaS":20.0,"waypointS":5.0,"unloadS":1.0,"dueS":90.0}"""
+    return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedJob.Good).spec
+}
+
+private const val STEP_S = 0.25
+
+/** Keeps one or a few of each kind of record and of peer message. */
+private class SampleRecorder {
+    private class Record(val key: String, val value: JsonNode)
+
+    private val records = LinkedHashMap<String, ArrayList<Record>>()
+    private val messages = TreeMap<String, ByteArray>()
+    private var snapshot = emptyList<Record>()
+    private var snapshotKinds = 0
+
+    fun listenTo(site: SimSite) {
+        site.network.tamperRequest = { _, request -> request.also(::heard) }
+    }
+
+    private fun heard(request: Request) = when (request.path) {
+        "/multi" -> heardTransaction(request.body)
+        PeerWire.PATH -> keepShortest(noteKind(PeerWire.decode(request.body)!!), request.body)
+        PeerWire.VOUCH_PATH -> keepShortest("vouch", request.body)
+        PeerWire.CANCELLED_PATH -> keepShortest("cancelled", request.body)
+        else -> Unit
+    }
+
+    private fun heardTransaction(body: ByteArray) {
+        val text = body.decodeToString()
+        for (write in Json.read(body)!!.get("writes")) {
+            val key = write.get("set")?.asText() ?: continue
+            val value = write.get("data")
+            // The tree's text is what was sent, byte for byte.
+            check("\"data\":$value" in text) { "$value is not in $text" }
+            val kept = records.getOrPut(recordKind(key, value)) { ArrayList() }
+            if (kept.size < MOST_OF_A_KIND) kept += Record(key, value)
+        }
+    }
+
+    private fun keepShortest(kind: String, body: ByteArray) {
+        val kept = messages[kind]
+        if (kept == null || body.size < kept.size) messages[kind] = body
+    }
+
+    /** Keeps the whole contents of the state service at the moment at which they are the most varied. */
+    fun look(site: SimSite) {
+        val all = site.state.keys(Keys.ROOT).map { Record(it, Json.read(site.state.text(it)!!.toByteArray())!!) }
+        // A room note stays where it is once it was written, so it says nothing about the moment.
+        val kinds = all
+            .filter { "/room/" !in it.key }
+            .map { recordKind(it.key, it.value) }
+            .distinct()
+            .size
+        if (kinds <= snapshotKinds) return
+        snapshotKinds = kinds
+        snapshot = all
+    }
+
+    fun recordsJson(): String {
+        val samples = records.toSortedMap().values.flatten()
+        return "{\"snapshot\":[\n${lines(snapshot)}\n],\n\"writes\":[\n${lines(samples)}\n]}\n"
+    }
+
+    private fun lines(of: List<Record>) = of.joinToString(",\n") { "{\"key\":\"${it.key}\",\"value\":${it.value}}" }
+
+    fun messagesJson(): String = messages.entries.joinToString(",\n", "{\n", "\n}\n") { (name, body) ->
+        "\"$name\":\"${Base64.getEncoder().encodeToString(body)}\""
+    }
+
+    private companion object {
+        const val MOST_OF_A_KIND = 1
+    }
+}
+
+/** Says by the key and by the fields that are there which kind of record it is. */
+private fun recordKind(key: String, value: JsonNode): String {
+    val directory = key.removePrefix(Keys.NOW).substringBefore('/')
+    val features = when (directory) {
+        "live" -> liveFeatures(value)
+        "task" -> listOf(key.split('/')[3]) + sheetFeatures(value) + groupFeatures(value)
+        "work" -> sheetFeatures(value)
+        "block" -> listOf(if (value.get("inc").asLong() == 0L) "given up" else "owned")
+        "room" -> listOf(noteKind(PeerWire.decode(value.get("note").binaryValue())!!))
+        "images" -> listOf(if (value.isEmpty) "empty" else "filled")
+        "cg" -> listOf(value.get("status").asText())
+        else -> emptyList()
+    }
+    return "$directory $features"
+}
+
+private fun liveFeatures(value: JsonNode): List<String> {
+    val spec = value.get("spec")
+    val flags = listOf("oneZone", "spread").filter { spec.get(it).asBoolean() }
+    val optional = listOf("fleets", "depot").filter { spec.has(it) }
+    return flags + optional + listOf(spec.get("haul").asText()) + if (value.has("cancelled")) listOf("cancelled") else emptyList()
+}
+
+private fun sheetFeatures(value: JsonNode): List<String> = value
+    .flatMap { part -> part.fieldNames().asSequence().toList() }
+    .distinct()
+    .sorted()
+
+private fun groupFeatures(value: JsonNode): List<String> {
+    val groups = value.map { it.get("g") }
+    return listOfNotNull(
+        "no group".takeIf { groups.any { it.isEmpty } },
+        "several groups".takeIf { groups.any { it.size() > 1 } },
+        "later generation".takeIf { groups.any { its -> its.any { it[2].asInt() > 1 } } },
+    )
+}
+
+private fun noteKind(note: PeerNote): String {
+    val machines = note.blocks.flatMap { it.machines }
+    val parts = listOfNotNull(
+        if (note.blocks.isEmpty()) "brief" else "full",
+        "lead".takeIf { note.leads },
+        "release".takeIf { note.release.isNotEmpty() },
+        "retire".takeIf { note.retire.isNotEmpty() },
+        "machines".takeIf { machines.isNotEmpty() },
+        "usable".takeIf { machines.any { it.usable } },
+        "to replace".takeIf { machines.any { !it.worthKeeping } },
+        "images".takeIf { machines.any { it.images.isNotEmpty() } },
+        "yielding".takeIf { machines.any { room -> room.yielding.any { it.cpus > 0.0 } } },
+    )
+    return "note ${parts.joinToString(" ")}"
+}
