--- /dev/null
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -0,0 +1,482 @@
+package copperglade.compat
+
+import com.fasterxml.jackson.databind.JsonNode
+import com.fasterxml.jackson.databind.node.ObjectNode
+import copperglade.protocol.Endpoint
+import copperglade.protocol.ImageName
+import copperglade.protocol.Incarnation
+import copperglade.protocol.JobId
+import copperglade.protocol.JobKind
+import copperglade.protocol.JobStatus
+import copperglade.protocol.Json
+import copperglade.protocol.MachineName
+import copperglade.protocol.MemberId
+import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerWire
+import copperglade.protocol.Priority
+import copperglade.protocol.Resources
+import copperglade.protocol.Stamp
+import copperglade.sim.SimLoop
+import copperglade.sim.SimNetwork
+import copperglade.sim.Simulation
+import copperglade.standin.StandInState
+import copperglade.storage.AssignmentPage
+import copperglade.storage.BlockRecord
+import copperglade.storage.JobPage
+import copperglade.storage.LeadRecord
+import copperglade.storage.LiveRecord
+import copperglade.storage.MemberRecord
+import copperglade.storage.Ranges
+import copperglade.storage.RecordCodec
+import copperglade.storage.Replica
+import copperglade.storage.StateClient
+import copperglade.storage.StateLimits
+import copperglade.storage.WorkRecord
+import org.junit.jupiter.api.Assertions.assertArrayEquals
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.MethodSource
+import java.io.ByteArrayOutputStream
+import java.io.DataOutputStream
+
+/**
+ * The version in production and this one run side by side: each must read what the other has written, and write what the
+ * other can read. The samples are what production wrote; the expectations are literals, so that a rename shows.
+ */
+class CompatibilityTest {
+    // ---- records ----
+
+    @Test
+    fun `the samples hold every kind of record`() {
+        val directories = ProductionFiles.writes.map { it.directory }.toSet()
+        assertEquals(setOf("live", "task", "work", "over", "block", "member", "lead", "images", "room"), directories)
+        assertEquals(setOf("g", "r", "n", "f", "v"), fieldsOfParts("task"))
+        assertEquals(setOf("d", "b", "x", "v"), fieldsOfParts("work"))
+    }
+
+    private fun fieldsOfParts(directory: String): Set<String> = ProductionFiles.writes
+        .filter { it.directory == directory }
+        .flatMap { sample -> sample.value.flatMap { part -> part.fieldNames().asSequence().toList() } }
+        .toSet()
+
+    @ParameterizedTest
+    @MethodSource("records")
+    fun `a record that is read and written again is the same, byte for byte`(sample: RecordSample) {
+        assertEquals(sample.text, rewritten(sample.directory, sample.value).decodeToString())
+    }
+
+    @ParameterizedTest
+    @MethodSource("recordsWithNamedFields")
+    fun `a field that is not known yet is ignored`(sample: RecordSample) {
+        val later = when (sample.directory) {
+            "task", "work" -> withFieldInEachPart(sample)
+            else -> sample.with(UNKNOWN, LATER_VALUE)
+        }
+        assertEquals(sample.text, rewritten(sample.directory, later).decodeToString())
+    }
+
+    private fun withFieldInEachPart(sample: RecordSample): JsonNode = sample.value.deepCopy<ObjectNode>().also { sheet ->
+        sheet.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE) }
+    }
+
+    /** What the present code writes for a record that it has read. */
+    private fun rewritten(directory: String, value: JsonNode): ByteArray = when (directory) {
+        "live" -> RecordCodec.encode(RecordCodec.decodeLive(value)!!)
+        "task" -> sheet(value) { RecordCodec.encode(RecordCodec.decodePage(it)) }
+        "work" -> sheet(value) { RecordCodec.encode(RecordCodec.decodeWork(it)) }
+        "over" -> RecordCodec.encode(RecordCodec.decodeEnd(value)!!)
+        "block" -> RecordCodec.encode(RecordCodec.decodeBlock(value)!!)
+        "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
+        "lead" -> RecordCodec.encode(RecordCodec.decodeLead(value)!!)
+        "images" -> RecordCodec.encode(RecordCodec.decodeImages(value))
+        "room" -> RecordCodec.encodeNote(PeerWire.encode(PeerWire.decode(RecordCodec.decodeNote(value)!!)!!))
+        else -> error("no such records: $directory")
+    }
+
+    private fun sheet(value: JsonNode, part: (JsonNode) -> ByteArray): ByteArray =
+        RecordCodec.encodeSheet(value.properties().associate { (name, node) -> JobPage.parse(name)!! to part(node) })
+
+    @Test
+    fun `a live array with all optional fields`() {
+        val live = live("cg/now/live/job-604")
+        assertEquals(1_001_007, live.acceptedAtMs)
+        assertFalse(live.cancelled)
+        with(live.spec) {
+            assertEquals(listOf("job-604", "batch", "team", "img-3"), listOf(id.text, load, team.text, image.name.text))
+            assertEquals(JobKind.ARRAY, kind)
+            assertEquals(Priority.LOW, priority)
+            assertEquals(2, tasks)
+            assertEquals(Resources(1.5, 0.0, 2.25), request)
+            assertEquals(0.5, image.gb)
+            assertEquals(listOf("box"), types)
+            assertEquals("north", zone)
+            assertEquals(listOf(false, false, true), listOf(oneZone, spread, spotAllowed))
+            assertEquals(listOf(20.0, 5.0, 1.0, 90.0), listOf(estimateS, checkpointS, saveS, deadlineS))
+        }
+    }
+
+    @Test
+    fun `a live service without optional fields`() {
+        val live = live("cg/now/live/job-500")
+        with(live.spec) {
+            assertEquals(JobKind.SERVICE, kind)
+            assertEquals(Priority.HIGH, priority)
+            assertNull(types)
+            assertNull(zone)
+            assertNull(deadlineS)
+            assertFalse(spotAllowed)
+        }
+    }
+
+    @Test
+    fun `the cancelled mark and the placement limits of live records`() {
+        assertTrue(live("cg/now/live/job-602").cancelled)
+        assertTrue(live("cg/now/live/job-602").spec.spread)
+        assertFalse(live("cg/now/live/job-602").spec.oneZone)
+        assertTrue(live("cg/now/live/job-601").spec.oneZone)
+        assertFalse(live("cg/now/live/job-601").spec.spread)
+        assertFalse(live("cg/now/live/job-601").cancelled)
+    }
+
+    @Test
+    fun `a live record that awaits no other job has the old form`() {
+        val old = """{"spec":{"nameId":"job-2","load":"batch","crew":"team","haul":"array","urgency":"normal","boxes":6,""" +
+            """"vcpus":2.0,"gpus":0.0,"memoryGb":1.0,"manifest":"img-1","pullGb":1.5,"oneZone":false,"spread":false,""" +
+            """"borrowed":true,"etaS":8.0,"waypointS":0.0,"unloadS":0.0,"dueS":60.0},"at":1003003}"""
+        assertEquals(old, RecordCodec.encode(live("cg/now/live/job-2")).decodeToString())
+        assertEquals(old.dropLast(1) + ""","cancelled":true}""", RecordCodec.encode(cancelled(live("cg/now/live/job-2"))).decodeToString())
+    }
+
+    private fun cancelled(live: LiveRecord) = LiveRecord(live.spec, live.acceptedAtMs, cancelled = true)
+
+    @Test
+    fun `a live record with awaited jobs is read with all its other fields`() {
+        val sample = ProductionFiles.inSnapshot("cg/now/live/job-602")
+        val live = RecordCodec.decodeLive(sample.with("awaits", Json.read("""["job-1","job-2"]""".toByteArray())!!))!!
+        assertEquals(JobId("job-602"), live.spec.id)
+        assertEquals(1_001_008, live.acceptedAtMs)
+        assertTrue(live.cancelled)
+        assertTrue(live.spec.spread)
+    }
+
+    @Test
+    fun `a field that is not known yet is ignored in the description of a job`() {
+        val sample = ProductionFiles.inSnapshot("cg/now/live/job-604")
+        val later = sample.value.deepCopy<ObjectNode>()
+        (later.get("spec") as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE)
+        assertEquals(sample.text, rewritten("live", later).decodeToString())
+    }
+
+    @Test
+    fun `a sheet of assignments`() {
+        val pages = ProductionFiles.inSnapshot("cg/now/task/array/0").value
+        assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), pages.fieldNames().asSequence().toList())
+        val page = RecordCodec.decodePage(pages.get("job-605/0"))
+        assertEquals(
+            listOf("north.2 baton 11 generation 1: 0-47", "north.1 baton 6 generation 1: 48-111", "south.1 baton 10 generation 2: 112-159"),
+            groups(page),
+        )
+        assertEquals(listOf(2, 160, 2), listOf(page.lastGeneration, page.frontier, page.version))
+        assertTrue(page.recalled.isEmpty)
+    }
+
+    @Test
+    fun `an assignment that is recalled`() {
+        val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
+        val page = RecordCodec.decodePage(sample.value.get("job-701/0"))
+        assertEquals("0-15", Ranges.format(page.recalled))
+        assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
+        assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.frontier, page.version))
+    }
+
+    private fun groups(page: AssignmentPage) =
+        page.groups.map { "${it.block} baton ${it.baton} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
+
+    @Test
+    fun `sheets of work with done, returned and restarted tasks`() {
+        val done = work(ProductionFiles.inSnapshot("cg/now/work/south.1/0"), "job-1/0")
+        assertEquals("done 0-5, returned {}, restarted , version 1", described(done))
+        val returned = work(ProductionFiles.inSnapshot("cg/now/work/north.1/0"), "job-605/0")
+        assertEquals("done , returned {1=48-111}, restarted , version 1", described(returned))
+        val restarted = work(ProductionFiles.written("cg/now/work/south.0/0", part = "\"x\":"), "job-859/0")
+        assertEquals("done 1,3, returned {}, restarted 5, version 3", described(restarted))
+    }
+
+    private fun work(sheet: RecordSample, page: String) = RecordCodec.decodeWork(sheet.value.get(page))
+
+    private fun described(work: WorkRecord): String {
+        val returned = work.returned.mapValues { Ranges.format(it.value) }
+        return "done ${Ranges.format(work.done)}, returned $returned, restarted ${Ranges.format(work.restarted)}, version ${work.version}"
+    }
+
+    @Test
+    fun `ends of jobs`() {
+        val done = RecordCodec.decodeEnd(ProductionFiles.inSnapshot("cg/over/job-1").value)!!
+        assertEquals(JobStatus.DONE to 6, done.status to done.tasksDone)
+        val cancelled = RecordCodec.decodeEnd(ProductionFiles.inSnapshot("cg/over/job-501").value)!!
+        assertEquals(JobStatus.CANCELLED to 0, cancelled.status to cancelled.tasksDone)
+    }
+
+    @Test
+    fun `blocks that are owned and given up, members and the lead`() {
+        val owned = RecordCodec.decodeBlock(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
+        assertEquals(BlockRecord(MemberId("lorry-2"), Incarnation(2)), owned)
+        assertFalse(owned.givenUp)
+        val givenUp = RecordCodec.decodeBlock(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
+        assertEquals(BlockRecord.givenUpBy(MemberId("lorry-1")), givenUp)
+        assertTrue(givenUp.givenUp)
+        val member = RecordCodec.decodeMember(ProductionFiles.inSnapshot("cg/now/member/lorry-0").value)
+        assertEquals(MemberRecord(Incarnation(3)), member)
+        val lead = RecordCodec.decodeLead(ProductionFiles.inSnapshot("cg/now/lead").value)
+        assertEquals(LeadRecord(MemberId("lorry-1"), Incarnation(1)), lead)
+    }
+
+    @Test
+    fun `images that machines hold`() {
+        val images = RecordCodec.decodeImages(ProductionFiles.inSnapshot("cg/now/images/north.2").value)
+        assertEquals(mapOf(MachineName("i-000002") to listOf(ImageName("img-1"), ImageName("img-2"))), images.byMachine)
+    }
+
+    @Test
+    fun `a note that went through the state service`() {
+        val sample = ProductionFiles.writes.first { it.directory == "room" }
+        assertEquals("cg/now/room/lorry-0", sample.key)
+        val note = PeerWire.decode(RecordCodec.decodeNote(sample.value)!!)!!
+        assertEquals(MemberId("lorry-0"), note.member)
+        val machine = note.blocks.flatMap { it.machines }.single()
+        assertEquals(MachineName("i-000004"), machine.name)
+        assertEquals(Resources(10.0, 0.0, 125.0), machine.free)
+        assertEquals(Resources(6.0, 0.0, 3.0), machine.yielding[Priority.NORMAL.ordinal])
+    }
+
+    private fun live(key: String): LiveRecord = RecordCodec.decodeLive(ProductionFiles.inSnapshot(key).value)!!
+
+    // ---- messages between controllers ----
+
+    @Test
+    fun `every note is written again with the same bytes`() {
+        val notes = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
+        assertEquals(KINDS_OF_NOTES, notes.size, "${notes.keys}")
+        notes.forEach { (kind, bytes) -> assertArrayEquals(bytes, PeerWire.encode(PeerWire.decode(bytes)!!), kind) }
+    }
+
+    @Test
+    fun `a full note`() {
+        val note = note("note full machines to replace images yielding")
+        assertEquals(MemberId("lorry-2"), note.member)
+        assertEquals(Incarnation(2), note.incarnation)
+        assertEquals(Stamp(51), note.cursor)
+        assertEquals(458, note.stateSilentMs)
+        assertFalse(note.leads)
+        assertEquals(0.10845220000923077, note.writesWanted)
+        assertEquals(listOf("north.1 6 1", "south.2 7 0"), note.blocks.map { "${it.block} ${it.baton} ${it.machines.size}" })
+        with(
+            note.blocks
+                .first()
+                .machines
+                .single(),
+        ) {
+            assertEquals(listOf("i-000001", "box", "north"), listOf(name.text, type, zone))
+            assertEquals(listOf(false, false, false), listOf(spot, usable, worthKeeping))
+            assertEquals(0, idleMs)
+            assertEquals(Resources(4.0, 0.0, 122.0), free)
+            assertEquals(listOf(Resources.ZERO, Resources.ZERO, Resources(12.0, 0.0, 6.0), Resources.ZERO), yielding)
+            assertEquals(listOf("img-2", "img-1"), images.map { it.text })
+        }
+    }
+
+    @Test
+    fun `a machine on loan that stands idle`() {
+        val machine = note("note full machines usable").blocks.flatMap { it.machines }.single()
+        assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
+        assertEquals(142, machine.idleMs)
+    }
+
+    @Test
+    fun `brief notes, and what the lead adds`() {
+        val brief = note("note brief")
+        assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.cursor.toString()))
+        assertEquals(emptyList<Any>(), brief.blocks)
+        assertFalse(brief.leads)
+        assertTrue(note("note brief lead").leads)
+        assertEquals(listOf("south.1"), note("note brief lead release").release.map { it.text })
+        assertEquals(listOf("i-000006"), note("note brief lead retire").retire.map { it.text })
+    }
+
+    private fun note(kind: String): PeerNote = PeerWire.decode(ProductionFiles.message(kind))!!
+
+    @Test
+    fun `a question for a promise and the news of a cancellation`() {
+        assertEquals("lorry-2", ProductionFiles.message("vouch").decodeToString())
+        val bytes = ProductionFiles.message("cancelled")
+        val cancellation = PeerWire.decodeCancelled(bytes)!!.single()
+        assertEquals(JobId("job-605") to Stamp(37), cancellation.job to cancellation.stamp)
+        assertArrayEquals(bytes, PeerWire.encodeCancelled(listOf(cancellation)))
+    }
+
+    /** Written field by field in the order of the wire, with values that occur nowhere else in it. */
+    @Test
+    fun `each field of a note has its own place`() {
+        val bytes = ByteArrayOutputStream()
+        with(DataOutputStream(bytes)) {
+            writeByte(2)
+            text("m")
+            listOf(3L, 9L, 12L).forEach(::writeLong)
+            writeBoolean(true)
+            texts("a", "z", "img-1")
+            writeInt(1)
+            text("z.0")
+            writeLong(4)
+            writeInt(1)
+            text("i-1")
+            listOf(0, 1).forEach(::writeInt)
+            listOf(false, true, false).forEach(::writeBoolean)
+            writeLong(5)
+            listOf(1.0, 2.0, 3.0).forEach(::writeDouble)
+            writeInt(1)
+            writeBoolean(true)
+            listOf(6.0, 7.0, 8.0).forEach(::writeDouble)
+            listOf(1, 2).forEach(::writeInt)
+            texts("z.1")
+            texts("i-2")
+            writeDouble(12.5)
+        }
+        val note = PeerWire.decode(bytes.toByteArray())!!
+        assertArrayEquals(bytes.toByteArray(), PeerWire.encode(note))
+        assertEquals(listOf(3L, 9L, 12L), listOf(note.incarnation.number, note.cursor.number, note.stateSilentMs))
+        assertEquals(listOf("z.1"), note.release.map { it.text })
+        assertEquals(listOf("i-2"), note.retire.map { it.text })
+        assertEquals(12.5, note.writesWanted)
+        val machine = note.blocks
+            .single()
+            .machines
+            .single()
+        assertEquals(listOf("i-1", "a", "z"), listOf(machine.name.text, machine.type, machine.zone))
+        assertEquals(listOf(false, true, false), listOf(machine.spot, machine.usable, machine.worthKeeping))
+        assertEquals(5, machine.idleMs)
+        assertEquals(Resources(1.0, 2.0, 3.0), machine.free)
+        assertEquals(listOf(Resources(6.0, 7.0, 8.0)), machine.yielding)
+        assertEquals(listOf(ImageName("img-1")), machine.images)
+    }
+
+    private fun DataOutputStream.text(value: String) {
+        writeInt(value.length)
+        writeBytes(value)
+    }
+
+    private fun DataOutputStream.texts(vararg values: String) {
+        writeInt(values.size)
+        values.forEach { text(it) }
+    }
+
+    // ---- a replica of what production left ----
+
+    private fun loadedReplica(): Replica {
+        val simulation = Simulation(seed = 1)
+        val network = SimNetwork(simulation)
+        val loop = SimLoop(simulation)
+        val endpoint = Endpoint("10.2.0.1", 2379)
+        val state = StandInState(loop)
+        ProductionFiles.snapshot.forEach { state.put(it.key, it.text.toByteArray()) }
+        network.listen(endpoint, "state", loop, state)
+        val limits = StateLimits(requestsPerS = 200.0, writesPerS = 50.0, valueKb = 4.0, transactionWrites = 12)
+        val replica = Replica(loop, StateClient(loop, network.callerOf("lorry-0", loop), endpoint, limits))
+        replica.start()
+        simulation.run(forMs = 5_000.0)
+        return replica
+    }
+
+    @Test
+    fun `a replica has the jobs that production left`() {
+        val replica = loadedReplica()
+        val live = replica.jobs.values
+            .filter { it.live != null }
+            .associate { it.id.text to it.status() }
+        val expected = mapOf(
+            "job-500" to JobStatus.RUNNING,
+            "job-601" to JobStatus.RUNNING,
+            "job-602" to JobStatus.CANCELLED,
+            "job-603" to JobStatus.QUEUED,
+            "job-604" to JobStatus.QUEUED,
+            "job-605" to JobStatus.CANCELLED,
+        ) + (2..7).associate { "job-$it" to JobStatus.QUEUED }
+        assertEquals(expected, live)
+        // Parts of jobs that are over stay in their sheets until these are written again.
+        assertEquals(
+            setOf("job-1", "job-501"),
+            replica.jobs.keys
+                .map { it.text }
+                .toSet() - live.keys,
+        )
+        assertEquals("0-5", Ranges.format(replica.jobs.getValue(JobId("job-1")).done))
+        assertEquals(JobStatus.DONE, replica.endOf(JobId("job-1"))?.status)
+        assertEquals(JobStatus.CANCELLED, replica.endOf(JobId("job-501"))?.status)
+    }
+
+    @Test
+    fun `a replica has the assignments that production left, without what was given back`() {
+        val replica = loadedReplica()
+        assertEquals(listOf("south.0 9 1: 0-2"), assignments(replica, "job-500"))
+        assertEquals(listOf("south.1 10 1: 0-2"), assignments(replica, "job-601"))
+        assertEquals(listOf("south.1 10 1: 0-1", "north.2 11 2: 2-3"), assignments(replica, "job-602"))
+        assertEquals(listOf("north.2 11 1: 0-47", "south.1 10 2: 112-159"), assignments(replica, "job-605"))
+        assertEquals(emptyList<String>(), assignments(replica, "job-501"))
+        assertEquals(emptyList<String>(), assignments(replica, "job-2"))
+    }
+
+    private fun assignments(replica: Replica, job: String): List<String> =
+        replica.jobs
+            .getValue(JobId(job))
+            .assignments()
+            .groupBy { "${it.block} ${it.baton} ${it.generation}" }
+            .map { (group, its) ->
+                "$group: ${its.first().task}-${its.last().task}".also { assertEquals(its.size, span(its.map { it.task })) }
+            }
+
+    private fun span(tasks: List<Int>) = tasks.last() - tasks.first() + 1
+
+    @Test
+    fun `a replica has the blocks, members, images and the lead that production left`() {
+        val replica = loadedReplica()
+        val owners = replica.blocks.entries.associate { (name, record) ->
+            name.text to "${record.value.member} ${record.value.incarnation}"
+        }
+        val expected = mapOf(
+            "north.0" to "lorry-0 3",
+            "north.1" to "lorry-2 2",
+            "north.2" to "lorry-1 1",
+            "south.0" to "lorry-1 1",
+            "south.1" to "lorry-0 3",
+            "south.2" to "lorry-2 2",
+        )
+        assertEquals(expected, owners)
+        val members = replica.members.entries.associate { (id, record) -> id.text to record.value.incarnation.number }
+        assertEquals(mapOf("lorry-0" to 3L, "lorry-1" to 1L, "lorry-2" to 2L), members)
+        assertEquals(LeadRecord(MemberId("lorry-1"), Incarnation(1)), replica.lead?.value)
+        assertEquals(
+            setOf("north.1", "north.2", "south.0", "south.1"),
+            replica.images.keys
+                .map { it.text }
+                .toSet(),
+        )
+        val sheets = setOf("task/array/0", "task/service/0", "work/north.1/0", "work/south.0/0", "work/south.1/0")
+        assertEquals(sheets.map { "cg/now/$it" }.toSet(), replica.sheets.keys)
+    }
+
+    private companion object {
+        const val UNKNOWN = "fieldOfALaterVersion"
+        val LATER_VALUE: JsonNode = Json.read("""{"any":["thing",1]}""".toByteArray())!!
+        const val KINDS_OF_NOTES = 10
+
+        @JvmStatic
+        fun records(): List<RecordSample> = ProductionFiles.all
+
+        /** All but the images: their fields are names of machines, so a further one is a machine. */
+        @JvmStatic
+        fun recordsWithNamedFields(): List<RecordSample> = ProductionFiles.all.filter { it.directory != "images" }
+    }
+}
