--- /dev/null
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -0,0 +1,151 @@
+package copperglade.compat
+
+import copperglade.protocol.Baton
+import copperglade.protocol.BlockName
+import copperglade.protocol.BoxState
+import copperglade.protocol.CloudWire
+import copperglade.protocol.Command
+import copperglade.protocol.ExitCause
+import copperglade.protocol.JobAnswer
+import copperglade.protocol.JobId
+import copperglade.protocol.JobKind
+import copperglade.protocol.JobStatus
+import copperglade.protocol.MachineName
+import copperglade.protocol.MemberId
+import copperglade.protocol.PeerWire
+import copperglade.protocol.Priority
+import copperglade.protocol.TaskId
+import copperglade.protocol.Trip
+import copperglade.protocol.UserWire
+import copperglade.protocol.WorkerWire
+import copperglade.storage.Keys
+import copperglade.storage.ParsedKey
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** All names that other processes or stored records rely on, as literals: renaming code must not rename them. */
+class WireNamesTest {
+    @Test
+    fun `the keys of the state service`() {
+        assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.NOW, Keys.OVER, Keys.LEAD))
+        assertEquals("cg/now/live/job-000412", Keys.live(JobId("job-000412")))
+        assertEquals("cg/over/job-000412", Keys.over(JobId("job-000412")))
+        assertEquals("cg/now/task/array/", Keys.sheetsOf(JobKind.ARRAY))
+        assertEquals("cg/now/task/service/", Keys.sheetsOf(JobKind.SERVICE))
+        assertEquals("cg/now/work/north.0/", Keys.workSheets(BlockName("north.0")))
+        assertEquals("cg/now/block/north.0", Keys.block(BlockName("north.0")))
+        assertEquals("cg/now/images/north.0", Keys.images(BlockName("north.0")))
+        assertEquals("cg/now/member/lorry-0", Keys.member(MemberId("lorry-0")))
+        assertEquals("cg/now/room/lorry-0", Keys.room(MemberId("lorry-0")))
+    }
+
+    @Test
+    fun `a page is 256 tasks`() = assertEquals(256, Keys.PAGE_TASKS)
+
+    @Test
+    fun `what a key names`() {
+        assertEquals("Live job-7", parsed("cg/now/live/job-7"))
+        assertEquals("Over job-7", parsed("cg/over/job-7"))
+        assertEquals("Sheet", parsed("cg/now/task/array/3"))
+        assertEquals("Sheet", parsed("cg/now/task/service/3"))
+        assertEquals("WorkSheet north.0", parsed("cg/now/work/north.0/3"))
+        assertEquals("Block north.0", parsed("cg/now/block/north.0"))
+        assertEquals("Images north.0", parsed("cg/now/images/north.0"))
+        assertEquals("Room lorry-0", parsed("cg/now/room/lorry-0"))
+        assertEquals("Member lorry-0", parsed("cg/now/member/lorry-0"))
+        assertEquals("Lead", parsed("cg/now/lead"))
+        // A later version may write keys of other kinds.
+        assertNull(parsed("cg/now/later/job-7"))
+        assertNull(parsed("cg/later/job-7"))
+    }
+
+    private fun parsed(key: String): String? = when (val known = Keys.parse(key)) {
+        null -> null
+        is ParsedKey.Live -> "Live ${known.job}"
+        is ParsedKey.Over -> "Over ${known.job}"
+        ParsedKey.Sheet -> "Sheet"
+        is ParsedKey.WorkSheet -> "WorkSheet ${known.block}"
+        is ParsedKey.Block -> "Block ${known.name}"
+        is ParsedKey.Images -> "Images ${known.block}"
+        is ParsedKey.Room -> "Room ${known.id}"
+        is ParsedKey.Member -> "Member ${known.id}"
+        ParsedKey.Lead -> "Lead"
+    }
+
+    @Test
+    fun `ends of jobs are stored by these names`() {
+        assertTrue(JobStatus.entries.map { it.name }.containsAll(listOf("DONE", "CANCELLED")))
+    }
+
+    @Test
+    fun `paths between controllers`() {
+        assertEquals(listOf("/note", "/vouch", "/cancelled"), listOf(PeerWire.PATH, PeerWire.VOUCH_PATH, PeerWire.CANCELLED_PATH))
+    }
+
+    @Test
+    fun `paths of users and workers`() {
+        assertEquals(listOf("/submissions", "/healthz", "cancel"), listOf(UserWire.JOBS_PATH, UserWire.HEALTH_PATH, UserWire.CANCEL_END))
+        assertEquals(listOf("/checkin", "/do"), listOf(WorkerWire.REPORT_PATH, WorkerWire.COMMAND_PATH))
+    }
+
+    @Test
+    fun `words of the job descriptions`() {
+        assertEquals(listOf("array", "daemon", "ensemble"), JobKind.entries.map { it.wire })
+        assertEquals(listOf("prod", "urgent", "normal", "best_effort"), Priority.entries.map { it.wire })
+    }
+
+    @Test
+    fun `answers to users`() {
+        val id = JobId("job-7")
+        assertEquals(listOf("queued", "running", "done", "aborted"), JobStatus.entries.map { it.wire })
+        assertEquals(
+            """{"nameId":"job-7","status":"running","done":2,"running":3}""",
+            UserWire.full(JobAnswer(id, JobStatus.RUNNING, done = 2, running = 3)).decodeToString(),
+        )
+        assertEquals("""{"nameId":"job-7","status":"aborted"}""", UserWire.short(id, JobStatus.CANCELLED).decodeToString())
+        assertEquals("""{"error":"no such job"}""", UserWire.error("no such job").decodeToString())
+        assertEquals("""{"error":"boxes: missing","field":"boxes"}""", UserWire.error("boxes: missing", "boxes").decodeToString())
+    }
+
+    @Test
+    fun `answers and commands to workers`() {
+        val task = TaskId(JobId("job-7"), 3)
+        val commands = listOf(Command.Start(task, Trip(9)), Command.Halt(task, Trip(8), graceS = 2.5), Command.Reap(task, Trip(7)))
+        val dispatches = """"dispatches":[{"order":"start","box":"job-7/3","trip":9},""" +
+            """{"order":"halt","box":"job-7/3","trip":8,"leewayS":2.5},{"order":"reap","box":"job-7/3","trip":7}]"""
+        assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(Baton(4), commands).decodeToString())
+        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(Baton(4), session = 2, commands).decodeToString())
+        assertEquals("""{"dispatcher":"lorry-1"}""", WorkerWire.sendOn(MemberId("lorry-1")).decodeToString())
+        assertEquals("{}", WorkerWire.sendOn(null).decodeToString())
+    }
+
+    @Test
+    fun `reports of workers`() {
+        assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), BoxState.entries.map { it.wire })
+        assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wire })
+        val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
+            "baton":4,"recallS":2.5,"boxes":[{"box":"job-1/3","trip":2,"status":"ended","cause":"halted"}]}"""
+        val report = WorkerWire.parseReport(text.toByteArray())!!
+        assertEquals(listOf("i-1", "10.0.0.1:9000", "g", "a"), listOf(report.machine.text, "${report.endpoint}", report.type, report.zone))
+        assertEquals(listOf(1L, 8L, 4L), listOf(report.session, report.tally, report.baton.number))
+        assertEquals(true to 2.5, report.spot to report.noticeS)
+        val box = report.boxes.single()
+        assertEquals("job-1/3" to 2L, "${box.task}" to box.trip.number)
+        assertEquals(BoxState.EXITED to ExitCause.STOPPED, box.state to box.cause)
+    }
+
+    /** An attempt's number must tell whose it is, whichever version chose it. */
+    @Test
+    fun `the number of an attempt begins with the baton`() = assertEquals(5L * 1_048_576 + 3, Trip.of(Baton(5), 3).number)
+
+    @Test
+    fun `requests to the cloud`() {
+        assertEquals(
+            """{"hire":"r-1","fleet":"box","depot":"north","borrowed":true,"howMany":3}""",
+            CloudWire.rental("r-1", "box", "north", spot = true, count = 3).decodeToString(),
+        )
+        assertEquals("""{"trucks":["i-1","i-2"]}""", CloudWire.deletion(listOf(MachineName("i-1"), MachineName("i-2"))).decodeToString())
+    }
+}
