--- a/src/main/kotlin/copperglade/bookkeeping/Profiles.kt
+++ b/src/main/kotlin/copperglade/bookkeeping/Profiles.kt
@@ -220,6 +220,13 @@
         return found
     }
 
+    /**
+     * How long a task is predicted to run wherever it will be placed, in seconds: the average of the range that the
+     * nearest past tasks give on a machine without a fit of its own; null where too few are known.
+     */
+    fun expectedRunS(job: JobId, load: String, request: Resources): Double? =
+        predict(ANY_MACHINE, Factors(job, load, type = "", request, neighbours = 0))?.average
+
     /** The average run time of the job's finished tasks, or of its load's where too few have finished. */
     fun averageRunS(job: JobId, load: String): Double? {
         val base = ofJob[job]?.takeIf { it.count >= FEWEST } ?: ofLoad[load]?.takeIf { it.count >= FEWEST }
@@ -240,5 +247,6 @@
         const val CHANCES = 2.5
         const val SHORTEST_S = 0.1
         val UNFITTED = Weights(0.0)
+        val ANY_MACHINE = MachineName("")
     }
 }
--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/coordination/Assigner.kt
@@ -59,6 +59,7 @@
     /** A job's standing assignments at the beginning of a round. */
     private class Candidate(val job: Job, val spec: JobSpec, val standing: List<Assignment>, val guaranteed: Boolean) {
         val acceptedAtMs = job.live!!.value.acceptedAtMs
+        val deadline = job.deadline
         val left get() = spec.tasks - job.done.cardinality()
         val urgent get() = spec.priority <= Priority.HIGH
     }
@@ -123,11 +124,11 @@
         return LongWaiting(candidate, candidate.waitedS, cpus, candidate.standing.size * cpus, begun, mayBeInTime(candidate))
     }
 
-    private val Candidate.waitedS get() = (loop.wallMillis() - acceptedAtMs) / MS
+    private val Candidate.waitedS get() = (loop.wallMillis() - job.startableSinceMs) / MS
 
     private fun urgentlyWaits(job: Job): Boolean {
         val spec = job.spec ?: return false
-        if (spec.priority > Priority.HIGH || job.cancelled || writer.pends(job.id)) return false
+        if (spec.priority > Priority.HIGH || job.cancelled || job.blocked || writer.pends(job.id)) return false
         return job.assignments().size + job.done.cardinality() < spec.tasks
     }
 
@@ -138,7 +139,7 @@
     }
 
     private fun order(waiting: List<Candidate>, poolCpus: Double): List<Candidate> {
-        val (dated, undated) = waiting.partition { it.spec.deadlineS != null }
+        val (dated, undated) = waiting.partition { it.deadline != null }
         val teamCpus = { team: TeamName -> teams[team]?.cpusMax?.takeIf { it > 0.0 } ?: poolCpus }
         val planned = DeadlinePlan(poolCpus, teamCpus).order(dated.map { plannedJob(it) })
         val rank = HashMap<JobId, Int>()
@@ -156,8 +157,7 @@
     private fun plannedJob(candidate: Candidate): PlannedJob<Candidate> {
         val spec = candidate.spec
         val waitedS = candidate.waitedS
-        val deadlineS = spec.deadlineS ?: 0.0
-        val due = (objectives.deadlineTimes[spec.load] ?: ONCE).map { it * deadlineS - waitedS }.filter { hopeful(spec, it) }
+        val due = dueTimesS(candidate).filter { hopeful(spec, it) }
         // What is late for every multiple of its deadline still has an aim to meet, after all that can be in time.
         val latest = objectives.latestEndS(spec.load, spec.estimateS)?.let { it - waitedS }?.takeIf { hopeful(spec, it) }
         val dues = if (latest == null) due else due.filter { it < latest } + latest
@@ -169,8 +169,14 @@
 
     private fun mayBeInTime(candidate: Candidate): Boolean {
         val spec = candidate.spec
-        val last = (objectives.deadlineTimes[spec.load] ?: ONCE).last() * (spec.deadlineS ?: 0.0)
-        return hopeful(spec, last - candidate.waitedS)
+        return hopeful(spec, dueTimesS(candidate).lastOrNull() ?: -candidate.waitedS)
+    }
+
+    /** In how many seconds the job is due, at each multiple of its deadline that counts for the job it was set for. */
+    private fun dueTimesS(candidate: Candidate): List<Double> {
+        val deadline = candidate.deadline ?: return emptyList()
+        val now = loop.wallMillis()
+        return (objectives.deadlineTimes[deadline.load] ?: ONCE).map { deadline.dueInS(it, now) }
     }
 
     private fun gather(uses: Map<TeamName, TeamUse>): List<Candidate> {
@@ -180,6 +186,7 @@
             .sortedBy { it.live!!.value.acceptedAtMs }
         for (job in inOrder) {
             val spec = job.spec ?: continue
+            if (job.blocked) continue
             val standing = job.assignments()
             val use = uses[spec.team] ?: continue
             use.used += spec.request * (standing.size + writer.pendingTasks(job.id))
--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -115,7 +115,8 @@
     fun sync(job: Job) {
         if (!open) return
         val live = job.live
-        if (live == null) {
+        val spec = job.spec
+        if (live == null || spec == null) {
             drop(job.id)
             return
         }
@@ -130,13 +131,14 @@
                 val state = if (assignment.baton in tenure) RunState.WAITING else RunState.MISSING
                 val task = TaskId(job.id, assignment.task)
                 val fresh =
-                    Run(task, live.value.spec, assignment.generation, live.value.acceptedAtMs, state, loop.now(), runs::moved)
+                    Run(task, spec, assignment.generation, live.value.acceptedAtMs, state, loop.now(), runs::moved)
                 fresh.restarted = job.restarted(assignment.task)
                 runs.add(fresh)
                 fresh
             } else {
                 known
             }
+            run.reschedule(spec)
             if (assignment.recalled) stop(run, StopReason.RECALLED)
             if (job.cancelled) stop(run, StopReason.CANCELLED)
         }
--- a/src/main/kotlin/copperglade/coordination/BoundDemand.kt
+++ b/src/main/kotlin/copperglade/coordination/BoundDemand.kt
@@ -30,7 +30,7 @@
         for (job in jobs) job.spec?.let { used.merge(it.team, job.assignments().size * it.request.cpus, Double::plus) }
         for (job in jobs) {
             val spec = job.spec ?: continue
-            if (job.cancelled || job.complete) continue
+            if (job.cancelled || job.complete || job.blocked) continue
             val zone = spec.zone ?: if (spec.oneZone) zoneOf(job) else null
             if (zone == null && spec.types == null) continue
             val waiting = spec.tasks - job.done.cardinality() - job.assignments().size
@@ -38,7 +38,7 @@
             val limit = teams[spec.team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
             val within = max(0.0, limit - (used[spec.team] ?: 0.0))
             if (within < spec.request.cpus) continue
-            val cpus = min(within, max(1.0, waiting * DemandEstimate.atOnce(spec)) * spec.request.cpus)
+            val cpus = min(within, max(1.0, waiting * DemandEstimate.atOnce(job, spec)) * spec.request.cpus)
             val work = bound.getOrPut(Binding(spec.types, zone, spec.spotAllowed)) { BoundWork(0.0, Resources.ZERO) }
             work.cpus += cpus
             if (spec.request.cpus > work.largest.cpus) work.largest = spec.request
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -46,7 +46,11 @@
     )
     private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, tuning)
     private val quiet = minOf(Replica.QUIET, staleness / READINGS_IN_STALENESS)
-    private val replica = Replica(loop, store, readers = settings.peers.size + 1, quiet)
+    private val profiles =
+        ProfileBook(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
+    private val replica = Replica(loop, store, readers = settings.peers.size + 1, quiet) { spec ->
+        profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
+    }
     private val vouching = Vouching(loop, http, store, settings.member, settings.peers)
     private val membership = Membership(
         loop,
@@ -65,8 +69,6 @@
     private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, vouching)
     private val types = TypeBook(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
-    private val profiles =
-        ProfileBook(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
     private val owner: Owner = Owner(
         OwnerContext(loop, http, replica, membership, types, profiles, tuning, settings.reportS, settings.leaseS, workload, absences),
         store,
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -45,10 +45,10 @@
         var flexible = 0.0
         for (job in jobs.filter { it.live != null }.sortedBy { it.live!!.value.acceptedAtMs }) {
             val spec = job.spec ?: continue
-            if (job.cancelled || job.complete) continue
+            if (job.cancelled || job.complete || job.blocked) continue
             val limit = teams[spec.team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
             val before = used[spec.team] ?: 0.0
-            val cpus = min((spec.tasks - job.done.cardinality()) * spec.request.cpus * atOnce(spec), max(0.0, limit - before))
+            val cpus = min((spec.tasks - job.done.cardinality()) * spec.request.cpus * atOnce(job, spec), max(0.0, limit - before))
             used[spec.team] = before + cpus
             if (spec.spotAllowed) flexible += cpus else ordinary += cpus
         }
@@ -63,7 +63,7 @@
             val spec = job.spec ?: continue
             val standing = job.assignments().size
             used.merge(spec.team, standing * spec.request.cpus, Double::plus)
-            if (job.cancelled || job.complete) continue
+            if (job.cancelled || job.complete || job.blocked) continue
             waiting.merge(spec.team, (spec.tasks - job.done.cardinality() - standing) * spec.request.cpus, Double::plus)
         }
         return waiting.entries.sumOf { (team, cpus) ->
@@ -76,9 +76,10 @@
      * The part of a job's tasks that must run at the same time for a job that starts at once to be in time. A job
      * that has waited gets no more than that: by the time that further machines are up, others have finished.
      */
-    fun atOnce(spec: JobSpec): Double {
+    fun atOnce(job: Job, spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 1.0
-        val time = (spec.deadlineS ?: (spec.estimateS * 2)) * SHARE_OF_DEADLINE
+        val dueInS = job.deadline?.dueInS(1.0, job.startableSinceMs)
+        val time = (dueInS ?: (spec.estimateS * 2)) * SHARE_OF_DEADLINE
         return if (time <= spec.estimateS) 1.0 else spec.estimateS / time
     }
 }
--- a/src/main/kotlin/copperglade/coordination/JobDesk.kt
+++ b/src/main/kotlin/copperglade/coordination/JobDesk.kt
@@ -9,6 +9,7 @@
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
+import copperglade.protocol.Moment
 import copperglade.protocol.ParsedJob
 import copperglade.protocol.Stamp
 import copperglade.protocol.Team
@@ -44,29 +45,58 @@
     private val teams: Map<TeamName, Team>,
     private val news: CancellationNews,
 ) {
+    private val resolver = DependencyResolver(replica)
+
     fun submit(body: ByteArray, responder: Responder) {
         val root = Json.readStrict(body)
         val id = root?.takeIf { it.isObject }?.text("nameId")?.let { JobId.parse(it) }
         val parsed = JobSpecCodec.parse(root)
         if (id == null) return responder.send(badRequest((parsed as ParsedJob.Bad).why))
         if (replica.jobs[id]?.live != null || replica.endOf(id) != null) return status(id, responder) { answerKnown(it, responder) }
-        val refusal = when (parsed) {
-            is ParsedJob.Bad -> badRequest(parsed.why)
+        when (parsed) {
+            is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
             is ParsedJob.Good -> {
                 if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
-                impossible(parsed.spec)?.let { Reply(UNPROCESSABLE, UserWire.error(it)) }
+                val problem = impossible(parsed.spec)
+                if (problem !=
+                    null
+                ) {
+                    refuse(id, unprocessable(problem), responder)
+                } else {
+                    acceptAfter(parsed.dependencies, parsed.spec, responder)
+                }
             }
         }
-        if (refusal != null) {
-            // A known job is answered with its state whatever else the repeat says.
-            status(id, responder) { if (it == null) responder.send(refusal) else answerKnown(it, responder) }
-        } else {
-            accept((parsed as ParsedJob.Good).spec, responder, TRIES)
+    }
+
+    /** A known job is answered with its state whatever else the repeat says. */
+    private fun refuse(id: JobId, refusal: Reply, responder: Responder) =
+        status(id, responder) { if (it == null) responder.send(refusal) else answerKnown(it, responder) }
+
+    private fun acceptAfter(dependencies: List<JobId>, spec: JobSpec, responder: Responder) {
+        if (spec.id in dependencies) return refuse(spec.id, unprocessable("${JobSpecCodec.DEPENDENCIES}: names the job itself"), responder)
+        resolver.resolve(dependencies) { resolution ->
+            when (resolution) {
+                Resolution.Unavailable -> responder.send(later())
+                is Resolution.Impossible -> {
+                    val problem = "${JobSpecCodec.DEPENDENCIES}: ${resolution.id}: ${resolution.why}"
+                    refuse(spec.id, unprocessable(problem), responder)
+                }
+                is Resolution.Accepted -> {
+                    // One that needs a cancelled job is accepted all the same, and cancelled from its first moment.
+                    val record = LiveRecord(spec, loop.wallMillis(), resolution.aborted, resolution.open)
+                    if (fits(record)) accept(record, responder, TRIES) else refuse(spec.id, tooLarge(), responder)
+                }
+            }
         }
     }
 
-    private fun accept(spec: JobSpec, responder: Responder, tries: Int) {
-        val record = LiveRecord(spec, loop.wallMillis(), cancelled = false)
+    /** Whether the state service takes the record, also once it carries the cancelled mark. */
+    private fun fits(record: LiveRecord): Boolean =
+        RecordCodec.encode(record.withCancelledMark()).size <= store.limits.valueBytes
+
+    private fun accept(record: LiveRecord, responder: Responder, tries: Int) {
+        val spec = record.spec
         val transaction = Transaction(
             listOf(Condition(Keys.live(spec.id), Stamp.ABSENT), Condition(Keys.over(spec.id), Stamp.ABSENT)),
             listOf(Write.Set(Keys.live(spec.id), RecordCodec.encode(record))),
@@ -76,11 +106,12 @@
                 is TransactionOutcome.Applied -> {
                     replica.applied(transaction, outcome.stamp)
                     log.debug("{} accepted: {} tasks of {}", spec.id, spec.tasks, spec.load)
-                    responder.send(Reply(CREATED, UserWire.short(spec.id, JobStatus.QUEUED)))
+                    val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
+                    responder.send(Reply(CREATED, UserWire.short(spec.id, status)))
                 }
                 is TransactionOutcome.Conflict -> status(spec.id, responder) { answerKnown(it, responder) }
                 TransactionOutcome.Refused -> {
-                    if (tries > 0) loop.after(RETRY) { accept(spec, responder, tries - 1) } else responder.send(later())
+                    if (tries > 0) loop.after(RETRY) { accept(record, responder, tries - 1) } else responder.send(later())
                 }
                 TransactionOutcome.Unknown, TransactionOutcome.NoSuchPermit -> responder.send(later())
             }
@@ -111,7 +142,7 @@
             answer.status.final -> responder.send(Reply(OK, UserWire.short(id, answer.status)))
             live == null || tries == 0 -> responder.send(later())
             else -> {
-                val record = LiveRecord(live.value.spec, live.value.acceptedAtMs, cancelled = true)
+                val record = live.value.withCancelledMark()
                 val transaction = Transaction(
                     listOf(Condition(Keys.live(id), live.stamp)),
                     listOf(Write.Set(Keys.live(id), RecordCodec.encode(record))),
@@ -134,7 +165,10 @@
     /** Calls back with the job's present state, or null where no such job was ever accepted; else answers 503. */
     private fun status(id: JobId, responder: Responder, done: (JobAnswer?) -> Unit) {
         replica.endOf(id)?.let { return done(JobAnswer(id, it.status, it.tasksDone, 0)) }
-        val asked = loop.now()
+        status(id, loop.now(), responder, done)
+    }
+
+    private fun status(id: JobId, asked: Moment, responder: Responder, done: (JobAnswer?) -> Unit) {
         replica.fresh { known ->
             val job = replica.jobs[id]
             val end = replica.endOf(id)
@@ -142,6 +176,10 @@
                 // This process may have stood still between the reading and now, and another may have told the user more.
                 !known || loop.now() >= asked + LONGEST_READING -> responder.send(later())
                 end != null -> done(JobAnswer(id, end.status, end.tasksDone, 0))
+                // A job that it waits for ended before this process began, and is not known to be done or cancelled yet.
+                replica.dependencies.hasUnknownDependencies(id) -> responder.send(later())
+                // The mark was learned ahead of the reading: the last task may have been recorded just before it.
+                job != null && job.markedAfter(replica.cursor) && !job.complete -> status(id, asked, responder, done)
                 job?.live != null -> done(answerOf(job))
                 else -> replica.readEnd(id) { outcome ->
                     val found = replica.endOf(id)
@@ -162,6 +200,13 @@
 
     private fun badRequest(why: BadField) = Reply(BAD_REQUEST, UserWire.error("${why.field}: ${why.problem}", why.field))
 
+    private fun unprocessable(problem: String) = Reply(UNPROCESSABLE, UserWire.error(problem))
+
+    private fun tooLarge(): Reply {
+        val problem = "too large to be stored with all the jobs that it names"
+        return badRequest(BadField(JobSpecCodec.DEPENDENCIES, problem))
+    }
+
     private fun unknown() = Reply(NOT_FOUND, UserWire.error("no such job"))
 
     companion object {
--- a/src/main/kotlin/copperglade/coordination/Run.kt
+++ b/src/main/kotlin/copperglade/coordination/Run.kt
@@ -34,13 +34,16 @@
 /** A task that is assigned to a block, as its owner follows it. */
 class Run(
     val task: TaskId,
-    val spec: JobSpec,
+    spec: JobSpec,
     val generation: Int,
     val acceptedAtMs: Long,
     first: RunState,
     now: Moment,
     private val moved: (Run) -> Unit = {},
 ) {
+    /** The job as it is scheduled now; jobs that come to depend on it may raise its priority. */
+    var spec = spec
+        private set
     var state = first
         private set
     var since = now
@@ -110,6 +113,10 @@
         machine = null
     }
 
+    fun reschedule(spec: JobSpec) {
+        if (spec !== this.spec) this.spec = spec
+    }
+
     fun stopFor(reason: StopReason) {
         stopReason = reason
     }
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -67,19 +67,47 @@
 
     /** The most tasks that [spread] lets one zone hold. */
     val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
+
+    /** The same job with another priority. */
+    fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) {
+        this
+    } else {
+        JobSpec(
+            id,
+            load,
+            team,
+            kind,
+            priority,
+            tasks,
+            request,
+            image,
+            types,
+            zone,
+            oneZone,
+            spread,
+            spotAllowed,
+            estimateS,
+            checkpointS,
+            saveS,
+            deadlineS,
+        )
+    }
 }
 
 /** What was wrong with a submission, by the name of its field on the wire. */
 class BadField(val field: String, val problem: String)
 
 sealed interface ParsedJob {
-    class Good(val spec: JobSpec) : ParsedJob
+    /** @property dependencies the jobs that have to be done before it, each named once. */
+    class Good(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedJob
 
     class Bad(val why: BadField) : ParsedJob
 }
 
 /** Reads and writes jobs in the users' wire form. */
 object JobSpecCodec {
+    /** The jobs that have to be done before this one; the stored record of a job uses the same name. */
+    const val DEPENDENCIES = "awaits"
     private const val MOST_TASKS = 100_000
     private const val MOST_AMOUNT = 1e9
     private const val MOST_TEXT = 200
@@ -88,7 +116,7 @@
 
     fun parse(root: JsonNode?): ParsedJob = try {
         if (root == null || !root.isObject) refuse("body", "not a JSON object")
-        ParsedJob.Good(read(root))
+        ParsedJob.Good(read(root), dependencies(root))
     } catch (refused: Refused) {
         ParsedJob.Bad(refused.why)
     }
@@ -167,6 +195,15 @@
         return value.map { it.textValue() }
     }
 
+    private fun dependencies(root: JsonNode): List<JobId> {
+        val value = root.present(DEPENDENCIES) ?: return emptyList()
+        if (!value.isArray) refuse(DEPENDENCIES, "not a list of job ids")
+        val ids = value.map { element ->
+            element.takeIf { it.isTextual }?.let { JobId.parse(it.textValue()) } ?: refuse(DEPENDENCIES, "not a list of job ids")
+        }
+        return ids.distinct()
+    }
+
     private fun <T> choice(root: JsonNode, name: String, among: List<T>, wire: (T) -> String): T {
         val value = text(root, name)
         return among.firstOrNull { wire(it) == value } ?: refuse(name, "unknown value")
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -5,6 +5,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
+import copperglade.protocol.Priority
 import copperglade.protocol.Stamp
 import java.util.BitSet
 
@@ -20,6 +21,18 @@
 /** Everything the state service holds of one job that is not over. */
 class Job(val id: JobId) {
     var live: Stamped<LiveRecord>? = null
+        set(record) {
+            field = record
+            scheduledSpec = record?.value?.spec?.let { it.withPriority(inheritedPriority ?: it.priority) }
+        }
+    private var inheritedPriority: Priority? = null
+    private var inheritedDeadline: Deadline? = null
+    private var scheduledSpec: JobSpec? = null
+    private var releasedAtMs: Long? = null
+
+    /** Kept by [DependencyGraph]; until that has looked at the job, one with dependencies is blocked. */
+    var dependencyState = DependencyState.BLOCKED
+        private set
     private val pageRecords = HashMap<Int, Packed<AssignmentPage>>()
     private val workRecords = HashMap<WorkPlace, Packed<WorkRecord>>()
 
@@ -31,10 +44,47 @@
 
     val pages: Map<Int, Packed<AssignmentPage>> get() = pageRecords
     val works: Map<WorkPlace, Packed<WorkRecord>> get() = workRecords
-    val spec: JobSpec? get() = live?.value?.spec
+
+    /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
+    val spec: JobSpec? get() = scheduledSpec
+    val dependencies: List<JobId> get() = live?.value?.dependencies.orEmpty()
+
+    /** Whether a dependency is not done yet: nothing of the job may be assigned, and it counts for nothing. */
+    val blocked: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.BLOCKED
+
+    /** The deadline that its user set. */
+    val ownDeadline: Deadline?
+        get() = live?.value?.let { record -> record.spec.deadlineS?.let { Deadline(record.spec.load, record.acceptedAtMs, it) } }
+
+    /** The tightest of its own deadline and those of its dependents. */
+    val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
+
+    /** Since when it could have been started, in wall-clock milliseconds: its acceptance, or the end of its last dependency. */
+    val startableSinceMs: Long get() = releasedAtMs ?: live?.value?.acceptedAtMs ?: 0
     val empty: Boolean get() = live == null && pages.isEmpty() && works.isEmpty()
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
-    val cancelled: Boolean get() = live?.value?.cancelled ?: false
+
+    /** By its own mark, or because a dependency was cancelled. */
+    val cancelled: Boolean get() = live?.value?.cancelled ?: false ||
+        (dependencies.isNotEmpty() && dependencyState == DependencyState.ABORTED)
+
+    /** The end of waiting for dependencies. Only [DependencyGraph] says so. */
+    fun dependenciesEnded(next: DependencyState, releasedAtMs: Long?) {
+        dependencyState = next
+        this.releasedAtMs = releasedAtMs
+    }
+
+    /** Takes over what dependents hand on; returns whether that changes anything. Only [DependencyGraph] says so. */
+    fun inherit(priority: Priority, deadline: Deadline?): Boolean {
+        val submitted = live?.value?.spec ?: return false
+        val before = this.deadline
+        val sameDeadline = if (deadline == null || before == null) deadline === before else deadline.isCloseTo(before)
+        if (spec?.priority == priority && sameDeadline) return false
+        inheritedPriority = priority
+        inheritedDeadline = deadline
+        scheduledSpec = submitted.withPriority(priority)
+        return true
+    }
 
     fun setPage(page: Int, record: Packed<AssignmentPage>?) {
         standing = null
@@ -86,5 +136,8 @@
         place.page == task / Keys.PAGE_TASKS && work.value.restarted.get(task)
     }
 
+    /** Whether its cancelled mark is newer than [stamp]. */
+    fun markedAfter(stamp: Stamp): Boolean = live?.let { it.value.cancelled && it.stamp > stamp } ?: false
+
     fun liveStamp(): Stamp = live?.stamp ?: Stamp.ABSENT
 }
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -28,8 +28,14 @@
 /** A record as it stands in the state service. */
 class Stamped<T>(val value: T, val stamp: Stamp)
 
-/** An accepted job that is not over. */
-class LiveRecord(val spec: JobSpec, val acceptedAtMs: Long, val cancelled: Boolean)
+/**
+ * An accepted job that is not over.
+ *
+ * @property dependencies jobs that have to be done before it and were not when it was accepted; often none.
+ */
+class LiveRecord(val spec: JobSpec, val acceptedAtMs: Long, val cancelled: Boolean, val dependencies: List<JobId> = emptyList()) {
+    fun withCancelledMark() = LiveRecord(spec, acceptedAtMs, cancelled = true, dependencies)
+}
 
 /**
  * Tasks that the lead gave to a block.
@@ -225,12 +231,17 @@
             JobSpecCodec.write(this, record.spec)
             writeNumberField("at", record.acceptedAtMs)
             if (record.cancelled) writeBooleanField("cancelled", true)
+            // Left out where empty: earlier versions write and read records without it.
+            if (record.dependencies.isNotEmpty()) {
+                array(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
+            }
         }
     }
 
     fun decodeLive(node: JsonNode): LiveRecord? {
         val spec = (JobSpecCodec.parse(node.get("spec")) as? ParsedJob.Good)?.spec ?: return null
-        return LiveRecord(spec, node.long("at") ?: 0, node.flag("cancelled") ?: false)
+        val dependencies = node.get(JobSpecCodec.DEPENDENCIES)?.mapNotNull { JobId.parse(it.asText()) }.orEmpty()
+        return LiveRecord(spec, node.long("at") ?: 0, node.flag("cancelled") ?: false, dependencies)
     }
 
     fun encode(record: AssignmentPage): ByteArray = Json.write {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.BlockName
 import copperglade.protocol.JobId
+import copperglade.protocol.JobSpec
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
@@ -41,6 +42,8 @@
     readers: Int = 1,
     /** How old what is known may become before something is asked, though nobody has asked for it. */
     private val quiet: Duration = QUIET,
+    /** How long a job's tasks are predicted to run, in seconds. */
+    predictRunS: (JobSpec) -> Double = { it.estimateS },
 ) {
     /** All readers together take at most half of the service's requests. */
     private val pace = maxOf(SHORTEST_PACE, (readers / (store.limits.requestsPerS * READING_SHARE)).seconds)
@@ -54,6 +57,9 @@
         override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > MOST_ENDED
     }
 
+    /** Which of [jobs] wait for others, and what follows from that. */
+    val dependencies = DependencyGraph(jobs, ::endOf, { cursor }, loop::wallMillis, predictRunS)
+
     /** Stamps of keys that are not there: a late event must not bring them back. */
     private val dropped = HashMap<String, Stamp>()
     private val listeners = ArrayList<ReplicaListener>()
@@ -88,6 +94,12 @@
     fun start() {
         load(null, null)
         loop.again({ quiet }, ::keepCurrent)
+        loop.again({ LOOK_UP_PACE }, ::lookUpDependencies)
+    }
+
+    /** Only live jobs are kept here, so a dependency that ended before this process began has to be looked up. */
+    private fun lookUpDependencies() {
+        if (state == ReplicaState.CURRENT) dependencies.unknownDependencies().forEach { readEnd(it) {} }
     }
 
     /** The open watch does not say how old its silence is, so something is asked now and then. */
@@ -115,6 +127,7 @@
             } else {
                 cursor = start
                 moveTo(ReplicaState.CURRENT, "${jobs.size} live jobs read at revision $start")
+                dependencies.rebuild()
                 announce(touched)
                 watch()
                 if (!endsLoaded) {
@@ -239,12 +252,13 @@
         val live = jobs[id]?.live ?: return
         if (state != ReplicaState.CURRENT || live.value.cancelled || stamp <= live.stamp) return
         val touched = Touched()
-        job(id, touched).live = Stamped(LiveRecord(live.value.spec, live.value.acceptedAtMs, cancelled = true), stamp)
+        job(id, touched).live = Stamped(live.value.withCancelledMark(), stamp)
         announce(touched)
     }
 
     private fun announce(touched: Touched) {
         if (touched.jobs.isEmpty() && !touched.standing && touched.notes.isEmpty()) return
+        touched.jobs += dependencies.update(touched.jobs)
         listeners.forEach { it.changed(touched) }
     }
 
@@ -258,7 +272,7 @@
             }
             ParsedKey.Sheet -> putSheet(key, value, stamp, Pages, touched)
             is ParsedKey.WorkSheet -> putSheet(key, value, stamp, Works(parsed.block), touched)
-            is ParsedKey.Over -> RecordCodec.decodeEnd(value)?.let { over[parsed.job] = it }
+            is ParsedKey.Over -> rememberEnd(parsed.job, value, touched)
             is ParsedKey.Block -> if (newer(stamp, blocks[parsed.name])) {
                 touched.standing = true
                 RecordCodec.decodeBlock(value)?.let { blocks[parsed.name] = Stamped(it, stamp) }
@@ -278,6 +292,11 @@
         }
     }
 
+    private fun rememberEnd(id: JobId, value: JsonNode, touched: Touched) {
+        over[id] = RecordCodec.decodeEnd(value) ?: return
+        if (dependencies.isAwaited(id)) touched.jobs += id
+    }
+
     private fun drop(key: String, stamp: Stamp, touched: Touched) {
         if (stamp > cursor) dropped[key] = stamp
         when (val parsed = Keys.parse(key)) {
@@ -398,7 +417,7 @@
             // Whoever asks from now on is not served by this reading: it may be older than the question.
             endsAsked.remove(id)
             store.read(Keys.over(id)) { outcome ->
-                if (outcome is ReadOutcome.Found) RecordCodec.decodeEnd(outcome.value)?.let { over[id] = it }
+                if (outcome is ReadOutcome.Found) announce(Touched().also { rememberEnd(id, outcome.value, it) })
                 waiting.forEach { it(outcome) }
             }
         }
@@ -413,10 +432,12 @@
     /** What users may ask for at once after a restart: the ends of jobs, as many as are remembered, a page at a time. */
     private fun loadEnds(from: String?) {
         store.list(Keys.OVER, from) { listing ->
+            val touched = Touched()
             listing?.entries?.forEach { entry ->
                 val id = (Keys.parse(entry.key) as? ParsedKey.Over)?.job
-                if (id != null) RecordCodec.decodeEnd(entry.value)?.let { over[id] = it }
+                if (id != null) rememberEnd(id, entry.value, touched)
             }
+            announce(touched)
             val next = if (listing == null) from else listing.entries.lastOrNull()?.key
             if ((listing == null || listing.more) && over.size < MOST_ENDED) loop.after(ENDS_PACE) { loadEnds(next) }
         }
@@ -428,6 +449,7 @@
         private const val MOST_ENDS_ASKED = 500
         private const val MOST_ASKERS = 8
         private val ENDS_PACE = 1.seconds
+        private val LOOK_UP_PACE = 500.milliseconds
         private val RETRY = 250.milliseconds
         private val WATCH_WAIT = 10.seconds
         val QUIET = 1500.milliseconds
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -101,7 +101,11 @@
     /** The protocol allows four conditions for each write that a transaction may have. */
     val transactionConditions get() = transactionWrites * CONDITIONS_A_WRITE
 
+    /** The largest value, in bytes. */
+    val valueBytes get() = (valueKb * BYTES_OF_KB).toInt()
+
     private companion object {
+        const val BYTES_OF_KB = 1024
         const val CONDITIONS_A_WRITE = 4
     }
 }
