--- a/src/test/kotlin/copperglade/sim/Days.kt
+++ b/src/test/kotlin/copperglade/sim/Days.kt
@@ -26,6 +26,7 @@
     run(forS)
     checkForgotten()
     checkServed()
+    checkOrphans()
     assertEquals(emptyList<String>(), breaches)
     assertTrue(starts > 0, "nothing ran")
     val unfinished = users.values.filter { it.work(0) != null && !it.finished }.map { it.spec.id }
