--- /dev/null
+++ b/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
@@ -0,0 +1,81 @@
+package copperglade.storage
+
+import copperglade.protocol.JobId
+import copperglade.protocol.Priority
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.util.Random
+
+/** The model by which the real class is judged. */
+class PipelineModelTest {
+    private fun id(number: Int) = JobId("job-$number")
+
+    private fun diamond() = PipelineModel().apply {
+        add(PipelineJob(id(1), emptySet(), Priority.LOW))
+        add(PipelineJob(id(2), setOf(id(1)), Priority.NORMAL, dueAtS = 50.0))
+        add(PipelineJob(id(3), setOf(id(1)), Priority.NORMAL, dueAtS = 80.0))
+        add(PipelineJob(id(4), setOf(id(2), id(3)), Priority.HIGH, dueAtS = 70.0))
+    }
+
+    @Test
+    fun `a diamond is released from its root to its end`() {
+        val model = diamond()
+        assertEquals(listOf(id(1)), model.ids.filter(model::isReleased))
+        model.markDone(id(1))
+        assertEquals(listOf(id(2), id(3)), model.ids.filter(model::isReleased))
+        model.markDone(id(2))
+        assertTrue(model.isBlocked(id(4)))
+        model.markDone(id(3))
+        assertTrue(model.isReleased(id(4)))
+    }
+
+    @Test
+    fun `a cancellation takes along what comes after, and nothing else`() {
+        val model = diamond()
+        model.markDone(id(1))
+        model.markCancelled(id(1))
+        assertFalse(model.ids.any(model::isAborted))
+        model.markCancelled(id(2))
+        assertEquals(listOf(id(2), id(4)), model.ids.filter(model::isAborted))
+        assertTrue(model.isReleased(id(3)))
+    }
+
+    @Test
+    fun `priority and deadline are those of the most pressing pending job that needs it`() {
+        val model = diamond()
+        assertEquals(Priority.HIGH, model.effectivePriority(id(1)))
+        assertEquals(50.0, model.tightestDueS(id(1)))
+        assertEquals(70.0, model.tightestDueS(id(3)))
+        model.markCancelled(id(4))
+        assertEquals(Priority.NORMAL, model.effectivePriority(id(1)))
+        assertNull(model.effectivePriority(id(4)))
+        model.markCancelled(id(2))
+        assertEquals(80.0, model.tightestDueS(id(1)))
+    }
+
+    /** One day of 30 jobs; tells how many of them were done. */
+    private fun checkedDay(seed: Long): Int {
+        val over = HashMap<JobId, Boolean>()
+        val model = RandomPipelines(Random(seed)).play(jobs = 30) { _, now ->
+            for (id in now.ids) {
+                val states = listOf(now.isBlocked(id), now.isReleased(id), now.isDone(id), now.isAborted(id))
+                assertEquals(1, states.count { it }, "$id: $states")
+                if (now.isDone(id) || now.isAborted(id)) assertEquals(now.isDone(id), over.getOrPut(id) { now.isDone(id) }, "$id")
+                if (now.isDone(id) || now.isReleased(id)) assertTrue(now.predecessors(id).all(now::isDone), "$id")
+            }
+            assertTrue(over.keys.all { now.isDone(it) || now.isAborted(it) })
+        }
+        assertEquals(30, over.size, "all come to an end")
+        assertTrue(model.ids.any { model.predecessors(it).size > model.awaits(it).size }, "nothing is needed through another")
+        return model.ids.count(model::isDone)
+    }
+
+    @Test
+    fun `each job is in one state, what is over stays so, and many end either way`() {
+        val done = (1L..40L).map(::checkedDay)
+        assertTrue(done.count { it in 5..25 } >= 10, "jobs done of 30, by seed: $done")
+    }
+}
