--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -0,0 +1,105 @@
+package copperglade.sim
+
+import copperglade.protocol.JobId
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** The rules of jobs that wait for others, each broken by what is changed on the way, so that the referee has to see it. */
+class PipelineRefereeTest {
+    private fun id(number: Int) = JobId("job-$number")
+
+    /** Answers to all questions about [job] say [status], with nothing done and nothing running. */
+    private fun SimSite.forgeAnswers(job: JobId, status: String) {
+        network.tamperAnswer = { passage, request, reply ->
+            val asked = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
+            val forged = """{"nameId":"$job","status":"$status","done":0,"running":0}"""
+            if (asked && reply.status == 200) Reply(200, forged.encodeToByteArray()) else reply
+        }
+    }
+
+    private fun SimSite.twoInLine(workS: Double) {
+        submit(SimSite.job(1, tasks = 2, etaS = workS)) { workS }
+        submit(SimSite.job(2, tasks = 2), listOf(id(1))) { 5.0 }
+    }
+
+    @Test
+    fun `a task that starts before the job that its own awaits is done`() {
+        val site = SimSite(Simulation(421))
+        var stripped = 0
+        // Controllers don't hear of what is awaited.
+        site.network.tamperRequest = { from, request ->
+            val text = request.body.decodeToString()
+            if (from == "users" && "\"awaits\"" in text) {
+                stripped++
+                Request(request.method, request.path, text.replace(AWAITS, "").encodeToByteArray())
+            } else {
+                request
+            }
+        }
+        site.twoInLine(workS = 60.0)
+        site.run(40.0)
+        assertTrue(stripped > 0, "nothing was awaited")
+        site.assertSees("too_early")
+    }
+
+    @Test
+    fun `a job that is called queued long after the one before it was cancelled`() {
+        val site = SimSite(Simulation(422))
+        site.forgeAnswers(id(2), "queued")
+        site.twoInLine(workS = 200.0)
+        site.run(15.0)
+        site.cancel(id(1))
+        site.run(5.0)
+        assertEquals("aborted", site.users.getValue(id(1)).told)
+        assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "too soon: ${site.breaches}")
+        site.run(SimSite.CANCEL_S + 1.0)
+        site.assertSees("orphaned")
+    }
+
+    @Test
+    fun `a job that is called done though the one before it was cancelled`() {
+        val site = SimSite(Simulation(423))
+        site.forgeAnswers(id(2), "done")
+        site.twoInLine(workS = 200.0)
+        site.run(15.0)
+        site.cancel(id(1))
+        site.run(10.0)
+        site.assertSees("orphaned")
+    }
+
+    @Test
+    fun `a job that is called cancelled though nobody cancelled what it awaits`() {
+        val site = SimSite(Simulation(424))
+        site.forgeAnswers(id(2), "aborted")
+        site.twoInLine(workS = 200.0)
+        // Another job's cancellation is no reason.
+        site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
+        site.sim.after(12_000.0) { site.cancel(id(3)) }
+        site.run(30.0)
+        assertEquals("aborted", site.users.getValue(id(3)).told)
+        site.assertSees("went_back")
+    }
+
+    @Test
+    fun `a job that is called cancelled though the cancellation before it met a job that was done`() {
+        val site = SimSite(Simulation(425))
+        site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
+        site.await(40.0) { site.users.getValue(id(1)).completedAt != null }
+        site.run(1.0)
+        site.cancel(id(1))
+        site.run(10.0)
+        assertEquals("done", site.users.getValue(id(1)).told)
+        site.forgeAnswers(id(2), "aborted")
+        site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 50.0 }
+        site.run(15.0)
+        site.assertSees("went_back")
+    }
+
+    private companion object {
+        val AWAITS = Regex(",\"awaits\":\\[[^]]*]")
+    }
+}
