--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -0,0 +1,529 @@
+package copperglade.sim
+
+import copperglade.protocol.JobId
+import copperglade.protocol.Json
+import copperglade.protocol.text
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
+import org.junit.jupiter.params.provider.EnumSource
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Jobs that wait for others, on calm days and amid troubles. Each test first shows that its situation came about. */
+class PipelinesTest {
+    /** Pipelines by the jobs that each job awaits; jobs of one list are of one level. */
+    enum class Shape(val levels: List<List<Int>>, val awaits: Map<Int, List<Int>>) {
+        CHAIN(listOf(listOf(1), listOf(2), listOf(3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(2), 4 to listOf(3))),
+        DIAMOND(listOf(listOf(1), listOf(2, 3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))),
+        FAN(listOf(listOf(1), (2..13).toList(), listOf(14)), (2..13).associateWith { listOf(1) } + (14 to (2..13).toList())),
+        ;
+
+        val jobs: List<Int> get() = levels.flatten()
+
+        /** All that need [job], directly or through others. */
+        fun after(job: Int): Set<Int> =
+            awaits.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { after(it) } }
+    }
+
+    private fun id(number: Int) = JobId("job-$number")
+
+    private fun SimSite.user(number: Int) = users.getValue(id(number))
+
+    private fun SimSite.submitAll(shape: Shape, workS: Double, tasks: Int = 2) = shape.jobs.forEach { number ->
+        submit(SimSite.job(number, tasks = tasks, etaS = workS), shape.awaits[number].orEmpty().map(::id)) { workS }
+    }
+
+    private fun SimSite.isRunning(number: Int) = runningTasks().keys.any { it.job == id(number) }
+
+    private fun SimSite.awaitRunning(number: Int) = await(150.0) { isRunning(number) }
+
+    /** Cancels a job that is not done, and waits until its user is told so. */
+    private fun SimSite.cancelAndConfirm(number: Int, mostS: Double = 5.0) {
+        cancel(id(number))
+        await(mostS) { user(number).cancelledAt != null }
+    }
+
+    private fun SimSite.assertTold(status: String, jobs: Collection<Int>) =
+        assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).told })
+
+    private fun SimSite.assertNeverStarted(jobs: Collection<Int>) =
+        assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAt != null }, "these started")
+
+    /** Of a whole pipeline, [cancelled] and what comes after it ended cancelled, all else was done. */
+    private fun SimSite.assertCancelledFrom(shape: Shape, cancelled: Int) {
+        val followers = shape.after(cancelled)
+        assertTold("aborted", followers + cancelled)
+        assertNeverStarted(followers)
+        assertTold("done", shape.jobs - followers - cancelled)
+    }
+
+    /** The answer to one request at [node]. */
+    private fun SimSite.answerAt(node: Int, request: Request): Reply? {
+        var reply: Reply? = null
+        var over = false
+        requestAt(node, request) {
+            reply = it
+            over = true
+        }
+        await(6.0) { over }
+        return reply
+    }
+
+    /** The status of the answer to a submission of `job-[number]` with this text as the field `awaits`. */
+    private fun SimSite.submitRaw(number: Int, awaits: String, node: Int = 0): Reply? {
+        val body = submissionBody(SimSite.job(number, tasks = 1), emptyList()).decodeToString().dropLast(1) + ",\"awaits\":$awaits}"
+        return answerAt(node, Request(Method.POST, "/submissions", body.encodeToByteArray()))
+    }
+
+    // ---- in order ----
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,501", "CHAIN,502", "DIAMOND,503", "DIAMOND,504", "FAN,505", "FAN,506")
+    fun `each job begins when all that it needs is done, and all are done`(shape: Shape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 5.0)
+        val last = shape.levels.last().single()
+        // A service may come after arrays.
+        site.submit(SimSite.job(500, tasks = 2, service = true, spot = false), listOf(id(last))) { null }
+        site.run(60.0)
+        site.assertKept()
+        site.assertTold("done", shape.jobs)
+        assertEquals(2, site.runningTasks().keys.count { it.job == id(500) }, "the service does not run")
+        for ((job, needed) in shape.awaits) {
+            val releasedAt = needed.maxOf { site.user(it).completedAt!! }
+            val waitedMs = site.user(job).firstStartAt!! - releasedAt
+            assertTrue(waitedMs in 0.0..PROMPT_MS, "job-$job began $waitedMs ms after its release")
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [511, 512])
+    fun `a job may name what was done long ago, also before controllers began`(seed: Long) {
+        val site = SimSite(Simulation(seed), endedBefore = 3)
+        site.submit(SimSite.job(1, tasks = 3)) { 4.0 }
+        site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
+        site.await(60.0) { site.user(2).told == "done" }
+        site.run(60.0)
+        (0 until site.nodes).forEach { site.crash(it, 1500.0) }
+        site.run(15.0)
+        site.submit(SimSite.job(3, tasks = 2), listOf(id(1), id(2), id(SimSite.ENDED_FROM), id(SimSite.ENDED_FROM + 2))) { 4.0 }
+        site.submit(SimSite.job(4, tasks = 2), listOf(id(3), id(1))) { 4.0 }
+        site.assertKept()
+        site.assertTold("done", listOf(3, 4))
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [516, 517])
+    fun `a last job is added late, while the one that it awaits runs`(seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 2, etaS = 30.0)) { 30.0 }
+        site.awaitRunning(1)
+        (0 until site.nodes).forEach { site.crash(it, 1500.0) }
+        site.run(6.0)
+        // Named twice is named once.
+        site.submit(SimSite.job(2, tasks = 2), listOf(id(1), id(1))) { 4.0 }
+        site.await(10.0) { site.user(2).accepted }
+        assertTrue(site.isRunning(1), "what it awaits was over already")
+        site.assertKept()
+        site.assertTold("done", listOf(1, 2))
+    }
+
+    // ---- cancellations ----
+
+    @ParameterizedTest
+    @CsvSource(
+        "CHAIN,0,521",
+        "CHAIN,1,522",
+        "CHAIN,2,523",
+        "CHAIN,3,524",
+        "DIAMOND,0,525",
+        "DIAMOND,1,526",
+        "DIAMOND,2,527",
+        "FAN,0,528",
+        "FAN,1,529",
+        "FAN,2,530",
+    )
+    fun `what is cancelled while it runs takes along all that comes after it`(shape: Shape, level: Int, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 8.0)
+        val cancelled = shape.levels[level].last()
+        site.awaitRunning(cancelled)
+        site.cancelAndConfirm(cancelled)
+        site.run(SimSite.CANCEL_S)
+        site.assertTold("aborted", shape.after(cancelled) + cancelled)
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,1,531", "CHAIN,3,532", "DIAMOND,1,533", "DIAMOND,2,534", "FAN,1,535", "FAN,2,536")
+    fun `what is cancelled while it waits takes along all that comes after it`(shape: Shape, level: Int, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 8.0)
+        site.awaitRunning(1)
+        val cancelled = shape.levels[level].last()
+        site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
+        site.cancelAndConfirm(cancelled)
+        site.run(SimSite.CANCEL_S)
+        site.assertTold("aborted", shape.after(cancelled) + cancelled)
+        site.assertNeverStarted(listOf(cancelled))
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [541, 542, 543])
+    fun `a cancellation meets the end of the last task, and the jobs after it go by the answer`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
+        val random = site.sim.random
+        var met = 0
+        site.whenComplete = { user ->
+            if (user.awaits.isEmpty()) {
+                site.sim.after(random.nextInt(250).toDouble()) {
+                    met++
+                    site.cancel(user.spec.id)
+                }
+            }
+        }
+        repeat(30) { number ->
+            site.sim.after(number * 900.0) {
+                site.submit(SimSite.job(100 + number, tasks = 1 + number % 2)) { 3.0 }
+                site.submit(SimSite.job(200 + number, tasks = 1), listOf(id(100 + number))) { 3.0 }
+                site.submit(SimSite.job(300 + number, tasks = 1), listOf(id(200 + number))) { 3.0 }
+            }
+        }
+        site.run(60.0)
+        assertTrue(met >= 25, "$met met an end")
+        site.assertKept()
+        val (done, cancelled) = (0 until 30).partition { site.user(100 + it).told == "done" }
+        assertTrue(done.isNotEmpty() && cancelled.isNotEmpty(), "${done.size} done, ${cancelled.size} cancelled")
+        site.assertTold("done", done.flatMap { listOf(200 + it, 300 + it) })
+        site.assertTold("aborted", cancelled.flatMap { listOf(100 + it, 200 + it, 300 + it) })
+        site.assertNeverStarted(cancelled.flatMap { listOf(200 + it, 300 + it) })
+    }
+
+    @ParameterizedTest
+    @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
+    fun `the leader ends just before or just after a cancellation`(shape: Shape, seed: Long, before: Boolean) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        val former = site.leader()!!
+        if (before) site.crash(former, 4000.0)
+        site.cancelAndConfirm(cancelled)
+        if (!before) site.crash(former, 4000.0)
+        site.await(10.0) { site.leader().let { it != null && it != former } }
+        site.run(SimSite.CANCEL_S)
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
+    fun `the state service is out right after a cancellation`(shape: Shape, seed: Long, outageS: Double) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        site.cancelAndConfirm(cancelled)
+        site.state.outage = true
+        site.run(outageS)
+        assertTrue(site.state.refusedInOutage > 0)
+        site.state.outage = false
+        site.run(20.0)
+        site.assertTold("aborted", shape.after(cancelled))
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,566", "DIAMOND,567")
+    fun `a job is cancelled while the state service is out, and what it awaits ends meanwhile`(shape: Shape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        site.awaitRunning(1)
+        val cancelled = shape.levels[1].first()
+        site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
+        site.state.outage = true
+        site.run(1.0)
+        site.cancel(id(cancelled))
+        site.run(14.0)
+        assertTrue(site.user(cancelled).cancelledAt == null && site.user(1).completedAt != null, "the outage was too short")
+        site.state.outage = false
+        site.await(15.0) { site.user(cancelled).finished }
+        site.run(SimSite.CANCEL_S)
+        site.assertKept()
+        if (site.user(cancelled).told == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertTold("done", shape.jobs)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
+    fun `all controllers are down right after a cancellation`(shape: Shape, seed: Long, downS: Double) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        site.cancelAndConfirm(cancelled)
+        val beforeThat = shape.after(cancelled).filter { site.user(it).told == "aborted" }
+        (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
+        assertTrue(beforeThat.size < shape.after(cancelled).size, "all were told before")
+        site.run(downS + SimSite.CANCEL_S)
+        site.assertTold("aborted", shape.after(cancelled))
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
+    fun `all controllers are down when a job's last task ends`(shape: Shape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        var down = 0
+        site.whenComplete = { user ->
+            if (user.spec.id == id(1)) {
+                down++
+                (0 until site.nodes).forEach { site.crash(it, 4000.0) }
+            }
+        }
+        site.submitAll(shape, workS = 6.0)
+        site.run(60.0)
+        assertTrue(down > 0, "no last task ended")
+        site.assertKept()
+        site.assertTold("done", shape.jobs)
+    }
+
+    @ParameterizedTest
+    @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
+    fun `the leader alone is refused by the state service while a job is cancelled`(shape: Shape, seed: Long, peersCut: Boolean) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        val refused = site.leader()!!
+        val refusals = site.network.refusals
+        site.refuseController(refused)
+        if (peersCut) site.cutPeers()
+        site.run(0.5)
+        site.cancelAndConfirm(cancelled)
+        repeat(25) {
+            // It has to say what is so, or nothing.
+            shape.jobs.forEach { site.poll(id(it), refused) }
+            site.run(1.0)
+        }
+        assertTrue(site.network.refusals > refusals, "it was not refused")
+        site.serveController(refused)
+        site.heal()
+        site.run(SimSite.CANCEL_S - 25.0)
+        site.assertTold("aborted", shape.after(cancelled))
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @EnumSource(Shape::class)
+    fun `questions at all controllers right after a cancellation never go back`(shape: Shape) {
+        val site = SimSite(Simulation(591L + shape.ordinal))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        val asked = site.network.calls
+        repeat(100) { turn ->
+            shape.after(cancelled).forEach { follower -> repeat(site.nodes) { site.poll(id(follower), it) } }
+            if (turn == 20) site.cancel(id(cancelled))
+            site.run(0.05)
+        }
+        assertTrue(site.network.calls - asked >= 300)
+        site.assertTold("aborted", listOf(cancelled))
+        site.assertKept()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [601, 602])
+    fun `a job that names a cancelled one is accepted and ends cancelled, and what names that one too`(seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 2)) { 100.0 }
+        site.submit(SimSite.job(2, tasks = 1)) { 4.0 }
+        site.awaitRunning(1)
+        site.cancelAndConfirm(1)
+        site.submit(SimSite.job(3, tasks = 2), listOf(id(2), id(1))) { 4.0 }
+        site.run(5.0)
+        site.submit(SimSite.job(4, tasks = 2), listOf(id(3))) { 4.0 }
+        site.run(60.0)
+        // By now the cancelled job is long over, and whoever knew it by heart has ended.
+        (0 until site.nodes).forEach { site.crash(it, 1500.0) }
+        site.run(15.0)
+        site.submit(SimSite.job(5, tasks = 2), listOf(id(1))) { 4.0 }
+        site.submit(SimSite.job(6, tasks = 2), listOf(id(4), id(2))) { 4.0 }
+        site.run(SimSite.CANCEL_S)
+        assertEquals(listOf(201, 201, 201, 201), (3..6).map { site.user(it).acceptedWith })
+        site.assertTold("aborted", listOf(1, 3, 4, 5, 6))
+        site.assertNeverStarted(listOf(3, 4, 5, 6))
+        site.assertKept()
+        site.assertTold("done", listOf(2))
+    }
+
+    // ---- what may be named ----
+
+    private fun calmSite(seed: Long): SimSite {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 1)) { 150.0 }
+        site.submit(SimSite.job(500, tasks = 1, service = true, spot = false)) { null }
+        site.await(30.0) { site.isRunning(1) && site.isRunning(500) }
+        return site
+    }
+
+    @Test
+    fun `lists that are none are refused with 400`() {
+        val site = calmSite(611)
+        val malformed =
+            listOf("\"job-1\"", "{\"job-1\":1}", "[1]", "[null]", "[\"\"]", "[\"job-\"]", "[\"task-1\"]", "[[\"job-1\"]]", "true", "7")
+        val answers = malformed.associateWith { site.submitRaw(50, it)?.status }
+        assertEquals(malformed.associateWith { 400 }, answers)
+        assertEquals(400, site.submitRaw(50, "[\"job-1\",\"job 1\"]")?.status)
+        assertEquals(404, site.answerAt(0, Request(Method.GET, "/submissions/job-50"))?.status)
+    }
+
+    @Test
+    fun `names never accepted, the job itself and services are refused with 422 by every controller`() {
+        val site = calmSite(612)
+        val impossible = listOf("[\"job-999\"]", "[\"job-50\"]", "[\"job-500\"]", "[\"job-1\",\"job-999\"]", "[\"job-1\",\"job-500\"]")
+        for (node in 0 until site.nodes) {
+            val answers = impossible.associateWith { site.submitRaw(50, it, node)?.status }
+            assertEquals(impossible.associateWith { 422 }, answers, "at controller $node")
+        }
+        assertEquals(404, site.answerAt(1, Request(Method.GET, "/submissions/job-50"))?.status)
+    }
+
+    @Test
+    fun `null and an empty list await nothing`() {
+        val site = calmSite(613)
+        // The users' part is played by hand, so that the field can be sent as it is here.
+        for ((number, awaits) in listOf(51 to "null", 52 to "[]")) {
+            site.network.tamperRequest = { from, request ->
+                if (from == "users" && request.method == Method.POST && "\"job-$number\"" in request.body.decodeToString()) {
+                    Request(
+                        request.method,
+                        request.path,
+                        (request.body.decodeToString().dropLast(1) + ",\"awaits\":$awaits}").encodeToByteArray(),
+                    )
+                } else {
+                    request
+                }
+            }
+            site.submit(SimSite.job(number, tasks = 1)) { 4.0 }
+            site.await(5.0) { site.user(number).acceptedWith == 201 }
+            site.awaitRunning(number)
+        }
+        site.assertKept(200.0)
+    }
+
+    @Test
+    fun `while the state service is out a name that is not known is no reason to refuse for good`() {
+        val site = calmSite(614)
+        site.state.outage = true
+        site.run(1.0)
+        for (node in 0 until site.nodes) {
+            assertEquals(503, site.submitRaw(50, "[\"job-999\"]", node)?.status)
+            assertEquals(503, site.submitRaw(50, "[\"job-1\"]", node)?.status)
+        }
+        site.state.outage = false
+        site.run(5.0)
+        assertEquals(422, site.submitRaw(50, "[\"job-999\"]")?.status)
+        val refused = site.leader()!!
+        site.refuseController(refused)
+        // Another may have accepted it just now: the refused one can't know.
+        site.run(1.0)
+        val other = (refused + 1) % site.nodes
+        assertEquals(422, site.submitRaw(50, "[\"job-999\"]", other)?.status)
+        assertTrue(site.submitRaw(50, "[\"job-999\"]", refused)?.status in listOf(null, 503))
+        site.assertKept(240.0)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [616, 617])
+    fun `a known job is answered with its state whatever the repeat awaits`(seed: Long) {
+        val site = calmSite(seed)
+        site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
+        site.submit(SimSite.job(3, tasks = 1)) { 3.0 }
+        site.await(30.0) { site.user(2).accepted && site.user(3).told == "done" }
+        val other = listOf("[]", "null", "[\"job-3\"]", "[\"job-999\"]", "[\"job-2\"]", "[\"job-3\",\"job-500\"]", "[5]", "\"job-1\"")
+        for (awaits in other) {
+            for ((number, status) in listOf(2 to "queued", 3 to "done")) {
+                val reply = site.submitRaw(number, awaits, node = site.sim.random.nextInt(site.nodes))
+                assertEquals(200, reply?.status, "job-$number with $awaits")
+                assertEquals(status, Json.read(reply!!.body)!!.text("status"), "job-$number with $awaits")
+            }
+        }
+        // The repeats have changed nothing.
+        site.assertNeverStarted(listOf(2))
+        site.repeat(site.user(2))
+        site.assertKept(240.0)
+        site.assertTold("done", listOf(2))
+    }
+
+    // ---- what a blocked job takes and gets ----
+
+    @ParameterizedTest
+    @ValueSource(longs = [621, 622])
+    fun `a blocked job has no machines rented for it`(seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
+        site.awaitRunning(1)
+        site.run(10.0)
+        val rented = site.machinesRented
+        site.submit(SimSite.job(2, tasks = 6, cpus = 8.0, etaS = 40.0), listOf(id(1))) { 40.0 }
+        site.run(45.0)
+        assertTrue(site.isRunning(1) && site.user(2).accepted)
+        site.assertTold("queued", listOf(2))
+        assertEquals(rented, site.machinesRented)
+        site.assertKept()
+        assertTrue(site.machinesRented > rented, "it would have needed no machine anyway")
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [626, 627])
+    fun `a blocked job takes nothing of its team's limit`(seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
+        site.awaitRunning(1)
+        // Older, urgent, and as large as the team's limit.
+        site.submit(SimSite.job(2, tasks = 30, priority = "urgent", etaS = 5.0), listOf(id(1))) { 5.0 }
+        site.run(2.0)
+        site.submit(SimSite.job(3, tasks = 29, etaS = 40.0)) { 40.0 }
+        site.await(40.0) { site.runningTasks().keys.count { it.job == id(3) } == 29 }
+        assertTrue(site.isRunning(1))
+        site.assertTold("queued", listOf(2))
+        site.assertKept(160.0)
+    }
+
+    /** When the first of a chain begins, in seconds after its submission, while there is more normal work than room. */
+    private fun chainBeginsAfterS(seed: Long, lastPriority: String): Double {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
+        repeat(12) { site.submit(SimSite.job(100 + it, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 } }
+        site.await(40.0) { site.runningTasks().size >= 16 }
+        site.submit(SimSite.job(1, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 }
+        site.submit(SimSite.job(2, tasks = 2, etaS = 5.0, dueS = 600.0, priority = lastPriority), listOf(id(1))) { 5.0 }
+        site.assertKept(300.0)
+        val first = site.user(1)
+        return (first.firstStartAt!! - first.askedAt) / 1000
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [631, 632])
+    fun `an urgent last job makes its chain go before other normal work`(seed: Long) {
+        val normal = chainBeginsAfterS(seed, "normal")
+        val urgent = chainBeginsAfterS(seed, "urgent")
+        assertTrue(urgent + 10.0 < normal, "after $urgent s where the last job is urgent, else after $normal s")
+    }
+
+    private companion object {
+        /** How soon a released job begins where there is room for it or a machine has to be rented. */
+        const val PROMPT_MS = 30_000.0
+    }
+}
