--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
@@ -49,6 +49,20 @@
 
     private fun SimSite.someWorkers() = workerNames().filter { sim.random.nextInt(3) == 0 }
 
+    private fun follower(number: Int) = JobId("job-${100 + number}")
+
+    /** Beside the usual load, jobs that await one or two of it, and mostly one of their own kind before them. */
+    private fun pipelines(site: SimSite) = repeat(FOLLOWERS) { number ->
+        site.after(number * 9.0 + 2.0) {
+            val random = site.sim.random
+            val earlier = (1..number * 2 + 1).shuffled(random).take(1 + random.nextInt(2)).map { JobId("job-$it") }
+            val previous = if (number % 3 > 0) listOf(follower(number - 1)) else emptyList()
+            val spec = SimSite.job(100 + number, tasks = 1 + random.nextInt(4), priority = if (number % 4 == 0) "urgent" else "normal")
+            val workS = 3.0 + random.nextDouble() * 10
+            site.submit(spec, earlier + previous) { workS }
+        }
+    }
+
     @ParameterizedTest
     @MethodSource("seeds")
     fun `no rule is broken whatever meets`(seed: Long) {
@@ -71,6 +85,7 @@
                 site.submit(spec) { work.getOrPut(it) { 3.0 + random.nextDouble() * 25 } }
             }
         }
+        pipelines(site)
         site.run(22.0)
         var met = 0
         repeat(4) {
@@ -79,9 +94,11 @@
             chosen.forEach { trouble -> site.after(random.nextDouble() * 3.0) { site.trouble(2.0 + random.nextDouble() * 20.0) } }
             repeat(3) { site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${1 + random.nextInt(24)}")) } }
             if (random.nextInt(3) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${500 + random.nextInt(5)}")) }
+            if (random.nextInt(2) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(follower(random.nextInt(FOLLOWERS))) }
             site.run(20.0)
         }
         assertTrue(met >= 8)
+        assertTrue(site.users.values.count { it.awaits.isNotEmpty() && it.accepted } >= FOLLOWERS / 2, "few jobs awaited others")
         site.run(6.0)
         site.network.copyOneIn = 0
         site.assertKept(240.0)
@@ -92,5 +109,6 @@
         fun seeds(): LongStream = LongStream.range(1000, 1000 + SEEDS)
 
         const val SEEDS = 60L
+        const val FOLLOWERS = 10
     }
 }
