--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -2,6 +2,8 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.Json
+import copperglade.protocol.Team
+import copperglade.protocol.TeamName
 import copperglade.protocol.text
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -368,6 +370,46 @@
         site.assertTold("done", listOf(2))
     }
 
+    @ParameterizedTest
+    @CsvSource("606,false", "607,false", "608,true", "609,true")
+    fun `a submission meets the cancellation or the end of the job that it names`(seed: Long, cancels: Boolean) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
+        val random = site.sim.random
+        var met = 0
+
+        fun follow(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
+            met++
+            site.submit(SimSite.job(200 + number, tasks = 1), listOf(id(100 + number))) { 3.0 }
+        }
+        if (!cancels) {
+            site.whenComplete = { user ->
+                if (user.awaits.isEmpty()) {
+                    follow(
+                        user.spec.id.text
+                            .removePrefix("job-1")
+                            .toInt(),
+                    )
+                }
+            }
+        }
+        repeat(24) { number ->
+            site.sim.after(number * 1000.0) {
+                site.submit(SimSite.job(100 + number, tasks = 1)) { if (cancels) 100.0 else 3.0 }
+            }
+            if (cancels) {
+                site.sim.after(number * 1000.0 + 15_000.0) {
+                    site.sim.after(random.nextInt(200).toDouble()) { site.cancel(id(100 + number)) }
+                    follow(number)
+                }
+            }
+        }
+        site.run(75.0)
+        assertEquals(24, met)
+        site.assertKept()
+        site.assertTold(if (cancels) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
+        if (cancels) site.assertNeverStarted((0 until 24).map { 200 + it })
+    }
+
     // ---- what may be named ----
 
     private fun calmSite(seed: Long): SimSite {
@@ -502,6 +544,28 @@
         site.assertKept(160.0)
     }
 
+    @ParameterizedTest
+    @ValueSource(longs = [628, 629])
+    fun `a blocked job has nothing recalled that another team has borrowed`(seed: Long) {
+        val other = Team(TeamName("others"), 0.0, 200.0, 0.0, 0.0)
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, guaranteedCpus = 16.0), otherTeam = other)
+        site.submit(SimSite.job(1, tasks = 1, etaS = 150.0)) { 150.0 }
+        site.awaitRunning(1)
+        site.submit(SimSite.job(3, tasks = 60, etaS = 110.0, team = other.name)) { 110.0 }
+        // All machines that there are, each with room for eight tasks.
+        site.await(60.0) { site.runningTasks().size == 4 * 8 }
+        site.submit(SimSite.job(2, tasks = 6, etaS = 5.0), listOf(id(1))) { 5.0 }
+        val borrowed = site.runningTasks().filterKeys { it.job == id(3) }
+        site.run(45.0)
+        assertTrue(site.isRunning(1) && site.user(2).accepted)
+        assertEquals(borrowed, site.runningTasks().filterKeys { it in borrowed.keys }, "some were recalled")
+        // The same work without anything before it does have some recalled.
+        site.submit(SimSite.job(4, tasks = 6, etaS = 5.0)) { 5.0 }
+        site.await(15.0) { site.isRunning(4) }
+        assertTrue(borrowed.keys.any { it !in site.runningTasks() && it.index !in site.user(3).doneTasks }, "there was room for it")
+        site.assertKept(300.0)
+    }
+
     /** When the first of a chain begins, in seconds after its submission, while there is more normal work than room. */
     private fun chainBeginsAfterS(seed: Long, lastPriority: String): Double {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
