--- /dev/null
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -0,0 +1,222 @@
+package copperglade.storage
+
+import copperglade.protocol.JobId
+import copperglade.protocol.JobSpec
+import copperglade.protocol.JobStatus
+import copperglade.protocol.Priority
+import copperglade.protocol.Stamp
+import copperglade.sim.SimSite
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+import java.util.Random
+
+/** The dependency graph against [PipelineModel], and what a plain model has no notion of: marks learned early, lost end records. */
+class DependencyGraphTest {
+    /** Jobs as a replica would hold them, and the records they are made from. */
+    private class Records(private val runS: Double = 0.0) {
+        val jobs = HashMap<JobId, Job>()
+        val ends = HashMap<JobId, EndRecord>()
+        var cursor = Stamp(1)
+        val graph = DependencyGraph(jobs, ends::get, { cursor }, { 0L }) { runS }
+
+        fun accept(job: PipelineJob) {
+            val spec = specOf(job)
+            jobs.getOrPut(job.id) { Job(job.id) }.live = Stamped(LiveRecord(spec, 0, cancelled = false, job.awaits.toList()), next())
+            graph.update(listOf(job.id))
+        }
+
+        fun complete(id: JobId) {
+            jobs.getValue(id).done.set(0)
+            graph.update(listOf(id))
+        }
+
+        fun mark(id: JobId, known: Boolean = true) {
+            val live = jobs[id]?.live ?: return
+            val stamp = if (known) next() else Stamp(cursor.number + 1)
+            jobs.getValue(id).live = Stamped(live.value.withCancelledMark(), stamp)
+            graph.update(listOf(id))
+        }
+
+        /** Catches up with everything written so far; the watch brings the mark of [id] again. */
+        fun catchUp(id: JobId) {
+            next()
+            graph.update(listOf(id))
+        }
+
+        /** The job's end record takes the place of its live one, as the leader's closing transaction has it. */
+        fun end(id: JobId) {
+            val job = jobs.remove(id) ?: return
+            ends[id] = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
+            graph.update(listOf(id))
+        }
+
+        /** All live records are read anew, into new objects. */
+        fun reload() {
+            val before = HashMap(jobs)
+            jobs.clear()
+            for ((id, old) in before) {
+                jobs[id] = Job(id).also {
+                    it.live = old.live
+                    it.done.or(old.done)
+                }
+            }
+            graph.rebuild()
+        }
+
+        private fun next(): Stamp {
+            cursor = Stamp(cursor.number + 1)
+            return cursor
+        }
+
+        private fun specOf(job: PipelineJob): JobSpec =
+            SimSite.job(
+                job.id.text
+                    .removePrefix("job-")
+                    .toInt(),
+                tasks = 1,
+                priority = job.priority.wire,
+                dueS = job.dueAtS,
+            )
+    }
+
+    private fun id(number: Int) = JobId("job-$number")
+
+    private fun job(number: Int, vararg awaits: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
+        PipelineJob(id(number), awaits.map(::id).toSet(), priority, dueAtS)
+
+    private fun statusByModel(model: PipelineModel, id: JobId): JobStatus = when {
+        model.isDone(id) -> JobStatus.DONE
+        model.isAborted(id) -> JobStatus.CANCELLED
+        else -> JobStatus.QUEUED
+    }
+
+    private fun compare(records: Records, model: PipelineModel) {
+        for (id in model.ids) {
+            val job = records.jobs[id]
+            val status = job?.status() ?: records.ends.getValue(id).status
+            assertEquals(statusByModel(model, id), status, "$id")
+            if (job == null) continue
+            assertEquals(model.isBlocked(id), job.blocked && !job.cancelled, "$id blocked")
+            model.effectivePriority(id)?.let { assertEquals(it, job.spec?.priority, "$id priority") }
+            if (!model.isDone(id) && !model.isAborted(id)) {
+                assertEquals(model.tightestDueS(id), job.deadline?.dueInS(1.0, 0), "$id due")
+            }
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
+    fun `states, priorities and deadlines are those of the plain model, whenever jobs end or records are read anew`(seed: Long) {
+        val random = Random(seed * 31)
+        val records = Records()
+        var ended = 0
+        RandomPipelines(Random(seed)).play(jobs = 24) { step, model ->
+            when (step) {
+                is RandomPipelines.Step.Submit -> records.accept(step.job)
+                is RandomPipelines.Step.Complete -> records.complete(step.id)
+                is RandomPipelines.Step.Cancel -> records.mark(step.id)
+            }
+            if (random.nextInt(4) == 0) {
+                val over = model.ids.filter { it in records.jobs && (model.isDone(it) || model.isAborted(it)) }
+                over.filter { random.nextInt(2) == 0 }.shuffled(random).forEach {
+                    records.end(it)
+                    ended++
+                }
+            }
+            if (random.nextInt(15) == 0) records.reload()
+            compare(records, model)
+        }
+        assertTrue(ended > 8, "few jobs ended: $ended")
+    }
+
+    @Test
+    fun `a mark learned ahead of the watch aborts nothing, for the last task may have been recorded before it`() {
+        val records = Records()
+        records.accept(job(1))
+        records.accept(job(2, 1))
+        records.mark(id(1), known = false)
+        assertFalse(records.jobs.getValue(id(2)).cancelled)
+        records.complete(id(1))
+        records.catchUp(id(1))
+        assertEquals(JobStatus.DONE, records.jobs.getValue(id(1)).status())
+        assertFalse(records.jobs.getValue(id(2)).blocked)
+        assertFalse(records.jobs.getValue(id(2)).cancelled)
+    }
+
+    @Test
+    fun `a mark that the watch has brought aborts what depends on it`() {
+        val records = Records()
+        records.accept(job(1))
+        records.accept(job(2, 1))
+        records.accept(job(3, 2))
+        records.mark(id(1), known = false)
+        records.catchUp(id(1))
+        assertEquals(listOf(true, true, true), (1..3).map { records.jobs.getValue(id(it)).cancelled })
+    }
+
+    @Test
+    fun `a job stays blocked until a dependency that ended before this process began is looked up`() {
+        val records = Records()
+        records.accept(job(2, 1))
+        records.accept(job(3, 2))
+        assertEquals(listOf(id(1)), records.graph.unknownDependencies())
+        assertTrue(records.graph.hasUnknownDependencies(id(3)))
+        assertTrue(records.jobs.getValue(id(2)).blocked)
+        records.ends[id(1)] = EndRecord(JobStatus.CANCELLED, 0)
+        records.graph.update(listOf(id(1)))
+        assertFalse(records.graph.hasUnknownDependencies(id(3)))
+        assertTrue(records.jobs.getValue(id(3)).cancelled)
+    }
+
+    @Test
+    fun `an end once known outlives its record and a new reading`() {
+        val records = Records()
+        records.accept(job(1))
+        records.accept(job(2, 1, 9))
+        records.complete(id(1))
+        records.end(id(1))
+        records.ends.clear()
+        records.reload()
+        assertEquals(listOf(id(9)), records.graph.unknownDependencies())
+    }
+
+    @Test
+    fun `what lies between a job and a deadline makes it due earlier`() {
+        val records = Records(runS = 10.0)
+        records.accept(job(1, dueAtS = 500.0))
+        records.accept(job(2, 1))
+        records.accept(job(3, 2, priority = Priority.HIGH, dueAtS = 100.0))
+        val jobs = (1..3).map { records.jobs.getValue(id(it)) }
+        assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInS(1.0, 0) })
+        assertEquals(listOf(Priority.HIGH, Priority.HIGH, Priority.HIGH), jobs.map { it.spec?.priority })
+        assertEquals(
+            Priority.NORMAL,
+            jobs[0]
+                .live
+                ?.value
+                ?.spec
+                ?.priority,
+        )
+        records.mark(id(3))
+        assertEquals(500.0, jobs[0].deadline?.dueInS(1.0, 0))
+        assertEquals(Priority.NORMAL, jobs[0].spec?.priority)
+    }
+
+    @Test
+    fun `an update touches only the jobs that changed and their neighbours`() {
+        val records = Records()
+        repeat(200) { records.accept(job(1000 + it)) }
+        records.accept(job(1))
+        records.accept(job(2, 1))
+        assertEquals(emptySet<JobId>(), records.graph.update(listOf(id(1000))))
+        records.jobs
+            .getValue(id(1))
+            .done
+            .set(0)
+        assertEquals(setOf(id(2)), records.graph.update(listOf(id(1))))
+    }
+}
