--- a/src/main/kotlin/copperglade/protocol/PlatformSettings.kt
+++ b/src/main/kotlin/copperglade/protocol/PlatformSettings.kt
@@ -38,7 +38,12 @@
         listOfNotNull(finishedWithinS[load], startedWithinS[load]?.let { it + runS }).minOrNull()
 }
 
-/** The settings file that the platform hands to every controller. Fields that we don't know are ignored. */
+/**
+ * The settings file that the platform hands to every controller. Fields that we don't know are ignored.
+ *
+ * @property stateRps this and the other limits of the state service ([stateWriteRps], [valueKb], [transactionWrites]) are
+ * the lower ones of those that hold now and those that are announced.
+ */
 class PlatformSettings(
     val member: MemberId,
     val zone: String,
@@ -89,10 +94,10 @@
                 reportS = workers.positive("report_s"),
                 leaseS = workers.positive("lease_s"),
                 cancelS = workers.positive("cancel_s"),
-                stateRps = state.positive("rps"),
-                stateWriteRps = state.positive("write_rps"),
-                valueKb = state.positive("value_kb"),
-                transactionWrites = state.positive("txn_ops").toInt(),
+                stateRps = state.limit("rps"),
+                stateWriteRps = state.limit("write_rps"),
+                valueKb = state.limit("value_kb"),
+                transactionWrites = state.wholeLimit("txn_ops"),
                 cloudRps = cloud.positive("rps"),
                 listLagS = cloud.amount("list_lag_s"),
                 socketLimit = deployment.section("resources").positive("fd_limit").toInt(),
@@ -147,6 +152,23 @@
             number(name)?.takeIf { it.isFinite() && it >= 0.0 }
                 ?: throw BadSetting("$name: missing or not a number of at least 0")
 
+        /**
+         * A limit of the state service: the lower of the present one and of the one that is announced in `next`. The
+         * moment of the change is not announced, so the lower one is kept from the start.
+         */
+        private fun JsonNode.limit(name: String): Double = minOf(positive(name), announcedLimit(name) ?: Double.MAX_VALUE)
+
+        private fun JsonNode.announcedLimit(name: String): Double? {
+            val next = present("next") ?: return null
+            if (!next.isObject) throw BadSetting("state.next: not an object")
+            if (next.present(name) == null) return null
+            return next.number(name)?.takeIf { it.isFinite() && it > 0.0 }
+                ?: throw BadSetting("state.next.$name: must be a number larger than 0")
+        }
+
+        private fun JsonNode.wholeLimit(name: String): Int =
+            limit(name).toInt().takeIf { it >= 1 } ?: throw BadSetting("$name: must be at least 1")
+
         private fun JsonNode.positive(name: String): Double =
             amount(name).takeIf { it > 0.0 } ?: throw BadSetting("$name: must be larger than 0")
     }
--- /dev/null
+++ b/src/test/kotlin/copperglade/protocol/StateLimitSettingsTest.kt
@@ -0,0 +1,49 @@
+package copperglade.protocol
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
+
+class StateLimitSettingsTest {
+    private fun settings(next: String) = PlatformSettings.parse(
+        """{"member":"a","location":"z","client_listen":"10.0.0.1:1","cluster_listen":"10.0.0.1:2","known":[],
+        "outside":{"cloud":"10.0.0.2:1","state":"10.0.0.2:2"},"deployment":{"zones":["z"],"teams":[],
+        "workers":{"report_s":1,"lease_s":5,"cancel_s":20},
+        "state":{"rps":100,"write_rps":50,"value_kb":4,"txn_ops":12$next},
+        "cloud":{"rps":1,"list_lag_s":1},"resources":{"fd_limit":100}}}""".toByteArray(),
+    )
+
+    private fun limits(next: String) = with(settings(next)) { listOf(stateRps, stateWriteRps, valueKb, transactionWrites) }
+
+    @Test
+    fun `the lower one of present and announced limits holds, field by field`() {
+        assertEquals(listOf(80.0, 25.5, 2.0, 4), limits(""","next":{"rps":80,"write_rps":25.5,"value_kb":2,"txn_ops":4}"""))
+        assertEquals(listOf(100.0, 50.0, 2.0, 12), limits(""","next":{"rps":200,"value_kb":2,"txn_ops":null,"other":"x"}"""))
+    }
+
+    @Test
+    fun `without announced limits the present ones hold`() {
+        val present = listOf(100.0, 50.0, 4.0, 12)
+        assertEquals(present, limits(""))
+        assertEquals(present, limits(""","next":null"""))
+        assertEquals(present, limits(""","next":{}"""))
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+        "'[]', state.next",
+        "'7', state.next",
+        "'{\"rps\":0}', state.next.rps",
+        "'{\"write_rps\":-1}', state.next.write_rps",
+        "'{\"value_kb\":\"2\"}', state.next.value_kb",
+        "'{\"txn_ops\":false}', state.next.txn_ops",
+        "'{\"txn_ops\":0.5}', txn_ops",
+    )
+    fun `bad announced limits are named`(next: String, field: String) {
+        val fault = assertThrows(BadSetting::class.java) { settings(""","next":$next""") }
+        assertTrue(field in fault.message!!, fault.message)
+    }
+}
