--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -107,6 +107,7 @@
     private companion object {
         const val BYTES_OF_KB = 1024
         const val CONDITIONS_A_WRITE = 4
+        const val BYTES_OF_KB = 1024
     }
 }
 
@@ -129,6 +130,8 @@
     private val demand = RecentRate(DEMAND_S)
     private var inFlight = 0
     private var draining = false
+    private var malformed = 0
+    private var malformedReportedAt = Moment.NEVER
 
     /** When the service last answered as it should. */
     var lastGood: Moment = Moment.NEVER
@@ -226,8 +229,12 @@
         )
         BAD_REQUEST -> {
             val problem = Json.read(reply.body)?.text("error").orEmpty()
-            if ("lease" !in problem) log.error("the state service calls a transaction malformed: {}", problem)
-            TransactionOutcome.NoSuchPermit
+            if (problem.contains(NO_SUCH_LEASE, ignoreCase = true)) {
+                TransactionOutcome.NoSuchPermit
+            } else {
+                reportMalformed(problem)
+                TransactionOutcome.Refused
+            }
         }
         TOO_MANY, UNAVAILABLE -> TransactionOutcome.Refused
         else -> {
@@ -236,6 +243,14 @@
         }
     }
 
+    /** Transactions that don't fit the service's limits are tried again and again: one line now and then tells of them. */
+    private fun reportMalformed(problem: String) {
+        malformed++
+        if (loop.now() < malformedReportedAt + MALFORMED_REPORT_PACE) return
+        log.error("the state service calls a transaction malformed ({} so far): {}", malformed, problem)
+        malformedReportedAt = loop.now()
+    }
+
     /** Whether the budget has room for a reading that nothing else waits for. */
     fun mayRead(): Boolean = requests.available(loop.now()) >= 1
 
@@ -373,6 +388,8 @@
         private const val CONFLICT = 409
         private const val GONE = 410
         private const val TOO_MANY = 429
+        private const val NO_SUCH_LEASE = "no such lease"
+        private val MALFORMED_REPORT_PACE = 10.seconds
         private const val UNAVAILABLE = 503
         private const val BURST_S = 0.8
         private const val DEMAND_S = 2.0
--- a/src/test/kotlin/copperglade/standin/StandInState.kt
+++ b/src/test/kotlin/copperglade/standin/StandInState.kt
@@ -7,6 +7,7 @@
 import copperglade.protocol.long
 import copperglade.protocol.obj
 import copperglade.protocol.text
+import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -16,6 +17,23 @@
 import java.util.TreeMap
 import kotlin.time.Duration.Companion.milliseconds
 
+/** What a transaction may be; [changesPerS] has a burst of one second's worth. */
+class ServiceLimits(val valueBytes: Int, val transactionWrites: Int, val changesPerS: Double)
+
+/** Transactions that were refused because of [ServiceLimits], by reason. */
+class LimitRefusals {
+    var largeValues = 0
+    var manyWrites = 0
+    var manyConditions = 0
+    var overRate = 0
+
+    /** Those that the sender could have known beforehand. */
+    val malformed get() = largeValues + manyWrites + manyConditions
+
+    override fun toString() =
+        "large values: $largeValues, many writes: $manyWrites, many conditions: $manyConditions, over the rate: $overRate"
+}
+
 /** The state service, written from the protocol: plain and slow. */
 class StandInState(private val loop: EventLoop) : RequestHandler {
     private class Value(val data: JsonNode, val stamp: Long, val permit: Long?)
@@ -34,6 +52,19 @@
     private var permits = 0L
     private var outageBegan: Moment? = null
 
+    /** Null: there are none. May be changed at any time; what is stored stays. */
+    var limits: ServiceLimits? = null
+        set(value) {
+            field = value
+            changeBudget = value?.let { TokenBucket(it.changesPerS, CHANGE_BURST_S, loop.now()) }
+        }
+    private var changeBudget: TokenBucket? = null
+    val limitRefusals = LimitRefusals()
+
+    /** Transactions that were applied since the start. */
+    var applied = 0
+        private set
+
     /** Requests that met an outage. */
     var refusedInOutage = 0
         private set
@@ -166,6 +197,7 @@
     private fun multi(body: JsonNode?): Reply {
         val writes = body?.get("writes")?.toList().orEmpty()
         val conditions = body?.get("if")?.toList().orEmpty()
+        overLimits(writes, conditions)?.let { return it }
         if (writes.any { write -> write.long("permit")?.let { it !in holds } == true }) {
             return Reply(400, Json.write { obj { writeStringField("error", "no such lease") } })
         }
@@ -181,6 +213,7 @@
                 },
             )
         }
+        applied++
         if (writes.isNotEmpty()) ledger++
         for (write in writes) {
             val dropped = write.text("drop")
@@ -195,6 +228,33 @@
         return Reply(200, Json.write { obj { writeNumberField("ledger", ledger) } })
     }
 
+    /** The refusal of a transaction that is beyond the limits, counted; null where it is within them. */
+    private fun overLimits(writes: List<JsonNode>, conditions: List<JsonNode>): Reply? {
+        val limits = limits ?: return null
+        val budget = changeBudget ?: return null
+        val largest = writes.maxOfOrNull {
+            it
+                .get("data")
+                ?.toString()
+                ?.toByteArray()
+                ?.size ?: 0
+        } ?: 0
+        when {
+            largest > limits.valueBytes -> limitRefusals.largeValues++
+            writes.size > limits.transactionWrites -> limitRefusals.manyWrites++
+            conditions.size > limits.transactionWrites * CONDITIONS_A_WRITE -> limitRefusals.manyConditions++
+            budget.available(loop.now()) < writes.size -> {
+                limitRefusals.overRate++
+                return Reply(429)
+            }
+            else -> {
+                budget.take(writes.size, loop.now())
+                return null
+            }
+        }
+        return Reply(400, Json.write { obj { writeStringField("error", "beyond the limits") } })
+    }
+
     private fun watch(query: Map<String, String>, responder: Responder) {
         val from = query["from"]!!.toLong()
         if (events.isNotEmpty() && events.first().stamp > from + 1 &&
@@ -244,6 +304,8 @@
     private companion object {
         const val KEPT = 10_000
         const val PAGE = 1000
+        const val CONDITIONS_A_WRITE = 4
+        const val CHANGE_BURST_S = 1.0
         val TICK = 20.milliseconds
     }
 }
--- /dev/null
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -0,0 +1,55 @@
+package copperglade.storage
+
+import copperglade.protocol.Endpoint
+import copperglade.protocol.Permit
+import copperglade.protocol.Stamp
+import copperglade.sim.SimLoop
+import copperglade.sim.SimNetwork
+import copperglade.sim.Simulation
+import copperglade.standin.ServiceLimits
+import copperglade.standin.StandInState
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertInstanceOf
+import org.junit.jupiter.api.Test
+
+/** What becomes of transactions that the service's limits don't allow. */
+class StateClientTest {
+    private val sim = Simulation(1)
+    private val network = SimNetwork(sim)
+    private val loop = SimLoop(sim)
+    private val service = StandInState(loop).also { network.listen(AT, "state", loop, it) }
+    private val client = StateClient(loop, network.callerOf("writer", loop), AT, StateLimits(1e6, 1e6, 4.0, 12))
+
+    private fun outcomeOf(conditions: Int, writes: List<Write>): TransactionOutcome? {
+        var outcome: TransactionOutcome? = null
+        val transaction = Transaction(List(conditions) { Condition("none/$it", Stamp.ABSENT) }, writes)
+        client.commit(Urgency.USER, transaction) { outcome = it }
+        sim.run(500.0)
+        return outcome
+    }
+
+    private fun set(number: Int, bytes: Int = 9) = Write.Set("key/$number", "1".repeat(bytes).toByteArray())
+
+    @Test
+    fun `what the limits don't allow is refused, and surely not carried out`() {
+        service.limits = ServiceLimits(valueBytes = 20, transactionWrites = 2, changesPerS = 100.0)
+        assertInstanceOf(TransactionOutcome.Applied::class.java, outcomeOf(8, listOf(set(1, bytes = 20), set(2))))
+        assertEquals(TransactionOutcome.Refused, outcomeOf(0, listOf(set(3, bytes = 21))))
+        assertEquals(TransactionOutcome.Refused, outcomeOf(0, listOf(set(3), set(4), set(5))))
+        assertEquals(TransactionOutcome.Refused, outcomeOf(9, listOf(set(3))))
+        service.limits = ServiceLimits(valueBytes = 20, transactionWrites = 2, changesPerS = 1.0)
+        assertEquals(TransactionOutcome.Refused, outcomeOf(0, listOf(set(3), set(4))))
+        assertEquals(listOf("key/1", "key/2"), service.keys("key/"))
+        with(service.limitRefusals) { assertEquals(listOf(1, 1, 1, 1), listOf(largeValues, manyWrites, manyConditions, overRate)) }
+    }
+
+    @Test
+    fun `a permit that is gone is told apart from that`() {
+        val write = Write.Set("key/1", "1".toByteArray(), Permit(7))
+        assertEquals(TransactionOutcome.NoSuchPermit, outcomeOf(0, listOf(write)))
+    }
+
+    private companion object {
+        val AT = Endpoint("10.2.0.1", 2379)
+    }
+}
