--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -38,6 +38,9 @@
     val places get() = choices.keys + recalls.keys
 }
 
+/** A page as it is to be written, and those of the choices that went into it. */
+private class FittingPage(val choices: List<Choice>, val bytes: ByteArray)
+
 /** Writes the lead's decisions down, and keeps count of those whose outcome is not known yet. */
 class AssignmentWriter(
     private val loop: EventLoop,
@@ -133,11 +136,13 @@
 
     fun write(decisions: Decisions) {
         val changes = LinkedHashMap<JobPage, ByteArray>()
+        val chosen = HashMap<JobPage, List<Choice>>()
         for (place in decisions.places) {
             val choices = decisions.choices[place].orEmpty()
             if (choices.any { it.room.block !in replica.blocks }) continue
-            val job = replica.jobs.getValue(place.job)
-            changes[place] = RecordCodec.encode(pageWith(job, place.page, choices, decisions.recalls[place]))
+            val fitting = fittingPage(place, choices, decisions.recalls[place]) ?: continue
+            changes[place] = fitting.bytes
+            chosen[place] = fitting.choices
         }
         // No more than can be written now: what must wait is decided later, with more room at a time. Otherwise a
         // queue of decisions about lesser work would hold up the urgent ones behind it.
@@ -147,13 +152,30 @@
             if (!urgent) {
                 // However little there is, some of it is theirs.
                 if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + LONGEST_WITHOUT) {
-                    store.missed(sheet.writes.size)
+                    store.missed(1)
                     continue
                 }
                 unhurriedWrittenAt = loop.now()
             }
-            affordable -= sheet.writes.size
-            commit(sheet, sheet.places.associateWith { decisions.choices[it].orEmpty() })
+            affordable--
+            commit(sheet, sheet.places.associateWith { chosen.getValue(it) })
+        }
+    }
+
+    /**
+     * The page with as many of the [choices] as a value of the service can hold; the other tasks are assigned once some
+     * of the page's are over. Null where it could not hold even the page as it stands, or nothing would change.
+     */
+    private fun fittingPage(place: JobPage, choices: List<Choice>, recalls: BitSet?): FittingPage? {
+        val job = replica.jobs.getValue(place.job)
+        val packer = packers.getValue(job.spec?.kind ?: return null)
+        var kept = choices
+        while (true) {
+            val bytes = RecordCodec.encode(pageWith(job, place.page, kept, recalls))
+            if (packer.fitsValue(place, bytes)) return FittingPage(kept, bytes)
+            if (kept.isEmpty()) return null
+            kept = kept.take(kept.size / 2)
+            if (kept.isEmpty() && recalls == null) return null
         }
     }
 
@@ -165,13 +187,13 @@
     private fun commit(sheet: SheetWrite, choices: Map<JobPage, List<Choice>>) {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
-        conditions += sheet.conditions
+        conditions += sheet.condition
         for ((place, chosen) in choices) {
             conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveStamp())
             chosen.mapTo(conditions) { Condition(Keys.block(it.room.block), replica.blocks.getValue(it.room.block).stamp) }
         }
         if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
-        val transaction = Transaction(conditions.toList(), sheet.writes)
+        val transaction = Transaction(conditions.toList(), listOf(sheet.write))
         val counts = HashMap<JobId, Int>()
         choices.forEach { (place, chosen) -> counts.merge(place.job, chosen.size, Int::plus) }
         counts.forEach { (job, count) -> pending.merge(job, count, Int::plus) }
@@ -200,16 +222,22 @@
         }
     }
 
-    /** Too many jobs for one transaction: the first half of them now, the others in a later round. */
+    /** Too many jobs or blocks for one transaction: the first half of them now, the others in a later round. */
     private fun commitPart(choices: Map<JobPage, List<Choice>>) {
-        if (choices.size < 2) return log.warn("assignments of {} need too many conditions", choices.keys)
-        val part = choices.entries.take(choices.size / 2).associate { it.key to it.value }
+        val part = firstHalf(choices)
+        if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
         val changes = part.mapValues { (place, chosen) ->
             RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, recalls = null))
         }
         pack(changes).forEach { sheet -> commit(sheet, sheet.places.associateWith { part.getValue(it) }) }
     }
 
+    /** Half of the pages, or half of the tasks where there is one page. */
+    private fun firstHalf(choices: Map<JobPage, List<Choice>>): Map<JobPage, List<Choice>> {
+        if (choices.size > 1) return choices.entries.take(choices.size / 2).associate { it.key to it.value }
+        return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
+    }
+
     private fun settled(sheet: SheetWrite, counts: Map<JobId, Int>) {
         sheet.packer.end(sheet)
         counts.forEach { (job, count) -> pending.computeIfPresent(job) { _, sum -> (sum - count).takeIf { it > 0 } } }
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -46,8 +46,8 @@
     /** Pages with tasks given back, which somebody else could run. */
     private val hasty = HashSet<JobPage>()
 
-    /** The block, the sheet and one that has moved, and a job each. */
-    private val mostPages = store.limits.transactionConditions - 3
+    /** A transaction's conditions are the block, the sheet and a job for each page. */
+    private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
 
     fun note(run: Run) {
         val place = JobPage(run.task.job, run.task.index / Keys.PAGE_TASKS)
@@ -88,10 +88,10 @@
     private fun write(sheet: SheetWrite) {
         val conditions = LinkedHashSet<Condition>()
         conditions += ownership()
-        conditions += sheet.conditions
+        conditions += sheet.condition
         // The live record changes with a cancellation, after which nothing may become done any more.
         sheet.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveStamp()) }
-        val transaction = Transaction(conditions.toList(), sheet.writes)
+        val transaction = Transaction(conditions.toList(), listOf(sheet.write))
         packer.begin(sheet)
         val since = sheet.places.associateWith { dirtySince.remove(it) ?: loop.now() }
         store.commit(Urgency.OUTCOME, transaction) { outcome ->
@@ -156,6 +156,7 @@
     }
 
     private companion object {
+        const val CONDITIONS_BESIDE = 2
         val SHORTEST_PAUSE = 60.milliseconds
         val LONGER_PAUSE = 350.milliseconds
         val WIDEST_PAUSE = 1800.milliseconds
--- a/src/main/kotlin/copperglade/storage/SheetPacker.kt
+++ b/src/main/kotlin/copperglade/storage/SheetPacker.kt
@@ -1,17 +1,26 @@
 package copperglade.storage
 
 import copperglade.protocol.Stamp
+import org.slf4j.LoggerFactory
 
-/** One transaction's worth of packed records, and the pages that it changes. */
-class SheetWrite(val packer: SheetPacker, val conditions: List<Condition>, val writes: List<Write>, val places: Set<JobPage>)
+/** The write of one packed record, its condition, and the pages that it changes. */
+class SheetWrite(val packer: SheetPacker, val condition: Condition, val write: Write.Set, val places: Set<JobPage>)
 
 /**
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
  * for each page, its outcome in each block and a deletion for each of them, the grown print shop's budget was spent on a
  * quarter of its jobs.
  *
- * A page stays in the sheet where it is, unless that has become too full; then it moves, both sheets changing in one
- * transaction. What is left of jobs that are over goes with the next rewrite: nothing has to be deleted.
+ * A changed page stays in its sheet as long as that has room. Otherwise it is written to another sheet, like a page that
+ * is in none yet, and its former sheet is left alone: what that still says of the page has a lower version, so every
+ * reader takes the page from the new sheet, in whatever order it meets the two. A page may thus stand in two sheets, but
+ * never in none: a sheet is rewritten without a page only once the page is known to stand in another. What is left of
+ * moved pages, and of jobs that are over, goes with the next rewrite: nothing has to be deleted, and no move needs more
+ * than one write.
+ *
+ * A limit that was lowered leaves sheets behind that are larger than a value may be now. They stay readable, and are not
+ * written as long as what still counts of them is above the limit: each of their pages moves when it changes. So a sheet
+ * is written only if it fits both before and after the change, and [same] can always write it as it was.
  *
  * @param prefix of the sheets' keys; all of them are written by one writer at a time.
  * @param packed a page as the replica has it.
@@ -24,7 +33,8 @@
     private val packed: (Job, Int) -> Packed<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
-    private val fullBytes = minOf(limits.valueKb * BYTES_OF_KB * FULL, LARGEST_BYTES).toInt()
+    private val valueBytes = limits.valueBytes
+    private val fullBytes = minOf(valueBytes * FULL, LARGEST_BYTES).toInt()
     private val busy = HashSet<String>()
 
     /**
@@ -33,10 +43,15 @@
      */
     private val busyPages = HashSet<JobPage>()
 
+    /** Pages that were logged as too large. */
+    private val tooLarge = HashSet<JobPage>()
+
+    /** A sheet as it would be written: what counts of its present content, with changes. */
     private inner class Draft(val key: String) {
-        val parts = LinkedHashMap<JobPage, ByteArray>()
+        private val parts = LinkedHashMap<JobPage, ByteArray>()
         val changed = HashSet<JobPage>()
         var bytes = BYTES_AROUND
+            private set
 
         init {
             for (place in replica.sheets[key]?.places.orEmpty()) {
@@ -45,78 +60,88 @@
             }
         }
 
-        fun put(place: JobPage, part: ByteArray) {
-            remove(place)
-            parts[place] = part
-            bytes += sizeOf(place, part.size)
+        /** Whether the sheet may be written at all: its present content fits into a value. */
+        private val writable = bytes <= valueBytes
+
+        /** Whether the sheet, where [place] stands already, still fits into a value with [part] in its stead. */
+        fun holds(place: JobPage, part: ByteArray): Boolean {
+            val after = bytes - (parts[place]?.let { sizeOf(place, it.size) } ?: 0) + sizeOf(place, part.size)
+            val alone = parts.keys.all { it == place }
+            return writable && after <= if (alone) valueBytes else fullBytes
         }
 
-        fun remove(place: JobPage) {
-            parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
+        fun change(place: JobPage, part: ByteArray) {
+            put(place, part)
+            changed += place
         }
 
-        fun condition() = Condition(key, replica.sheets[key]?.stamp ?: Stamp.ABSENT)
+        private fun put(place: JobPage, part: ByteArray) {
+            parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
+            parts[place] = part
+            bytes += sizeOf(place, part.size)
+        }
 
-        fun write() = Write.Set(key, RecordCodec.encodeSheet(parts))
+        fun write(): SheetWrite {
+            val condition = Condition(key, replica.sheets[key]?.stamp ?: Stamp.ABSENT)
+            return SheetWrite(this@SheetPacker, condition, Write.Set(key, RecordCodec.encodeSheet(parts)), changed)
+        }
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
     fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.sheet !in busy
 
-    /** The writes that bring about [changes]; those of sheets under way are left out. In order of the changes. */
+    /** Whether a value can hold [part] at all. */
+    fun fitsValue(place: JobPage, part: ByteArray): Boolean = BYTES_AROUND + sizeOf(place, part.size) <= valueBytes
+
+    /**
+     * The writes that bring about [changes], each with a higher version than the page has now; those of sheets under way
+     * are left out, and those that no value can hold. In order of the changes.
+     */
     fun pack(changes: Map<JobPage, ByteArray>): List<SheetWrite> {
         val drafts = LinkedHashMap<String, Draft>()
-        val moved = HashMap<String, MutableList<Draft>>()
         for ((place, part) in changes) {
             val home = replica.jobs[place.job]?.let { packed(it, place.page)?.sheet }
             if (place in busyPages || (home != null && home in busy)) continue
-            val draft = when (home) {
-                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: roomySheet(place, part, drafts)
-                else -> drafts[home] ?: Draft(home)
+            if (!fitsValue(place, part)) {
+                if (tooLarge.add(place)) log.warn("page {} of {} bytes is too large for a value", place, part.size)
+                continue
             }
-            drafts[draft.key] = draft
-            draft.put(place, part)
-            draft.changed += place
-            if (draft.bytes <= fullBytes || draft.parts.size == 1) continue
-            // It has outgrown its sheet: a new one for it alone.
-            draft.remove(place)
-            val alone = emptyDraft(drafts.keys + moved.values.flatten().map { it.key })
-            alone.put(place, part)
-            moved.getOrPut(draft.key) { ArrayList() } += alone
-        }
-        return drafts.values.map { draft ->
-            val all = listOf(draft) + moved[draft.key].orEmpty()
-            SheetWrite(this, all.map { it.condition() }, all.map { it.write() }, draft.changed)
+            val present = home?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.holds(place, part) }
+            val draft = present ?: draftWithRoom(place, part, drafts)
+            draft.change(place, part)
         }
+        return drafts.values.filter { it.changed.isNotEmpty() }.map { it.write() }
     }
 
-    /** Writes the first of [write]'s sheets as it is, only to change its stamp: a late copy of [write] dies of that. */
-    fun same(write: SheetWrite): SheetWrite {
-        val draft = Draft(write.writes.first().key)
-        return SheetWrite(this, listOf(draft.condition()), listOf(draft.write()), emptySet())
-    }
-
-    private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+    /**
+     * Writes the sheet of [write] as it is, only to change its stamp: a late copy of [write] dies of that. Its present
+     * content fits into a value, as it did when [write] was made: nobody else has written it since.
+     */
+    fun same(write: SheetWrite): SheetWrite = Draft(write.write.key).write()
 
-    private fun roomySheet(place: JobPage, part: ByteArray, taken: Map<String, Draft>): Draft {
+    private fun draftWithRoom(place: JobPage, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
+        drafts.values.firstOrNull { fits(it.bytes, place, part) }?.let { return it }
         val known = replica.sheets.keys.firstOrNull {
-            it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), place, part)
+            it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), place, part)
         }
-        return if (known != null) Draft(known) else emptyDraft(taken.keys)
+        val key = known ?: unusedKey(drafts.keys)
+        return Draft(key).also { drafts[key] = it }
     }
 
-    private fun emptyDraft(taken: Collection<String>): Draft {
+    private fun unusedKey(taken: Collection<String>): String {
         var number = 0
         while ("$prefix$number".let { it in replica.sheets || it in busy || it in taken }) number++
-        return Draft("$prefix$number")
+        return "$prefix$number"
     }
 
-    /** What of a sheet still matters. */
+    private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+
+    /** What of a sheet still counts. */
     private fun bytesOf(key: String): Int {
         var sum = BYTES_AROUND
         for (place in replica.sheets[key]?.places.orEmpty()) {
             val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-            packed(job, place.page)?.let { sum += sizeOf(place, it.bytes) }
+            packed(job, place.page)?.takeIf { it.sheet == key }?.let { sum += sizeOf(place, it.bytes) }
         }
         return sum
     }
@@ -124,24 +149,23 @@
     private fun sizeOf(place: JobPage, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
 
     fun begin(write: SheetWrite) {
-        write.writes.forEach { busy += it.key }
+        busy += write.write.key
         busyPages += write.places
     }
 
-    /** No sheet of [write] is on its way any more. */
+    /** [write] is not on its way any more. */
     fun end(write: SheetWrite) {
-        write.writes.forEach { busy -= it.key }
+        busy -= write.write.key
         busyPages -= write.places
     }
 
     fun endAll() {
         busy.clear()
         busyPages.clear()
+        tooLarge.clear()
     }
 
     private companion object {
-        const val BYTES_OF_KB = 1024
-
         /** Sheets are read and written whole: much larger ones would cost more processor than they save writes. */
         const val LARGEST_BYTES = 8 * 1024.0
         const val FULL = 0.9
@@ -149,5 +173,6 @@
         /** Pages grow after they were placed. */
         const val ROOM_TO_GROW = 0.75
         const val BYTES_AROUND = 16
+        val log = LoggerFactory.getLogger("sheets")
     }
 }
--- a/src/main/kotlin/copperglade/storage/UnsettledSheets.kt
+++ b/src/main/kotlin/copperglade/storage/UnsettledSheets.kt
@@ -5,17 +5,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Sees writes of unknown outcome to their end. Such a write may be applied at any later time, as long as its sheets are
- * what they were: after newer ones too, if those went to other sheets. One page then stood in two sheets, and whoever
+ * Sees writes of unknown outcome to their end. Such a write may be applied at any later time, as long as its sheet is
+ * what it was: after newer ones too, if those went to other sheets. One page then stood in two sheets, and whoever
  * loaded them took the older for the page, so that tasks told as done were to be run again. No reading shows what is still
- * on its way. So the sheets stay busy until they have changed, by that write or by being written anew as they are.
+ * on its way. So its sheet stays busy until it has changed, by that write or by being written anew as it is.
  */
 class UnsettledSheets(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val urgency: Urgency,
-    /** What makes the sheets ours to write. */
+    /** What makes the sheet ours to write. */
     private val condition: () -> Condition,
 ) {
     /** Calls [settled] once no copy of [sheet] can be applied any more, unless [ours] has come to be false before. */
@@ -24,9 +24,9 @@
         replica.fresh { known ->
             if (!ours()) return@fresh
             if (!known) return@fresh again()
-            if (sheet.conditions.any(::changed)) return@fresh settled()
+            if (changed(sheet.condition)) return@fresh settled()
             val same = sheet.packer.same(sheet)
-            val transaction = Transaction(listOf(condition()) + same.conditions, same.writes)
+            val transaction = Transaction(listOf(condition(), same.condition), listOf(same.write))
             store.commit(urgency, transaction) { outcome ->
                 if (!ours()) return@commit
                 if (outcome is TransactionOutcome.Applied) {
--- a/src/test/kotlin/copperglade/storage/SheetPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/SheetPackerTest.kt
@@ -10,11 +10,13 @@
 import copperglade.sim.SimNetwork
 import copperglade.sim.SimSite
 import copperglade.sim.Simulation
+import copperglade.standin.ServiceLimits
 import copperglade.standin.StandInState
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
@@ -22,21 +24,20 @@
 /** Sheets against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
 class SheetPackerTest {
     /** With [lateOneIn], one write in so many has no answer and is applied seconds later; [settles]: the writer sees to its end. */
-    private class Bench(seed: Long, private val lateOneIn: Int = 0, private val settles: Boolean = true) {
+    private class Bench(
+        seed: Long,
+        private val lateOneIn: Int = 0,
+        private val settles: Boolean = true,
+        private var limits: StateLimits = StateLimits(1e6, 1e6, 4.0, 12),
+        private val jobs: Int = JOBS,
+    ) {
         val sim = Simulation(seed)
         private val network = SimNetwork(sim)
         private val loop = SimLoop(sim)
-        private val service = StandInState(loop)
-        private val limits = StateLimits(1e6, 1e6, 4.0, 12)
+        val service = StandInState(loop)
         private val store = StateClient(loop, network.callerOf("writer", loop), AT, limits)
         val replica = Replica(loop, store).also { it.start() }
-        private val packer = SheetPacker(
-            replica,
-            limits,
-            Keys.sheetsOf(JobKind.ARRAY),
-            { job, page -> job.pages[page] },
-            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
-        )
+        private var packer = packer()
         private val unsettled = UnsettledSheets(loop, store, replica, Urgency.ASSIGNMENT) { Condition("cg/now/none", Stamp.ABSENT) }
         val model = HashMap<JobPage, String>()
         val late get() = network.lateWrites
@@ -44,33 +45,71 @@
         init {
             network.listen(AT, "state", loop, service)
             sim.run(500.0)
-            repeat(JOBS) { put(Keys.live(JobId("job-$it")), RecordCodec.encode(LiveRecord(SimSite.job(it, tasks = 300), 0, false))) }
+            repeat(jobs) { put(Keys.live(JobId("job-$it")), RecordCodec.encode(LiveRecord(SimSite.job(it, tasks = 300), 0, false))) }
             sim.run(500.0)
             network.lateWriteOneIn = lateOneIn
         }
 
+        private fun packer() = SheetPacker(
+            replica,
+            limits,
+            Keys.sheetsOf(JobKind.ARRAY),
+            { job, page -> job.pages[page] },
+            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+        )
+
+        /** The writer is replaced by one that is told lower limits, and the service enforces them from now on. */
+        fun lower(valueKb: Double, transactionWrites: Int) {
+            limits = StateLimits(1e6, 1e6, valueKb, transactionWrites)
+            service.limits = ServiceLimits(limits.valueBytes, transactionWrites, 1e6)
+            packer = packer()
+        }
+
+        fun sheetSizes(): List<Int> = service.keys(Keys.sheetsOf(JobKind.ARRAY)).map { service.text(it)!!.toByteArray().size }
+
         private fun put(key: String, value: ByteArray) {
             val transaction = Transaction(emptyList(), listOf(Write.Set(key, value)))
             store.commit(Urgency.HOLD, transaction) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.stamp) }
         }
 
-        fun step() {
-            val changes = LinkedHashMap<JobPage, ByteArray>()
-            val pages = HashMap<JobPage, AssignmentPage>()
-            repeat(1 + sim.random.nextInt(6)) {
-                val place = JobPage(JobId("job-${sim.random.nextInt(JOBS)}"), sim.random.nextInt(2))
-                val job = replica.jobs.getValue(place.job)
-                if (!packer.ready(job, place.page)) return@repeat
-                val present = job.pages[place.page]?.value ?: AssignmentPage.EMPTY
-                val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
-                val group = AssignmentGroup(BlockName("zone.${sim.random.nextInt(9)}"), Baton(7), present.lastGeneration + 1, tasks)
-                val page = AssignmentPage(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
-                pages[place] = page
-                changes[place] = RecordCodec.encode(page)
-            }
-            for (sheet in packer.pack(changes)) {
-                sheet.writes.forEach { assertTrue((it as Write.Set).value.size <= 4096) }
+        private val former = FormerSheetPacker(
+            replica,
+            StateLimits(1e6, 1e6, 8.0, 12),
+            Keys.sheetsOf(JobKind.ARRAY),
+            { job, page -> job.pages[page] },
+            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+        )
+
+        /** A round of the former version; nothing of another writer may be under way. */
+        fun formerStep() {
+            service.limits = null
+            val pages = changedPages { job, page -> former.ready(job, page) }
+            for (sheet in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
                 val transaction = Transaction(sheet.conditions, sheet.writes)
+                former.begin(sheet)
+                store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
+                    if (outcome is TransactionOutcome.Applied) {
+                        sheet.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        replica.applied(transaction, outcome.stamp)
+                    }
+                    loop.after(sim.random.nextInt(40).milliseconds) { former.end(sheet) }
+                }
+            }
+            sim.run(sim.random.nextInt(12).toDouble())
+        }
+
+        fun pack(changes: Map<JobPage, ByteArray>) = packer.pack(changes)
+
+        fun step() {
+            val pages = changedPages(packer::ready)
+            for (sheet in packer.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
+                assertTrue(sheet.write.value.size <= limits.valueBytes)
+                assertTrue(
+                    packer
+                        .same(sheet)
+                        .write.value.size <= limits.valueBytes,
+                )
+                val transaction = Transaction(listOf(sheet.condition), listOf(sheet.write))
                 packer.begin(sheet)
                 store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
@@ -91,6 +130,21 @@
             sim.run(sim.random.nextInt(12).toDouble())
         }
 
+        private fun changedPages(ready: (Job, Int) -> Boolean): Map<JobPage, AssignmentPage> {
+            val pages = LinkedHashMap<JobPage, AssignmentPage>()
+            repeat(1 + sim.random.nextInt(6)) {
+                val place = JobPage(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
+                val job = replica.jobs.getValue(place.job)
+                if (!ready(job, place.page)) return@repeat
+                val present = job.pages[place.page]?.value ?: AssignmentPage.EMPTY
+                val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
+                val group = AssignmentGroup(BlockName("zone.${sim.random.nextInt(9)}"), Baton(7), present.lastGeneration + 1, tasks)
+                val page = AssignmentPage(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
+                pages[place] = page
+            }
+            return pages
+        }
+
         /** What has become of a page whose write had no answer. */
         private fun adopt(place: JobPage) {
             replica.jobs[place.job]
@@ -147,7 +201,54 @@
         assertTrue(mistaken)
     }
 
+    @ParameterizedTest
+    @CsvSource("11, 0", "12, 0", "13, 0", "14, 6", "15, 6", "16, 6", "17, 6")
+    fun `after the limits were lowered no page is lost, and nothing is written above them`(seed: Long, lateOneIn: Int) {
+        val bench = Bench(seed, lateOneIn, limits = StateLimits(1e6, 1e6, 8.0, 12), jobs = 3 * JOBS)
+        repeat(200) { bench.step() }
+        assertEquals(bench.model, bench.reread())
+        assertTrue(bench.sheetSizes().max() > LOWERED_BYTES, "${bench.sheetSizes()}")
+        bench.lower(2.0, 4)
+        repeat(20) {
+            repeat(12) { bench.step() }
+            assertEquals(bench.model, bench.reread())
+        }
+        assertEquals(0, bench.service.limitRefusals.malformed, "${bench.service.limitRefusals}")
+        // Every page has moved by now, or nearly: what was left in the large sheets has made room for rewrites.
+        assertTrue(bench.sheetSizes().max() <= LOWERED_BYTES, "${bench.sheetSizes()}")
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [21, 22, 23, 24])
+    fun `the former version and this one write the same sheets in turn, and no page is lost`(seed: Long) {
+        val bench = Bench(seed, jobs = 3 * JOBS)
+        repeat(6) { turn ->
+            repeat(3) {
+                repeat(25) { bench.formerStep() }
+                assertEquals(bench.model, bench.reread())
+            }
+            if (turn == 0) assertTrue(bench.sheetSizes().max() > LOWERED_BYTES, "${bench.sheetSizes()}")
+            bench.lower(2.0, 4)
+            repeat(3) {
+                repeat(25) { bench.step() }
+                assertEquals(bench.model, bench.reread())
+            }
+            assertEquals(0, bench.service.limitRefusals.malformed, "${bench.service.limitRefusals}")
+        }
+    }
+
+    @Test
+    fun `a page that is too large for a value is left out, the others are written`() {
+        val bench = Bench(1)
+        bench.lower(0.25, 4)
+        val small = "{\"v\":1}".toByteArray()
+        val large = ByteArray(256) { '1'.code.toByte() }
+        val writes = bench.pack(mapOf(JobPage(JobId("job-1"), 0) to large, JobPage(JobId("job-2"), 0) to small))
+        assertEquals(listOf(setOf(JobPage(JobId("job-2"), 0))), writes.map { it.places })
+    }
+
     private companion object {
+        const val LOWERED_BYTES = 2048
         const val JOBS = 40
         val AT = Endpoint("10.2.0.1", 2379)
     }
