--- a/src/main/kotlin/copperglade/coordination/Closer.kt
+++ b/src/main/kotlin/copperglade/coordination/Closer.kt
@@ -42,7 +42,8 @@
         val over = looked.mapNotNull { replica.jobs[it] }.filter {
             it.live != null && it.id !in inFlight && (it.complete || it.cancelled) && it.assignments().isEmpty()
         }
-        over.chunked(min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_A_JOB)).forEachIndexed { index, jobs ->
+        val jobsAtOnce = min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_A_JOB).coerceAtLeast(1)
+        over.chunked(jobsAtOnce).forEachIndexed { index, jobs ->
             if (index < MOST_IN_FLIGHT) close(jobs) else jobs.forEach { lookAgain(it.id) }
         }
     }
--- a/src/main/kotlin/copperglade/coordination/JobDesk.kt
+++ b/src/main/kotlin/copperglade/coordination/JobDesk.kt
@@ -57,14 +57,8 @@
             is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
             is ParsedJob.Good -> {
                 if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
-                val problem = impossible(parsed.spec)
-                if (problem !=
-                    null
-                ) {
-                    refuse(id, unprocessable(problem), responder)
-                } else {
-                    acceptAfter(parsed.dependencies, parsed.spec, responder)
-                }
+val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(parsed.spec)) null else tooLarge("body")
+                if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
             }
         }
     }
@@ -85,15 +79,21 @@
                 is Resolution.Accepted -> {
                     // One that needs a cancelled job is accepted all the same, and cancelled from its first moment.
                     val record = LiveRecord(spec, loop.wallMillis(), resolution.aborted, resolution.open)
-                    if (fits(record)) accept(record, responder, TRIES) else refuse(spec.id, tooLarge(), responder)
+                    if (fits(spec, resolution.open)) {
+                        accept(record, responder, TRIES)
+                    } else {
+                        refuse(spec.id, tooLarge(JobSpecCodec.DEPENDENCIES), responder)
+                    }
                 }
             }
         }
     }
 
-    /** Whether the state service takes the record, also once it carries the cancelled mark. */
-    private fun fits(record: LiveRecord): Boolean =
-        RecordCodec.encode(record.withCancelledMark()).size <= store.limits.valueBytes
+    /** Whether the state service takes the job's record, also once that carries the cancelled mark. */
+    private fun fits(spec: JobSpec, dependencies: List<JobId> = emptyList()): Boolean {
+        val largest = LiveRecord(spec, loop.wallMillis(), cancelled = true, dependencies)
+        return RecordCodec.encode(largest).size <= store.limits.valueBytes
+    }
 
     private fun accept(record: LiveRecord, responder: Responder, tries: Int) {
         val spec = record.spec
@@ -202,10 +202,7 @@
 
     private fun unprocessable(problem: String) = Reply(UNPROCESSABLE, UserWire.error(problem))
 
-    private fun tooLarge(): Reply {
-        val problem = "too large to be stored with all the jobs that it names"
-        return badRequest(BadField(JobSpecCodec.DEPENDENCIES, problem))
-    }
+    private fun tooLarge(field: String) = badRequest(BadField(field, "too large to be stored"))
 
     private fun unknown() = Reply(NOT_FOUND, UserWire.error("no such job"))
 
--- a/src/main/kotlin/copperglade/coordination/Notes.kt
+++ b/src/main/kotlin/copperglade/coordination/Notes.kt
@@ -87,12 +87,23 @@
         val reached = deliveredAt.getOrPut(lead) { now }
         if (now < reached + UNREACHED || now < recordedAt + RECORD_PACE) return
         recordedAt = now
-        val limit = (store.limits.valueKb * BYTES_OF_KB * PART_OF_VALUE).toInt()
-        val write = Write.Set(Keys.room(self), RecordCodec.encodeNote(PeerWire.encode(note.shortened(limit))))
+        val value = fittingValue(note) ?: return
+        val write = Write.Set(Keys.room(self), value)
         // A hint only, and of use only while it is new: no condition, and what comes late is told by its incarnation.
         store.commit(Urgency.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
 
+    /** As many machines of [note] as a value can hold; how much a machine takes is an estimate, so it is measured. */
+    private fun fittingValue(note: PeerNote): ByteArray? {
+        var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
+        repeat(MOST_SHORTENINGS) {
+            val value = RecordCodec.encodeNote(PeerWire.encode(note.shortened(bytes)))
+            if (value.size <= store.limits.valueBytes) return value
+            bytes = (bytes * SHORTENING).toInt()
+        }
+        return null
+    }
+
     fun receive(note: PeerNote) {
         latest[note.member] = Received(note, loop.now())
         heard(note)
@@ -109,7 +120,8 @@
 
     companion object {
         private const val OK = 200
-        private const val BYTES_OF_KB = 1024
+        private const val MOST_SHORTENINGS = 8
+        private const val SHORTENING = 0.75
 
         /** Bytes become a third more in JSON. */
         private const val PART_OF_VALUE = 0.65
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/coordination/Owner.kt
@@ -80,8 +80,10 @@
 
     private fun rememberImages(block: BlockOwner) {
         val present = replica.images[block.name]
-        val record = block.imageRecord((store.limits.valueKb * BYTES_OF_KB * PART_OF_VALUE).toInt())
+        val record = block.imageRecord((store.limits.valueBytes * PART_OF_VALUE).toInt())
         if (record.byMachine == present?.value?.byMachine.orEmpty()) return
+        val value = RecordCodec.encode(record)
+        if (value.size > store.limits.valueBytes) return
         val key = Keys.images(block.name)
         val transaction = Transaction(
             listOf(
@@ -91,7 +93,7 @@
                     present?.stamp ?: Stamp.ABSENT,
                 ),
             ),
-            listOf(Write.Set(key, RecordCodec.encode(record))),
+            listOf(Write.Set(key, value)),
         )
         store.commit(Urgency.CLEANING, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
@@ -261,7 +263,6 @@
         const val OK = 200
         const val MISDIRECTED = 421
         const val UNAVAILABLE = 503
-        const val BYTES_OF_KB = 1024
         const val PART_OF_VALUE = 0.8
         const val PLENTY = 0.6
         val REMEMBER_PACE = 10.seconds
