--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -0,0 +1,125 @@
+package copperglade.sim
+
+import copperglade.protocol.JobId
+import copperglade.protocol.JobKind
+import copperglade.standin.ServiceLimits
+import copperglade.storage.Keys
+import copperglade.storage.StateLimits
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/**
+ * The state service's limits are lowered in the middle of a day. Controllers that don't know of it write large records
+ * first; one after the other is replaced by one that was told, while jobs run and change.
+ */
+class LoweredLimitsTest {
+    private val uninformed = HashSet<Int>()
+
+    private fun site(seed: Long): SimSite {
+        uninformed += 0 until NODES
+        return SimSite(
+            Simulation(seed),
+            scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, transactionWrites = OLD.transactionWrites),
+            nodes = NODES,
+            limitsOf = { if (it in uninformed) OLD else LOWERED },
+        )
+    }
+
+    private fun SimSite.replaceUninformed(node: Int) {
+        uninformed -= node
+        crash(node, backAfterMs = 1500.0)
+    }
+
+    private fun SimSite.largestSheet(): Int = JobKind.entries
+        .flatMap { state.keys(Keys.sheetsOf(it)) }
+        .maxOf { state.text(it)!!.toByteArray().size }
+
+    /** Arrays of many sizes, and some of the services are cancelled, so that pages of all sheets change. */
+    private fun SimSite.work() {
+        val random = sim.random
+        repeat(SERVICES) { submit(SimSite.job(500 + it, tasks = 3, cpus = 0.25, service = true, spot = false)) { null } }
+        repeat(ARRAYS) { number ->
+            sim.after(number * 1500.0) {
+                val work = HashMap<Int, Double>()
+                submit(SimSite.job(1 + number, tasks = 2 + random.nextInt(20), cpus = 0.5)) {
+                    work.getOrPut(it) { 4.0 + random.nextDouble() * 40 }
+                }
+            }
+        }
+        repeat(SERVICES / 4) { sim.after(40_000.0 + it * 4000.0) { cancel(JobId("job-${500 + it * 3}")) } }
+    }
+
+    /** For a minute after that, machines and the lead are lost, so that tasks of the large sheets are assigned again. */
+    private fun SimSite.lowerLimits() {
+        state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerS)
+        killMachine(sim.random.nextInt(workerCount()))
+        run(30.0)
+        crash(leader() ?: 0, 1500.0)
+        killMachine(sim.random.nextInt(workerCount()))
+        run(30.0)
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [2001, 2002, 2003, 2004, 2005, 2006])
+    fun `nothing is refused for its size after the limits were lowered`(seed: Long) {
+        val site = site(seed)
+        site.work()
+        // Every other day some writes have no answer and are applied seconds later.
+        site.network.lateWriteOneIn = if (seed % 2 == 0L) 0 else 12
+        site.run(45.0)
+        assertTrue(site.largestSheet() > LOWERED.valueBytes, "the largest sheet has ${site.largestSheet()} bytes")
+        for (node in (0 until NODES).shuffled(site.sim.random)) {
+            site.replaceUninformed(node)
+            site.run(6.0)
+        }
+        assertTrue(site.largestSheet() > LOWERED.valueBytes, "the largest sheet has ${site.largestSheet()} bytes")
+        val appliedBefore = site.state.applied
+        site.lowerLimits()
+        site.assertKept(240.0)
+        val refusals = site.state.limitRefusals
+        println("seed $seed: ${site.state.applied - appliedBefore} applied, refused: $refusals, largest ${site.largestSheet()}")
+        assertEquals(0, refusals.malformed, "$refusals")
+        assertTrue(site.state.applied - appliedBefore > 100)
+    }
+
+    @Test
+    fun `controllers that were not told are refused`() {
+        val site = site(2001)
+        site.work()
+        site.run(45.0)
+        site.lowerLimits()
+        assertTrue(site.state.limitRefusals.largeValues > 0, "${site.state.limitRefusals}")
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [2101, 2102, 2103])
+    fun `large jobs end where values are tiny and transactions have two writes`(seed: Long) {
+        val scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, valueKb = 0.6, transactionWrites = 2)
+        val site = SimSite(Simulation(seed), scale = scale, nodes = 5)
+        site.state.limits = with(scale.stateLimits) { ServiceLimits(valueBytes, transactionWrites, writesPerS) }
+        val random = site.sim.random
+        repeat(4) { number ->
+            val work = HashMap<Int, Double>()
+            site.submit(SimSite.job(1 + number, tasks = 300, cpus = 1.0)) { work.getOrPut(it) { 3.0 + random.nextDouble() * 30 } }
+        }
+        repeat(6) {
+            site.run(12.0)
+            site.killMachine(random.nextInt(site.workerCount()))
+        }
+        site.assertKept(240.0)
+        val refusals = site.state.limitRefusals
+        println("seed $seed: ${site.state.applied} applied, refused: $refusals")
+        assertEquals(0, refusals.malformed, "$refusals")
+    }
+
+    private companion object {
+        const val NODES = 3
+        const val SERVICES = 80
+        const val ARRAYS = 60
+        val OLD = StateLimits(200.0, 50.0, 8.0, 12)
+        val LOWERED = StateLimits(120.0, 30.0, 2.0, 4)
+    }
+}
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -26,6 +26,7 @@
 import copperglade.storage.EndRecord
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
+import copperglade.storage.StateLimits
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -44,7 +45,9 @@
     val cloudRps: Double = 6.0,
     val guaranteedCpus: Double = 16.0,
     val teamCpus: Double = 60.0,
-)
+) {
+    val stateLimits get() = StateLimits(stateRps, stateWriteRps, valueKb, transactionWrites)
+}
 
 /**
  * A whole site in simulated time: three controllers of the real code, stand-ins for the rest, and a referee that
@@ -63,6 +66,8 @@
     private val otherTeam: Team? = null,
     /** Another limit of staleness for the controllers of the first zone, only to see the referee at work. */
     private val outsideLimitS: Double? = null,
+    /** The state service's limits as each node is told them when it starts. */
+    private val limitsOf: (node: Int) -> StateLimits = { scale.stateLimits },
     /** So many jobs were over before this day began. */
     endedBefore: Int = 0,
 ) : World {
@@ -153,10 +158,10 @@
         reportS = scale.reportS,
         leaseS = toldLeaseS,
         cancelS = toldCancelS,
-        stateRps = scale.stateRps,
-        stateWriteRps = scale.stateWriteRps,
-        valueKb = scale.valueKb,
-        transactionWrites = scale.transactionWrites,
+        stateRps = limitsOf(node).requestsPerS,
+        stateWriteRps = limitsOf(node).writesPerS,
+        valueKb = limitsOf(node).valueKb,
+        transactionWrites = limitsOf(node).transactionWrites,
         cloudRps = scale.cloudRps,
         listLagS = 0.5,
         socketLimit = 3000,
