--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -52,14 +52,18 @@
         repeat(SERVICES / 4) { sim.after(40_000.0 + it * 4000.0) { cancel(JobId("job-${500 + it * 3}")) } }
     }
 
-    /** For a minute after that, machines and the lead are lost, so that tasks of the large sheets are assigned again. */
+    /** For a minute after that, machines, the lead and the links between controllers are lost, so that tasks of the large sheets are assigned again. */
     private fun SimSite.lowerLimits() {
         state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerS)
         killMachine(sim.random.nextInt(workerCount()))
         run(30.0)
         crash(leader() ?: 0, 1500.0)
         killMachine(sim.random.nextInt(workerCount()))
-        run(30.0)
+        run(15.0)
+        // Rooms go through the state service meanwhile.
+        cutPeers()
+        run(15.0)
+        heal()
     }
 
     @ParameterizedTest
