--- /dev/null
+++ b/src/test/kotlin/copperglade/coordination/NotesTest.kt
@@ -0,0 +1,93 @@
+package copperglade.coordination
+
+import copperglade.protocol.Baton
+import copperglade.protocol.BlockName
+import copperglade.protocol.BlockRoom
+import copperglade.protocol.Endpoint
+import copperglade.protocol.Incarnation
+import copperglade.protocol.Json
+import copperglade.protocol.MachineName
+import copperglade.protocol.MachineRoom
+import copperglade.protocol.MemberId
+import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerWire
+import copperglade.protocol.Resources
+import copperglade.protocol.Stamp
+import copperglade.sim.SimLoop
+import copperglade.sim.SimNetwork
+import copperglade.sim.Simulation
+import copperglade.standin.ServiceLimits
+import copperglade.standin.StandInState
+import copperglade.storage.Keys
+import copperglade.storage.RecordCodec
+import copperglade.storage.StateClient
+import copperglade.storage.StateLimits
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class NotesTest {
+    private val sim = Simulation(1)
+    private val network = SimNetwork(sim)
+    private val loop = SimLoop(sim)
+    private val service = StandInState(loop).also { network.listen(STATE, "state", loop, it) }
+    private val limits = StateLimits(1e6, 1e6, 2.0, 4)
+    private val store = StateClient(loop, network.callerOf("member", loop), STATE, limits)
+
+    private fun room(number: Int) = MachineRoom(
+        MachineName("i-machine-with-a-long-name-$number"),
+        "type-with-a-long-name",
+        "zone-with-a-long-name",
+        spot = true,
+        usable = true,
+        worthKeeping = true,
+        idleMs = 5,
+        free = Resources(1.0, 2.0, 3.0),
+        yielding = List(4) { Resources(4.0, 0.0, 1.0) },
+        images = emptyList(),
+    )
+
+    private fun note() = PeerNote(
+        SELF,
+        Incarnation(3),
+        Stamp(9),
+        12,
+        leads = false,
+        listOf(BlockRoom(BlockName("z.0"), Baton(4), List(40, ::room))),
+        emptyList(),
+        emptyList(),
+        writesWanted = 1.0,
+    )
+
+    @Test
+    fun `a room record holds as many machines as fit into a value`() {
+        service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerS)
+        val caller = network.callerOf("member", loop)
+        Notes(
+            loop,
+            caller,
+            store,
+            SELF,
+            emptyList(),
+            machines = { 40 },
+            compose = ::note,
+            leader = { MemberId("lead") },
+            heard = {},
+        ).start()
+        sim.run(5000.0)
+        assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
+        val value = Json.read(service.text(Keys.room(SELF))!!.toByteArray())!!
+        val told = PeerWire.decode(RecordCodec.decodeNote(value)!!)!!
+        assertTrue(
+            told.blocks
+                .single()
+                .machines.size in 3..39,
+            "${told.blocks.single().machines.size} machines",
+        )
+    }
+
+    private companion object {
+        val STATE = Endpoint("10.2.0.1", 2379)
+        val SELF = MemberId("member")
+    }
+}
