--- a/src/main/kotlin/copperglade/coordination/JobDesk.kt
+++ b/src/main/kotlin/copperglade/coordination/JobDesk.kt
@@ -57,7 +57,7 @@
             is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
             is ParsedJob.Good -> {
                 if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
-val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(parsed.spec)) null else tooLarge("body")
+                val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(parsed.spec)) null else tooLarge("body")
                 if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
             }
         }
@@ -142,7 +142,7 @@
             answer.status.final -> responder.send(Reply(OK, UserWire.short(id, answer.status)))
             live == null || tries == 0 -> responder.send(later())
             else -> {
-                val record = live.value.withCancelledMark()
+                val record = cancelledRecord(live.value)
                 val transaction = Transaction(
                     listOf(Condition(Keys.live(id), live.stamp)),
                     listOf(Write.Set(Keys.live(id), RecordCodec.encode(record))),
@@ -162,6 +162,16 @@
         }
     }
 
+    /**
+     * The record with the cancelled mark. One that was accepted under higher limits may have become too large for a value;
+     * its list of machine types is what can make it so.
+     */
+    private fun cancelledRecord(live: LiveRecord): LiveRecord {
+        val whole = live.withCancelledMark()
+        if (RecordCodec.encode(whole).size <= store.limits.valueBytes) return whole
+        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMs, cancelled = true, live.dependencies)
+    }
+
     /** Calls back with the job's present state, or null where no such job was ever accepted; else answers 503. */
     private fun status(id: JobId, responder: Responder, done: (JobAnswer?) -> Unit) {
         replica.endOf(id)?.let { return done(JobAnswer(id, it.status, it.tasksDone, 0)) }
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -69,29 +69,30 @@
     val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
     /** The same job with another priority. */
-    fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) {
-        this
-    } else {
-        JobSpec(
-            id,
-            load,
-            team,
-            kind,
-            priority,
-            tasks,
-            request,
-            image,
-            types,
-            zone,
-            oneZone,
-            spread,
-            spotAllowed,
-            estimateS,
-            checkpointS,
-            saveS,
-            deadlineS,
-        )
-    }
+    fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) this else copy(priority = priority)
+
+    /** The same job without the list of machine types, which nobody needs once nothing of the job is placed any more. */
+    fun withoutTypes(): JobSpec = copy(types = null)
+
+    private fun copy(priority: Priority = this.priority, types: List<String>? = this.types) = JobSpec(
+        id,
+        load,
+        team,
+        kind,
+        priority,
+        tasks,
+        request,
+        image,
+        types,
+        zone,
+        oneZone,
+        spread,
+        spotAllowed,
+        estimateS,
+        checkpointS,
+        saveS,
+        deadlineS,
+    )
 }
 
 /** What was wrong with a submission, by the name of its field on the wire. */
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -105,7 +105,6 @@
     val valueBytes get() = (valueKb * BYTES_OF_KB).toInt()
 
     private companion object {
-        const val BYTES_OF_KB = 1024
         const val CONDITIONS_A_WRITE = 4
         const val BYTES_OF_KB = 1024
     }
