--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -5,6 +5,7 @@
 import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.text
+import copperglade.storage.Keys
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -281,6 +282,42 @@
         site.assertCancelledFrom(shape, cancelled)
     }
 
+    @ParameterizedTest
+    @CsvSource("FAN,574", "FAN,575", "FAN,579")
+    fun `the leader ends, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
+        shape: Shape,
+        seed: Long,
+    ) {
+        val site = SimSite(Simulation(seed))
+        // The whole pipeline waits, so that all of it can be closed as soon as it is cancelled.
+        site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
+        site.awaitRunning(90)
+        shape.jobs.forEach { number ->
+            site.submit(SimSite.job(number, tasks = 1), (shape.awaits[number] ?: listOf(90)).map(::id)) { 5.0 }
+        }
+        site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
+        var interrupted = false
+        site.network.tamperAnswer = { _, request, reply ->
+            val closes = request.path == "/multi" && "\"${Keys.over(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
+            if (closes && reply.status == 200 && !interrupted) {
+                interrupted = true
+                site.state.outage = true
+                site.crash(site.leader()!!, 6000.0)
+            }
+            reply
+        }
+        site.cancel(id(1))
+        site.await(20.0) { interrupted }
+        val closed = shape.jobs.count { site.state.text(Keys.over(id(it))) != null }
+        assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
+        site.run(8.0)
+        site.state.outage = false
+        site.await(15.0) { site.user(1).cancelledAt != null }
+        site.run(SimSite.CANCEL_S)
+        site.assertKept()
+        site.assertCancelledFrom(shape, 1)
+    }
+
     @ParameterizedTest
     @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
     fun `all controllers are down when a job's last task ends`(shape: Shape, seed: Long) {
