--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -2,7 +2,6 @@
 
 import copperglade.bookkeeping.Factors
 import copperglade.bookkeeping.Profile
-import copperglade.bookkeeping.ProfileBook
 import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
@@ -13,21 +12,14 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
 import copperglade.protocol.Moment
-import copperglade.protocol.Priority
 import copperglade.protocol.Report
-import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
-import copperglade.protocol.Trip
 import copperglade.protocol.WorkerWire
 import copperglade.protocol.secondsSince
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
-import copperglade.storage.Replica
 import copperglade.storage.StateClient
-import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -36,21 +28,6 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What the owners of a process share. */
-class OwnerContext(
-    val loop: EventLoop,
-    val http: HttpCaller,
-    val replica: Replica,
-    val membership: Membership,
-    val types: TypeBook,
-    val profiles: ProfileBook,
-    val tuning: Tuning,
-    val reportS: Double,
-    val leaseS: Double,
-    val workload: Workload,
-    val absences: Absences,
-)
-
 /**
  * The owner of one block: picks machines for the block's tasks, starts and stops them, and finds out what became of
  * them. It commands workers only while [Membership.mayAct], and only under batons of its own tenure.
@@ -59,54 +36,51 @@
     private val context: OwnerContext,
     store: StateClient,
     val name: BlockName,
-    private val first: Baton,
+    first: Baton,
 ) {
     private val outcomes = OutcomeLog(context.loop, store, context.replica, this)
     private val cancelledWork = CancelledWork(context.replica)
     private val loop = context.loop
-    private val tenure = hashSetOf(first)
-    private val openedAt = loop.now()
+    private val state = BlockState(context, name, first)
 
     /** By then, every worker that only a former owner answered has lost its lease. */
     private val strangersGoneAt
-        get() = maxOf(openedAt, context.absences.over) + (context.leaseS * (1 + Hold.DRIFT) + LEASE_MARGIN_S).seconds
-    private var trips = 0
-    private val runs = RunTable()
+        get() = maxOf(state.grantedAt, context.absences.over) + context.longestLease
+    private val runs = state.runs
+    private val health = MachineHealth(state)
+    private val summary = BlockSummary(state, health)
     private val failures = HashMap<JobId, Int>()
-    private val stragglers = StragglerWatch(context, ::requestOf)
-    val machines = HashMap<MachineName, Machine>()
+    private val stragglers = StragglerWatch(context, state::requestOf)
+    val machines: MutableMap<MachineName, Machine> get() = state.machines
     private val departures = Departures()
 
     /** Machines that were dropped and have just been asked whether they live. */
     private val asked = HashSet<MachineName>()
     private var nextSweep = Moment.NEVER
 
-    var baton = first
-        private set
+    /** The fencing token under which workers are commanded now. */
+    val baton: Baton get() = state.token
 
     /** Nothing is commanded until the records are known to be as new as the grant. */
-    var open = false
-        private set
+    val open: Boolean get() = state.open
 
-    fun holds(stamp: Baton): Boolean = stamp in tenure
+    fun holds(stamp: Baton): Boolean = state.isOwnToken(stamp)
 
     fun open() {
-        open = true
+        state.open = true
         context.replica.jobs.values
             .forEach(::sync)
-        machines.values.toList().forEach { if (fenced(it)) match(it) }
+        machines.values.toList().forEach { if (state.isFenced(it)) match(it) }
     }
 
     /** No longer ours: nothing more is said about it. */
     fun close() {
-        open = false
+        state.open = false
     }
 
     /** The block's key was written anew by ourselves: late copies of older commands die out with the old baton. */
     fun renew(next: Baton) {
-        tenure += next
-        baton = next
-        trips = 0
+        state.raiseToken(next)
     }
 
     // ---- records -> runs ----
@@ -128,7 +102,7 @@
             val run = if (known == null ||
                 (known.generation != assignment.generation && known.state == RunState.GONE)
             ) {
-                val state = if (assignment.baton in tenure) RunState.WAITING else RunState.MISSING
+                val state = if (state.isOwnToken(assignment.baton)) RunState.WAITING else RunState.MISSING
                 val task = TaskId(job.id, assignment.task)
                 val fresh =
                     Run(task, spec, assignment.generation, live.value.acceptedAtMs, state, loop.now(), runs::moved)
@@ -210,7 +184,7 @@
             return null
         }
         machine.answeredAt = loop.now()
-        if (!open || !fenced(machine)) {
+        if (!open || !state.isFenced(machine)) {
             machine.answersInVain++
             fence(machine)
             return answer(report)
@@ -247,7 +221,7 @@
      * commanded but the end of what is cancelled. Null where somebody else has given it commands, or it is none that we know well.
      */
     fun keep(report: Report): ByteArray? {
-        val known = machines[report.machine]?.takeIf { open && fenced(it) } ?: return null
+        val known = machines[report.machine]?.takeIf { open && state.isFenced(it) } ?: return null
         if (report.baton > baton || known.isDoubtful(report) || known.isCopy(report)) return null
         hear(report).sentBy(report, loop.now())
         known.answeredAt = loop.now()
@@ -267,7 +241,7 @@
      */
     private fun answerInDoubt(machine: Machine, report: Report): ByteArray? {
         fence(machine)
-        if (loop.now() >= machine.heardAt + (context.reportS * SILENT_REPORTS).seconds) return null
+        if (loop.now() >= machine.heardAt + context.silenceLimit) return null
         machine.reportsArrive(loop.now())
         machine.answeredAt = loop.now()
         return answer(report)
@@ -278,7 +252,7 @@
      * must be reckoned with; so it gets none any more, and its lease surely runs out.
      */
     private fun inVain(machine: Machine): Boolean =
-        open && !fenced(machine) && machine.answersInVain >= MOST_IN_VAIN
+        open && !state.isFenced(machine) && machine.answersInVain >= MOST_IN_VAIN
 
     /** Asks a machine that was dropped whether it lives; copies of old reports get no answer. */
     private fun ask(report: Report) {
@@ -301,7 +275,7 @@
         val before = machine.session
         if (machine.update(report, loop.now())) {
             if (machine.session > before) machine.runs.toList().forEach { lost(it, "session ${machine.session} began") }
-            if (open && fenced(machine)) match(machine)
+            if (open && state.isFenced(machine)) match(machine)
         }
         return machine
     }
@@ -327,12 +301,9 @@
         for (run in machine.runs.toList()) {
             if (machine.tainted(run.task, run.trip)) run.startAgain(loop.now()) else lost(run, "${machine.name} began anew")
         }
-        if (fenced(machine)) match(machine)
+        if (state.isFenced(machine)) match(machine)
     }
 
-    /** Only what a worker says after it has seen our baton is final: earlier owners' commands can't act any more. */
-    private fun fenced(machine: Machine): Boolean = machine.baton >= first
-
     private fun fence(machine: Machine) {
         if (!open || machine.commandInFlight || loop.now() < machine.commandSentAt + RESEND) return
         send(machine, emptyList())
@@ -438,15 +409,10 @@
 
     // ---- commands ----
 
-    private fun requestOf(task: TaskId): Resources? =
-        runs[task]?.spec?.request ?: context.replica.jobs[task.job]
-            ?.spec
-            ?.request
-
     /** Sends a machine whatever it is still to be told. */
     private fun settle(machine: Machine) {
         if (!open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
-        if (!fenced(machine)) return fence(machine)
+        if (!state.isFenced(machine)) return fence(machine)
         if (machine.deaf) fence(machine)
         for (run in machine.runs.toList()) {
             if (run.state == RunState.STOPPING && !run.seen && run.startSentAt == Moment.NEVER) lost(run, "never sent")
@@ -571,10 +537,9 @@
 
     /** A machine that was last answered more than a lease ago has killed its tasks. */
     private fun expire(now: Moment) {
-        val lease = (context.leaseS * (1 + Hold.DRIFT) + LEASE_MARGIN_S).seconds
         for (machine in machines.values.toList()) {
             machine.taints.removeIf { it.actsUntil != null && now >= it.actsUntil }
-            if (now < machine.answeredAt + lease) continue
+            if (now < machine.answeredAt + context.longestLease) continue
             log.info("{} silent for longer than its lease, {} tasks lost", machine.name, machine.runs.size)
             remove(machine)
         }
@@ -598,7 +563,7 @@
      */
     private fun findMissing(now: Moment) {
         val missing = runs.missing
-        if (missing.isEmpty() || now < strangersGoneAt || machines.values.any { !fenced(it) && !it.ours }) return
+        if (missing.isEmpty() || now < strangersGoneAt || machines.values.any { !state.isFenced(it) && !it.ours }) return
         for (run in missing) {
             run.moveTo(RunState.WAITING, "on no worker", now)
             if (cancelledWork.isCancelled(run.task.job)) stop(run, StopReason.CANCELLED)
@@ -614,7 +579,7 @@
     fun needsNewBaton(): Boolean {
         val now = loop.now()
         return machines.values.any { machine ->
-            now < machine.heardAt + (context.reportS * SILENT_REPORTS).seconds && machine.taints.any {
+            now < machine.heardAt + context.silenceLimit && machine.taints.any {
                 it.actsUntil == null && it.baton == baton && now >= it.since + UNSETTLED &&
                     (!machine.deaf || cancelledWork.isCancelled(it.task.job))
             }
@@ -636,7 +601,7 @@
         if (!context.membership.mayStart) return
         val waiting = runs.waiting.filter { now >= it.notBefore }
         if (waiting.isEmpty()) return
-        placer.place(waiting, machines.values.filter { usable(it, now) }, now)
+        placer.place(waiting, machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
         placedOn.forEach(::settle)
         placedOn.clear()
@@ -646,9 +611,9 @@
 
     private val placer = Placer(
         context.types,
-        ::requestOf,
+        state::requestOf,
         start = { run, machine ->
-            run.bind(machine, Trip.of(baton, ++trips))
+            run.bind(machine, state.nextAttempt())
             run.moveTo(RunState.STARTING, "placed", loop.now())
             placedOn += machine
         },
@@ -656,86 +621,20 @@
         giveBack = { finish(it, RunState.GONE, "no room") },
     )
 
-    /**
-     * Nothing is placed where a command has just gone unanswered: it might be bound there for a lease. Nor where the worker's
-     * own reports stay out, though direct commands are answered: its lease is running out.
-     */
-    private fun usable(machine: Machine, now: Moment): Boolean = sound(machine, now) && !machine.deaf &&
-        now < machine.reportedAt + (context.reportS * SILENT_REPORTS).seconds
-
-    /** Whether it is worth keeping: one that has not obeyed for a lease will not. */
-    private fun worthKeeping(machine: Machine, now: Moment): Boolean =
-        sound(machine, now) && machine.deafSince?.let { now < it + context.leaseS.seconds } ?: true
-
-    private fun sound(machine: Machine, now: Moment): Boolean = fenced(machine) && !machine.draining && !machine.deleting &&
-        !machine.noticed && !machine.faulty && now >= machine.suspectUntil &&
-        !isSilent(machine, now)
-
     /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
-    fun imageRecord(limitBytes: Int): ImageRecord {
-        var left = limitBytes
-        val known = machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
-            val images = machine.cachedImages.takeLast(IMAGES_REMEMBERED)
-            left -= machine.name.text.length + BYTES_AROUND + images.sumOf { it.text.length + BYTES_AROUND }
-            if (images.isEmpty() || left < 0) null else machine.name to images
-        }
-        return ImageRecord(known.toMap())
-    }
+    fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
 
-    /**
-     * How many of the block's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
-     * controller, and is sent back for 4 s more if the block still has its owner by then.
-     */
-    fun unheardMachines(now: Moment): Int =
-        machines.values.count { now >= it.heardAt + (context.reportS * MISSED_REPORTS).seconds }
-
-    private fun isSilent(machine: Machine, now: Moment) = now >= machine.heardAt + (context.reportS * SILENT_REPORTS).seconds
+    /** How many of the block's machines have missed a report. */
+    fun unheardMachines(now: Moment): Int = health.countUnheard(now)
 
-    // ---- for the lead ----
-
-    fun room(): BlockRoom {
-        val now = loop.now()
-        val waiting = runs.waiting.mapTo(ArrayList()) { it.spec.request }
-        val rooms = machines.values.filter(::fenced).mapNotNull { machine ->
-            val type = context.types[machine.typeName] ?: return@mapNotNull null
-            var free = machine.free(type, now, ::requestOf)
-            // What waits here already will take this room first.
-            val next = waiting.iterator()
-            while (next.hasNext()) {
-                val request = next.next()
-                if (!request.fitsIn(free)) continue
-                free -= request
-                next.remove()
-            }
-            val yielding = Array(Priority.entries.size) { Resources.ZERO }
-            for (run in machine.runs) {
-                if (run.spec.kind == JobKind.ARRAY && run.onMachine) yielding[run.spec.priority.ordinal] += run.spec.request
-            }
-            val empty = machine.runs.isEmpty() && machine.boxes.isEmpty()
-            MachineRoom(
-                machine.name,
-                machine.typeName,
-                machine.zone,
-                machine.spot,
-                usable(machine, now),
-                worthKeeping(machine, now),
-                if (empty) now.ms - machine.emptySince.ms else 0,
-                free,
-                yielding.asList(),
-                machine.cachedImages,
-            )
-        }
-        return BlockRoom(name, baton, rooms)
-    }
+    /** The capacity of the block's machines, for the leader. */
+    fun room(): BlockRoom = summary.room()
 
     companion object {
         private const val OK = 200
         private const val CONFLICT = 409
-        private const val LEASE_MARGIN_S = 0.5
         private const val MOST_IN_VAIN = 4
-        private const val SILENT_REPORTS = 2.5
         private const val REPORTS_A_REAP = 2
-        private const val MISSED_REPORTS = 1.6
         private const val MOST_COMMANDS = 200
         private const val BACKOFF_S = 1.0
         private const val BACKOFF_DOUBLINGS = 6
@@ -747,8 +646,6 @@
         private val SWEEP_PACE = 400.milliseconds
         private val RESEND = 1000.milliseconds
         private val COMMAND_TIMEOUT = 1500.milliseconds
-        private const val IMAGES_REMEMBERED = 12
-        private const val BYTES_AROUND = 6
         private val SUSPECT = 10.seconds
         private val ORDER_OF_COMMANDS = listOf(Command.Reap::class, Command.Halt::class, Command.Start::class)
         private val log = LoggerFactory.getLogger("owner")
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/BlockState.kt
@@ -0,0 +1,64 @@
+package copperglade.coordination
+
+import copperglade.protocol.Baton
+import copperglade.protocol.BlockName
+import copperglade.protocol.MachineName
+import copperglade.protocol.Resources
+import copperglade.protocol.TaskId
+import copperglade.protocol.Trip
+
+/**
+ * What the parts of one block's owner share: the block's fencing tokens, its runs and its machines.
+ *
+ * Invariants: [token] is always one of our own, and never lower than [firstToken]; attempt numbers are never used twice
+ * under one token.
+ */
+class BlockState(
+    val context: OwnerContext,
+    val name: BlockName,
+    /** The fencing token of our grant. What a worker says after it has seen this one or a higher one is final. */
+    val firstToken: Baton,
+) {
+    private val loop = context.loop
+    private val ownTokens = hashSetOf(firstToken)
+    private var attempts = 0
+    val runs = RunTable()
+    val machines = HashMap<MachineName, Machine>()
+
+    /** When this owner was made. The block's former owner may have answered workers until then. */
+    val grantedAt = loop.now()
+
+    /** The token under which commands go out now. */
+    var token = firstToken
+        private set
+
+    /** Nothing is commanded until the records are known to be as new as the grant, nor once the block is given up. */
+    var open = false
+
+    /** Whether [token] is one of those that this owner has had: what bears it was assigned or commanded under our grant. */
+    fun isOwnToken(token: Baton): Boolean = token in ownTokens
+
+    /** Takes up a higher token; late copies of commands under the old one are refused by workers that have seen the new one. */
+    fun raiseToken(next: Baton) {
+        ownTokens += next
+        token = next
+        attempts = 0
+    }
+
+    /** A new attempt, never used before. */
+    fun nextAttempt(): Trip = Trip.of(token, ++attempts)
+
+    /**
+     * Whether the machine's worker has seen a token of ours. Only what it says after that is final: earlier owners'
+     * commands can't act any more.
+     */
+    fun isFenced(machine: Machine): Boolean = machine.baton >= firstToken
+
+    /** What a task takes, by our runs or by the records; null where neither knows it. */
+    fun requestOf(task: TaskId): Resources? {
+        val run = runs[task]
+        return run?.spec?.request ?: context.replica.jobs[task.job]
+            ?.spec
+            ?.request
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/BlockSummary.kt
@@ -0,0 +1,88 @@
+package copperglade.coordination
+
+import copperglade.protocol.BlockRoom
+import copperglade.protocol.JobKind
+import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineType
+import copperglade.protocol.Moment
+import copperglade.protocol.Priority
+import copperglade.protocol.Resources
+import copperglade.storage.ImageRecord
+
+/**
+ * Describes a block's machines to others: their free and preemptible capacity to the leader, their cached images to a
+ * later owner. Both are hints; whoever acts on one checks it against the records first.
+ */
+class BlockSummary(private val state: BlockState, private val health: MachineHealth) {
+    private val context = state.context
+
+    /**
+     * The capacity of the block's fenced machines. A machine whose worker has not seen our token is left out, since what
+     * it reports may still change by a former owner's commands.
+     */
+    fun room(): BlockRoom {
+        val now = context.loop.now()
+        val waiting = state.runs.waiting.mapTo(ArrayList()) { it.spec.request }
+        val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
+            context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
+        }
+        return BlockRoom(state.name, state.token, rooms)
+    }
+
+    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: Moment): MachineRoom {
+        val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
+        val empty = machine.runs.isEmpty() && machine.boxes.isEmpty()
+        return MachineRoom(
+            name = machine.name,
+            type = machine.typeName,
+            zone = machine.zone,
+            spot = machine.spot,
+            usable = health.isUsable(machine, now),
+            worthKeeping = health.isWorthKeeping(machine, now),
+            idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
+            free = free,
+            yielding = preemptible(machine),
+            images = machine.cachedImages,
+        )
+    }
+
+    /** What of [free] is left for new tasks: those waiting here take their room first, and are taken off [waiting]. */
+    private fun freeBeside(waiting: MutableList<Resources>, free: Resources): Resources {
+        var left = free
+        val next = waiting.iterator()
+        while (next.hasNext()) {
+            val request = next.next()
+            if (!request.fitsIn(left)) continue
+            left -= request
+            next.remove()
+        }
+        return left
+    }
+
+    /** What stopping the machine's array tasks would free, by their priority. Services are never preempted. */
+    private fun preemptible(machine: Machine): List<Resources> {
+        val byPriority = Array(Priority.entries.size) { Resources.ZERO }
+        for (run in machine.runs) {
+            if (run.spec.kind == JobKind.ARRAY && run.onMachine) byPriority[run.spec.priority.ordinal] += run.spec.request
+        }
+        return byPriority.asList()
+    }
+
+    /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
+    fun imageRecord(limitBytes: Int): ImageRecord {
+        var left = limitBytes
+        val known = state.machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
+            val images = machine.cachedImages.takeLast(IMAGES_REMEMBERED)
+            left -= machine.name.text.length + BYTES_AROUND + images.sumOf { it.text.length + BYTES_AROUND }
+            if (images.isEmpty() || left < 0) null else machine.name to images
+        }
+        return ImageRecord(known.toMap())
+    }
+
+    private companion object {
+        const val IMAGES_REMEMBERED = 12
+
+        /** Quotes, commas and brackets around a name in the record. */
+        const val BYTES_AROUND = 6
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/MachineHealth.kt
@@ -0,0 +1,39 @@
+package copperglade.coordination
+
+import copperglade.protocol.Moment
+import kotlin.time.Duration.Companion.seconds
+
+/** Judges which machines of a block may be given tasks, and which had better be replaced. */
+class MachineHealth(private val state: BlockState) {
+    private val context = state.context
+
+    /**
+     * Whether tasks may be placed on [machine]. None are where a command has just gone unanswered: they might be bound
+     * there for a whole lease. Nor where the worker's own reports stay out, though direct commands are answered: its lease
+     * is running out.
+     */
+    fun isUsable(machine: Machine, now: Moment): Boolean =
+        isSound(machine, now) && !machine.deaf && now < machine.reportedAt + context.silenceLimit
+
+    /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
+    fun isWorthKeeping(machine: Machine, now: Moment): Boolean =
+        isSound(machine, now) && machine.deafSince?.let { now < it + context.leaseS.seconds } ?: true
+
+    /**
+     * How many of the block's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
+     * controller, and is sent back for 4 s more if the block still has its owner by then.
+     */
+    fun countUnheard(now: Moment): Int {
+        val limit = context.reportIntervals(MISSED_REPORTS)
+        return state.machines.values.count { now >= it.heardAt + limit }
+    }
+
+    private fun isSound(machine: Machine, now: Moment): Boolean = state.isFenced(machine) && !machine.draining &&
+        !machine.deleting && !machine.noticed && !machine.faulty && now >= machine.suspectUntil && !isSilent(machine, now)
+
+    private fun isSilent(machine: Machine, now: Moment): Boolean = now >= machine.heardAt + context.silenceLimit
+
+    private companion object {
+        const val MISSED_REPORTS = 1.6
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/OwnerContext.kt
@@ -0,0 +1,37 @@
+package copperglade.coordination
+
+import copperglade.bookkeeping.ProfileBook
+import copperglade.storage.Replica
+import copperglade.transport.EventLoop
+import copperglade.transport.HttpCaller
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** What the block owners of one process share. */
+class OwnerContext(
+    val loop: EventLoop,
+    val http: HttpCaller,
+    val replica: Replica,
+    val membership: Membership,
+    val types: TypeBook,
+    val profiles: ProfileBook,
+    val tuning: Tuning,
+    val reportS: Double,
+    val leaseS: Double,
+    val workload: Workload,
+    val absences: Absences,
+) {
+    /** After so long without an answer a worker's lease has run out for certain, whatever its clock's drift. */
+    val longestLease: Duration get() = (leaseS * (1 + Hold.DRIFT) + LEASE_MARGIN_S).seconds
+
+    /** A machine of which nothing has come for so long is taken for silent. */
+    val silenceLimit: Duration get() = reportIntervals(SILENT_REPORTS)
+
+    /** The time in which a worker sends [count] reports. */
+    fun reportIntervals(count: Double): Duration = (reportS * count).seconds
+
+    private companion object {
+        const val LEASE_MARGIN_S = 0.5
+        const val SILENT_REPORTS = 2.5
+    }
+}
