--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -20,9 +20,6 @@
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
 import copperglade.storage.StateClient
-import copperglade.transport.Method
-import copperglade.transport.Reply
-import copperglade.transport.Request
 import org.slf4j.LoggerFactory
 import kotlin.math.min
 import kotlin.time.Duration.Companion.milliseconds
@@ -50,6 +47,10 @@
     private val health = MachineHealth(state)
     private val summary = BlockSummary(state, health)
     private val failures = HashMap<JobId, Int>()
+    private val lifecycle = RunLifecycle(state, outcomes)
+    private val planner = CommandPlanner(state)
+    private val unresolved = UnresolvedStarts(state, cancelledWork)
+    private val commands = WorkerCommands(state, planner, unresolved, lifecycle, ::heardReply)
     private val stragglers = StragglerWatch(context, state::requestOf)
     val machines: MutableMap<MachineName, Machine> get() = state.machines
     private val departures = Departures()
@@ -137,12 +138,12 @@
         when (run.state) {
             RunState.WAITING -> {
                 run.stopFor(reason)
-                finish(run, RunState.GONE, "not started: $reason")
+                lifecycle.finish(run, RunState.GONE, "not started: $reason")
             }
             RunState.STARTING, RunState.FETCHING, RunState.RUNNING -> {
                 run.stopFor(reason)
                 run.moveTo(RunState.STOPPING, reason.name, loop.now())
-                run.machine?.let(::settle)
+                run.machine?.let(commands::settle)
             }
             RunState.STOPPING -> if (reason == StopReason.CANCELLED ||
                 reason == StopReason.RECALLED
@@ -153,12 +154,6 @@
         }
     }
 
-    private fun finish(run: Run, state: RunState, why: String) {
-        run.moveTo(state, why, loop.now())
-        if (state == RunState.GONE) run.unbind()
-        outcomes.note(run)
-    }
-
     // ---- reports ----
 
     /**
@@ -174,35 +169,23 @@
         if (known != null && known.isDoubtful(report)) return answerInDoubt(known, report)
         if (known != null && known.isCopy(report)) {
             // A late copy, or a machine that began anew with low numbers: only its answer to a question of ours tells.
-            fence(known)
+            commands.fence(known)
             return null
         }
         val machine = hear(report)
         machine.sentBy(report, loop.now())
         if (inVain(machine)) {
-            fence(machine)
+            commands.fence(machine)
             return null
         }
         machine.answeredAt = loop.now()
         if (!open || !state.isFenced(machine)) {
             machine.answersInVain++
-            fence(machine)
+            commands.fence(machine)
             return answer(report)
         }
         machine.answersInVain = 0
-        // Where the direct way is broken, the answer to the report is the other one; it is never executed late. What can
-        // wait goes with it in any case: a message of its own for every finished task was a third of all commands.
-        val due = commandsFor(machine)
-        val commands = when {
-            machine.deaf && !machine.commandInFlight -> due
-            reapsAreDue(machine) -> due.filterIsInstance<Command.Reap>()
-            else -> emptyList()
-        }
-        if (commands.isNotEmpty()) {
-            markSent(commands, machine)
-            taint(machine, commands, actsUntil = loop.now() + ANSWER_ACTS)
-        }
-        return answer(report, commands)
+        return answer(report, commands.withAnswer(machine))
     }
 
     /** Every answer of 200 is made here: see [CancelledWork] for what none of them may lack. */
@@ -228,19 +211,12 @@
         return answer(report)
     }
 
-    /**
-     * Every clearing up makes the worker report once more. So it waits for a while, until the next start takes it along, but
-     * not where nothing else is left: a machine is idle only once it is empty.
-     */
-    private fun reapsAreDue(machine: Machine): Boolean =
-        machine.runs.none { it.onMachine } || loop.now() >= machine.reapedLast + (context.reportS * REPORTS_A_REAP).seconds
-
     /**
      * The report may be of the machine's earlier life. It is not taken in, but while the machine answers questions, its
      * lease must go on; one that doesn't gets no 200.
      */
     private fun answerInDoubt(machine: Machine, report: Report): ByteArray? {
-        fence(machine)
+        commands.fence(machine)
         if (loop.now() >= machine.heardAt + context.silenceLimit) return null
         machine.reportsArrive(loop.now())
         machine.answeredAt = loop.now()
@@ -257,10 +233,8 @@
     /** Asks a machine that was dropped whether it lives; copies of old reports get no answer. */
     private fun ask(report: Report) {
         if (!open || departures.forGood(report.machine) || !asked.add(report.machine)) return
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(baton, report.session, emptyList()))
-        context.http.call(report.endpoint, request, COMMAND_TIMEOUT) { reply ->
+        commands.probe(report.endpoint, report.session) { answer ->
             asked -= report.machine
-            val answer = reply?.let { WorkerWire.parseReport(it.body) }
             if (answer != null && answer.machine == report.machine && departures.knows(answer.machine)) {
                 log.info("{} is back in session {}", answer.machine, answer.session)
                 val departed = departures.sessionOf(answer.machine)
@@ -274,7 +248,7 @@
         val machine = machines.getOrPut(report.machine) { discover(report) }
         val before = machine.session
         if (machine.update(report, loop.now())) {
-            if (machine.session > before) machine.runs.toList().forEach { lost(it, "session ${machine.session} began") }
+            if (machine.session > before) machine.runs.toList().forEach { lifecycle.lost(it, "session ${machine.session} began") }
             if (open && state.isFenced(machine)) match(machine)
         }
         return machine
@@ -299,16 +273,11 @@
         log.info("{} began anew, {} tasks lost", machine.name, machine.runs.size)
         machine.beginAnew(report, loop.now())
         for (run in machine.runs.toList()) {
-            if (machine.tainted(run.task, run.trip)) run.startAgain(loop.now()) else lost(run, "${machine.name} began anew")
+            if (machine.tainted(run.task, run.trip)) run.startAgain(loop.now()) else lifecycle.lost(run, "${machine.name} began anew")
         }
         if (state.isFenced(machine)) match(machine)
     }
 
-    private fun fence(machine: Machine) {
-        if (!open || machine.commandInFlight || loop.now() < machine.commandSentAt + RESEND) return
-        send(machine, emptyList())
-    }
-
     /** Brings the runs in line with what a fenced machine reports. */
     private fun match(machine: Machine) {
         for (box in machine.boxes) adopt(machine, box)
@@ -316,7 +285,7 @@
             val box = machine.box(run.task, run.trip)
             if (box != null) observe(run, machine, box) else absent(run, machine)
         }
-        settle(machine)
+        commands.settle(machine)
     }
 
     private fun adopt(machine: Machine, box: Box) {
@@ -348,7 +317,7 @@
             ExitCause.DONE -> {
                 profile(run, machine)
                 machine.failedJobs.clear()
-                finish(run, RunState.DONE, "completed")
+                lifecycle.finish(run, RunState.DONE, "completed")
             }
             ExitCause.ERROR -> {
                 log.warn("{} failed on {}", run.task, machine.name)
@@ -356,7 +325,7 @@
                 machine.suspectUntil = loop.now() + SUSPECT
                 failed(run, machine, failures.merge(run.task.job, 1, Int::plus) ?: 1)
             }
-            ExitCause.STOPPED -> lost(run, "stopped")
+            ExitCause.STOPPED -> lifecycle.lost(run, "stopped")
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
                 log.info("{} refused by {}: {}", run.task, machine.name, cause)
                 failed(run, machine, 1)
@@ -367,7 +336,7 @@
     private fun failed(run: Run, machine: Machine, times: Int) {
         run.avoid += machine.name
         run.notBefore = loop.now() + min(BACKOFF_S * (1 shl min(times, BACKOFF_DOUBLINGS)), LONGEST_BACKOFF_S).seconds
-        lost(run, "failed")
+        lifecycle.lost(run, "failed")
     }
 
     private fun profile(run: Run, machine: Machine) {
@@ -386,135 +355,18 @@
     /** A run that a newer report does not show. */
     private fun absent(run: Run, machine: Machine) {
         when {
-            run.seen -> lost(run, "no longer reported")
+            run.seen -> lifecycle.lost(run, "no longer reported")
             run.state != RunState.STOPPING -> Unit
             // The start was answered or never sent, and the worker does not have it.
-            !machine.commandInFlight && !machine.tainted(run.task, run.trip) -> lost(run, "never arrived")
+            !machine.commandInFlight && !machine.tainted(run.task, run.trip) -> lifecycle.lost(run, "never arrived")
         }
     }
 
-    /** The run is surely on no machine any more. */
-    private fun lost(run: Run, why: String) {
-        val reason = run.stopReason
-        if (run.state == RunState.DONE || run.state == RunState.GONE) return
-        run.unbind()
-        when (reason) {
-            null, StopReason.RESTARTED -> {
-                run.clearStop()
-                run.moveTo(RunState.WAITING, why, loop.now())
-            }
-            else -> finish(run, RunState.GONE, "$why, $reason")
-        }
-    }
-
-    // ---- commands ----
-
-    /** Sends a machine whatever it is still to be told. */
-    private fun settle(machine: Machine) {
-        if (!open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
-        if (!state.isFenced(machine)) return fence(machine)
-        if (machine.deaf) fence(machine)
-        for (run in machine.runs.toList()) {
-            if (run.state == RunState.STOPPING && !run.seen && run.startSentAt == Moment.NEVER) lost(run, "never sent")
-        }
-        val commands = commandsFor(machine)
-        if (commands.any { it !is Command.Reap }) send(machine, commands)
-    }
-
-    private fun commandsFor(machine: Machine): List<Command> {
-        val now = loop.now()
-        val commands = ArrayList<Command>()
-        for (box in machine.boxes) {
-            if (machine.runOf(box) != null) continue
-            if (box.state != BoxState.EXITED) {
-                commands += Command.Halt(box.task, box.trip, 0.0)
-            } else if (!machine.tainted(box.task, box.trip) &&
-                now >= (machine.reapedAt[box.trip] ?: Moment.NEVER) + RESEND
-            ) {
-                // Not before its outcome stands, and never while a late copy of its start could start it once more.
-                commands += Command.Reap(box.task, box.trip)
-            }
-        }
-        for (run in machine.runs) {
-            when (run.state) {
-                RunState.STOPPING -> if (now >=
-                    run.haltSentAt + RESEND
-                ) {
-                    commands += Command.Halt(run.task, run.trip, graceFor(run))
-                }
-                RunState.STARTING -> if (!run.seen && now >= run.startSentAt + RESEND && context.membership.mayStart) {
-                    commands += Command.Start(run.task, run.trip)
-                }
-                else -> Unit
-            }
-        }
-        return commands.sortedBy { ORDER_OF_COMMANDS.indexOf(it::class) }.take(MOST_COMMANDS)
-    }
-
-    private fun graceFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) 0.0 else run.spec.saveS
-
-    private fun markSent(commands: List<Command>, machine: Machine) {
-        val now = loop.now()
-        for (command in commands) {
-            val run = runs[command.task]?.takeIf {
-                it.trip == command.trip &&
-                    it.machine === machine
-            }
-            when (command) {
-                is Command.Start -> run?.startSentAt = now
-                is Command.Halt -> run?.haltSentAt = now
-                is Command.Reap -> {
-                    machine.reapedAt[command.trip] = now
-                    machine.reapedLast = now
-                }
-            }
-        }
-    }
-
-    private fun taint(machine: Machine, commands: List<Command>, actsUntil: Moment?): List<Taint> {
-        val taints = commands
-            .filterIsInstance<Command.Start>()
-            .map { Taint(it.task, it.trip, machine.session, baton, loop.now(), actsUntil) }
-        machine.taints += taints
-        return taints
-    }
-
-    private fun send(machine: Machine, commands: List<Command>) {
-        if (!context.membership.mayAct) return
-        markSent(commands, machine)
-        val sentAt = loop.now()
-        machine.commandInFlight = true
-        machine.commandSentAt = sentAt
-        val body = WorkerWire.order(baton, machine.session, commands)
-        val mine = taint(machine, commands, actsUntil = null)
-        context.http.call(
-            machine.endpoint,
-            Request(Method.POST, WorkerWire.COMMAND_PATH, body),
-            COMMAND_TIMEOUT,
-        ) { reply ->
-            machine.commandInFlight = false
-            machine.deafSince = if (reply == null) machine.deafSince ?: loop.now() else null
-            if (machines[machine.name] === machine) commanded(machine, reply, mine, sentAt)
-        }
-    }
-
-    private fun commanded(machine: Machine, reply: Reply?, mine: List<Taint>, sentAt: Moment) {
-        // An answer says that this copy was executed or never will be.
-        if (reply?.status == OK || reply?.status == CONFLICT) machine.taints.removeAll(mine.toSet())
-        val report = reply?.let { WorkerWire.parseReport(it.body) }
-        if (report != null && report.machine == machine.name) {
-            if (report.baton >
-                baton
-            ) {
-                log.info("{} obeys a higher baton {} than ours, {}", machine.name, report.baton, baton)
-            }
-            // Asked after its last numbers were taken in, yet it answers with none higher.
-            if (sentAt > machine.takenAt && !report.newerThan(machine.session, machine.tally)) beganAnew(machine, report)
-            hear(report)
-        } else if (reply != null) {
-            log.warn("{} answered a command with {}", machine.name, reply.status)
-        }
-        if (reply != null) settle(machine)
+    /** Takes in the report with which a machine answered a command that was sent at [sentAt]. */
+    private fun heardReply(machine: Machine, report: Report, sentAt: Moment) {
+        // Asked after its last numbers were taken in, yet it answers with none higher.
+        if (sentAt > machine.takenAt && !report.newerThan(machine.session, machine.tally)) beganAnew(machine, report)
+        hear(report)
     }
 
     // ---- the clock ----
@@ -531,14 +383,14 @@
         findMissing(now)
         if (context.membership.mayAct) {
             stragglers.look(machines.values, now).forEach { restart(it) }
-            machines.values.toList().forEach(::settle)
+            machines.values.toList().forEach(commands::settle)
         }
     }
 
     /** A machine that was last answered more than a lease ago has killed its tasks. */
     private fun expire(now: Moment) {
         for (machine in machines.values.toList()) {
-            machine.taints.removeIf { it.actsUntil != null && now >= it.actsUntil }
+            unresolved.forgetExpired(machine, now)
             if (now < machine.answeredAt + context.longestLease) continue
             log.info("{} silent for longer than its lease, {} tasks lost", machine.name, machine.runs.size)
             remove(machine)
@@ -554,7 +406,7 @@
         machines.remove(machine.name)
         context.profiles.forgetMachine(machine.name)
         departures.expired(machine.name, machine.session)
-        machine.runs.toList().forEach { lost(it, "${machine.name} is gone") }
+        machine.runs.toList().forEach { lifecycle.lost(it, "${machine.name} is gone") }
     }
 
     /**
@@ -570,21 +422,8 @@
         }
     }
 
-    /**
-     * Whether a start of unknown outcome holds something up that only a new baton can settle: a late copy of it could
-     * still act, and its machine goes on living. Where direct commands go unanswered that can wait, unless the task is
-     * cancelled: its start, held up on the way for longer than a cancellation allows, must find a higher baton there, which
-     * the answers to reports bring.
-     */
-    fun needsNewBaton(): Boolean {
-        val now = loop.now()
-        return machines.values.any { machine ->
-            now < machine.heardAt + context.silenceLimit && machine.taints.any {
-                it.actsUntil == null && it.baton == baton && now >= it.since + UNSETTLED &&
-                    (!machine.deaf || cancelledWork.isCancelled(it.task.job))
-            }
-        }
-    }
+    /** Whether a start of unknown outcome holds something up that only a new baton can settle. */
+    fun needsNewBaton(): Boolean = unresolved.needHigherToken()
 
     private fun restart(decision: RestartDecision) {
         val run = decision.run
@@ -603,7 +442,7 @@
         if (waiting.isEmpty()) return
         placer.place(waiting, machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        placedOn.forEach(::settle)
+        placedOn.forEach(commands::settle)
         placedOn.clear()
     }
 
@@ -618,7 +457,7 @@
             placedOn += machine
         },
         stop = { stop(it, StopReason.PREEMPTED) },
-        giveBack = { finish(it, RunState.GONE, "no room") },
+        giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
     )
 
     /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
@@ -631,23 +470,13 @@
     fun room(): BlockRoom = summary.room()
 
     companion object {
-        private const val OK = 200
-        private const val CONFLICT = 409
         private const val MOST_IN_VAIN = 4
-        private const val REPORTS_A_REAP = 2
-        private const val MOST_COMMANDS = 200
         private const val BACKOFF_S = 1.0
         private const val BACKOFF_DOUBLINGS = 6
         private const val LONGEST_BACKOFF_S = 60.0
 
-        /** Workers drop answers that come later than 4 s after their report. */
-        private val ANSWER_ACTS = 5.seconds
-        private val UNSETTLED = 5.seconds
         private val SWEEP_PACE = 400.milliseconds
-        private val RESEND = 1000.milliseconds
-        private val COMMAND_TIMEOUT = 1500.milliseconds
         private val SUSPECT = 10.seconds
-        private val ORDER_OF_COMMANDS = listOf(Command.Reap::class, Command.Halt::class, Command.Start::class)
         private val log = LoggerFactory.getLogger("owner")
     }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
@@ -0,0 +1,78 @@
+package copperglade.coordination
+
+import copperglade.protocol.Box
+import copperglade.protocol.BoxState
+import copperglade.protocol.Command
+import copperglade.protocol.Moment
+import kotlin.time.Duration.Companion.milliseconds
+
+/**
+ * Works out which commands a machine's worker is still to be given: starts and stops of its runs, and stops and removals
+ * of tasks that it reports but that no run of ours is bound to (*unknown* tasks).
+ *
+ * Invariant: an attempt whose start is unresolved is never removed from its machine, since a late copy of the start could
+ * run it once more.
+ */
+class CommandPlanner(private val state: BlockState) {
+    private val loop = state.context.loop
+
+    /** The commands due for [machine]: what makes room comes first, as many as one message may hold. */
+    fun dueFor(machine: Machine): List<Command> {
+        val now = loop.now()
+        val commands = ArrayList<Command>()
+        for (reported in machine.boxes) {
+            if (machine.runOf(reported) == null) unknownTaskCommand(machine, reported, now)?.let(commands::add)
+        }
+        for (run in machine.runs) runCommand(run, now)?.let(commands::add)
+        return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MOST_COMMANDS)
+    }
+
+    /** An unknown task is stopped while it lives, and removed once it has ended. */
+    private fun unknownTaskCommand(machine: Machine, reported: Box, now: Moment): Command? {
+        if (reported.state != BoxState.EXITED) return Command.Halt(reported.task, reported.trip, 0.0)
+        // Not before its outcome is on record, and never while a late copy of its start could start it once more.
+        val removalSentAt = machine.reapedAt[reported.trip] ?: Moment.NEVER
+        val removable = !machine.tainted(reported.task, reported.trip) && now >= removalSentAt + RESEND_PAUSE
+        return if (removable) Command.Reap(reported.task, reported.trip) else null
+    }
+
+    private fun runCommand(run: Run, now: Moment): Command? = when (run.state) {
+        RunState.STOPPING -> if (now >= run.haltSentAt + RESEND_PAUSE) {
+            Command.Halt(run.task, run.trip, graceFor(run))
+        } else {
+            null
+        }
+        RunState.STARTING -> if (!run.seen && now >= run.startSentAt + RESEND_PAUSE && state.context.membership.mayStart) {
+            Command.Start(run.task, run.trip)
+        } else {
+            null
+        }
+        else -> null
+    }
+
+    /** A cancelled task gets no time to save. */
+    private fun graceFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) 0.0 else run.spec.saveS
+
+    /** Takes note that [commands] go out to [machine] now: none of them is due again for [RESEND_PAUSE]. */
+    fun markSent(machine: Machine, commands: List<Command>) {
+        val now = loop.now()
+        for (command in commands) {
+            val run = state.runs[command.task]?.takeIf { it.trip == command.trip && it.machine === machine }
+            when (command) {
+                is Command.Start -> run?.startSentAt = now
+                is Command.Halt -> run?.haltSentAt = now
+                is Command.Reap -> {
+                    machine.reapedAt[command.trip] = now
+                    machine.reapedLast = now
+                }
+            }
+        }
+    }
+
+    companion object {
+        /** How long a command has to take effect before it is sent again. */
+        val RESEND_PAUSE = 1000.milliseconds
+        private const val MOST_COMMANDS = 200
+        private val COMMAND_ORDER = listOf(Command.Reap::class, Command.Halt::class, Command.Start::class)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
@@ -0,0 +1,126 @@
+package copperglade.coordination
+
+import copperglade.protocol.Command
+import copperglade.protocol.Endpoint
+import copperglade.protocol.Moment
+import copperglade.protocol.Report
+import copperglade.protocol.WorkerWire
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Sends commands to the workers of a block, directly or with the answers to their reports.
+ *
+ * Invariants: a machine has one direct command under way at most; only a fenced machine is given starts, stops or removals;
+ * direct commands go out only while [Membership.mayAct], asked at the moment of sending. They guard against commands of a
+ * controller that has lost the block, and against acting on what a former owner's commands may still change.
+ */
+class WorkerCommands(
+    private val state: BlockState,
+    private val planner: CommandPlanner,
+    private val unresolved: UnresolvedStarts,
+    private val lifecycle: RunLifecycle,
+    /** Takes in the report with which a machine answered a command that was sent at the given moment. */
+    private val reportReceived: (Machine, Report, Moment) -> Unit,
+) {
+    private val context = state.context
+    private val loop = context.loop
+
+    /** Sends a machine whatever it is still to be told. */
+    fun settle(machine: Machine) {
+        if (!state.open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
+        if (!state.isFenced(machine)) return fence(machine)
+        if (machine.deaf) fence(machine)
+        for (run in machine.runs.toList()) {
+            if (run.state == RunState.STOPPING && !run.seen && run.startSentAt == Moment.NEVER) lifecycle.lost(run, "never sent")
+        }
+        val commands = planner.dueFor(machine)
+        if (commands.any { it !is Command.Reap }) send(machine, commands)
+    }
+
+    /** Shows a machine our fencing token, and asks it for a report, by a message without commands. */
+    fun fence(machine: Machine) {
+        if (!state.open || machine.commandInFlight || loop.now() < machine.commandSentAt + CommandPlanner.RESEND_PAUSE) return
+        send(machine, emptyList())
+    }
+
+    /** Asks the worker at [endpoint], of which nothing is known for certain, for a report; [done] gets null if none comes. */
+    fun probe(endpoint: Endpoint, session: Long, done: (Report?) -> Unit) {
+        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.token, session, emptyList()))
+        context.http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
+            done(reply?.let { WorkerWire.parseReport(it.body) })
+        }
+    }
+
+    /**
+     * The commands that go out with the answer to a fenced machine's report. Where the direct way is broken, that is the
+     * other one; a command in an answer is never executed late. Removals go with it in any case: a message of its own for
+     * every finished task was a third of all commands.
+     */
+    fun withAnswer(machine: Machine): List<Command> {
+        val due = planner.dueFor(machine)
+        val commands = when {
+            machine.deaf && !machine.commandInFlight -> due
+            removalsAreDue(machine) -> due.filterIsInstance<Command.Reap>()
+            else -> emptyList()
+        }
+        if (commands.isNotEmpty()) {
+            planner.markSent(machine, commands)
+            unresolved.begin(machine, commands, actsUntil = loop.now() + ANSWER_LIFETIME)
+        }
+        return commands
+    }
+
+    /**
+     * Every removal makes the worker report once more. So removals wait for a while, until the next start takes them along,
+     * but not where nothing else is left: a machine is idle only once it is empty.
+     */
+    private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.onMachine } ||
+        loop.now() >= machine.reapedLast + context.reportIntervals(REPORTS_PER_REMOVAL)
+
+    private fun send(machine: Machine, commands: List<Command>) {
+        if (!context.membership.mayAct) return
+        planner.markSent(machine, commands)
+        val sentAt = loop.now()
+        machine.commandInFlight = true
+        machine.commandSentAt = sentAt
+        val body = WorkerWire.order(state.token, machine.session, commands)
+        val starts = unresolved.begin(machine, commands, actsUntil = null)
+        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
+        context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
+            machine.commandInFlight = false
+            machine.deafSince = if (reply == null) machine.deafSince ?: loop.now() else null
+            if (state.machines[machine.name] === machine) replied(machine, reply, starts, sentAt)
+        }
+    }
+
+    private fun replied(machine: Machine, reply: Reply?, starts: List<Taint>, sentAt: Moment) {
+        if (reply == null) return
+        if (reply.status == OK || reply.status == CONFLICT) unresolved.resolve(machine, starts)
+        val report = WorkerWire.parseReport(reply.body)
+        if (report != null && report.machine == machine.name) {
+            if (report.baton > state.token) {
+                log.info("{} obeys a higher baton {} than ours, {}", machine.name, report.baton, state.token)
+            }
+            reportReceived(machine, report, sentAt)
+        } else {
+            log.warn("{} answered a command with {}", machine.name, reply.status)
+        }
+        settle(machine)
+    }
+
+    private companion object {
+        const val OK = 200
+        const val CONFLICT = 409
+        const val REPORTS_PER_REMOVAL = 2.0
+        val COMMAND_TIMEOUT = 1500.milliseconds
+
+        /** Workers drop answers that come later than 4 s after their report. */
+        val ANSWER_LIFETIME = 5.seconds
+        val log = LoggerFactory.getLogger("owner")
+    }
+}
