--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -14,14 +14,13 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
-import copperglade.protocol.TaskId
 import copperglade.protocol.WorkerWire
 import copperglade.protocol.secondsSince
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
 import copperglade.storage.StateClient
 import org.slf4j.LoggerFactory
-import kotlin.math.min
+import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
@@ -40,17 +39,16 @@
     private val loop = context.loop
     private val state = BlockState(context, name, first)
 
-    /** By then, every worker that only a former owner answered has lost its lease. */
-    private val strangersGoneAt
-        get() = maxOf(state.grantedAt, context.absences.over) + context.longestLease
     private val runs = state.runs
     private val health = MachineHealth(state)
     private val summary = BlockSummary(state, health)
-    private val failures = HashMap<JobId, Int>()
     private val lifecycle = RunLifecycle(state, outcomes)
     private val planner = CommandPlanner(state)
     private val unresolved = UnresolvedStarts(state, cancelledWork)
     private val commands = WorkerCommands(state, planner, unresolved, lifecycle, ::heardReply)
+    private val stopper = RunStopper(state, lifecycle, commands)
+    private val backoff = RetryBackoff()
+    private val reconciler = RunReconciler(state, cancelledWork, stopper, backoff)
     private val stragglers = StragglerWatch(context, state::requestOf)
     val machines: MutableMap<MachineName, Machine> get() = state.machines
     private val departures = Departures()
@@ -84,76 +82,15 @@
         state.raiseToken(next)
     }
 
-    // ---- records -> runs ----
+    /** Brings the runs of a job in line with its records. */
+    fun sync(job: Job) = reconciler.sync(job)
 
-    /** Brings the runs of a job in line with the records. */
-    fun sync(job: Job) {
-        if (!open) return
-        val live = job.live
-        val spec = job.spec
-        if (live == null || spec == null) {
-            drop(job.id)
-            return
-        }
-        val standing = HashSet<Int>()
-        for (assignment in job.assignments()) {
-            if (assignment.block != name) continue
-            standing += assignment.task
-            val known = runs[TaskId(job.id, assignment.task)]
-            val run = if (known == null ||
-                (known.generation != assignment.generation && known.state == RunState.GONE)
-            ) {
-                val state = if (state.isOwnToken(assignment.baton)) RunState.WAITING else RunState.MISSING
-                val task = TaskId(job.id, assignment.task)
-                val fresh =
-                    Run(task, spec, assignment.generation, live.value.acceptedAtMs, state, loop.now(), runs::moved)
-                fresh.restarted = job.restarted(assignment.task)
-                runs.add(fresh)
-                fresh
-            } else {
-                known
-            }
-            run.reschedule(spec)
-            if (assignment.recalled) stop(run, StopReason.RECALLED)
-            if (job.cancelled) stop(run, StopReason.CANCELLED)
-        }
-        runs.of(job.id).filter { it.task.index !in standing }.forEach(::forget)
-    }
-
-    fun drop(job: JobId) {
-        runs.of(job).toList().forEach(::forget)
-        failures.remove(job)
-    }
-
-    /** The record of its outcome stands; whatever its machine still reports of it is swept up as a stray. */
-    private fun forget(run: Run) {
-        run.unbind()
-        runs.remove(run)
-    }
+    /** The job is over, or nothing is known of it any more. */
+    fun drop(job: JobId) = reconciler.drop(job)
 
+    /** The runs of a job's tasks in this block. */
     fun runsOf(job: JobId): Collection<Run> = runs.of(job)
 
-    /** Stops a run, or gives it back at once where it is on no machine. */
-    private fun stop(run: Run, reason: StopReason) {
-        when (run.state) {
-            RunState.WAITING -> {
-                run.stopFor(reason)
-                lifecycle.finish(run, RunState.GONE, "not started: $reason")
-            }
-            RunState.STARTING, RunState.FETCHING, RunState.RUNNING -> {
-                run.stopFor(reason)
-                run.moveTo(RunState.STOPPING, reason.name, loop.now())
-                run.machine?.let(commands::settle)
-            }
-            RunState.STOPPING -> if (reason == StopReason.CANCELLED ||
-                reason == StopReason.RECALLED
-            ) {
-                run.stopFor(reason)
-            }
-            RunState.MISSING, RunState.DONE, RunState.GONE -> Unit
-        }
-    }
-
     // ---- reports ----
 
     /**
@@ -295,7 +232,7 @@
         run.bind(machine, box.trip)
         run.seen = true
         run.moveTo(RunState.STARTING, "found on ${machine.name}", loop.now())
-        if (cancelledWork.isCancelled(box.task.job)) stop(run, StopReason.CANCELLED)
+        if (cancelledWork.isCancelled(box.task.job)) stopper.stop(run, StopReason.CANCELLED)
     }
 
     private fun observe(run: Run, machine: Machine, box: Box) {
@@ -323,19 +260,19 @@
                 log.warn("{} failed on {}", run.task, machine.name)
                 machine.failedJobs += run.task.job
                 machine.suspectUntil = loop.now() + SUSPECT
-                failed(run, machine, failures.merge(run.task.job, 1, Int::plus) ?: 1)
+                failed(run, machine, backoff.afterFailure(run.task.job))
             }
             ExitCause.STOPPED -> lifecycle.lost(run, "stopped")
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
                 log.info("{} refused by {}: {}", run.task, machine.name, cause)
-                failed(run, machine, 1)
+                failed(run, machine, backoff.afterRefusal())
             }
         }
     }
 
-    private fun failed(run: Run, machine: Machine, times: Int) {
+    private fun failed(run: Run, machine: Machine, pause: Duration) {
         run.avoid += machine.name
-        run.notBefore = loop.now() + min(BACKOFF_S * (1 shl min(times, BACKOFF_DOUBLINGS)), LONGEST_BACKOFF_S).seconds
+        run.notBefore = loop.now() + pause
         lifecycle.lost(run, "failed")
     }
 
@@ -380,7 +317,7 @@
         // Whatever a report or a record changes is seen to at once; the sweep finds what only time has changed.
         nextSweep = now + SWEEP_PACE
         expire(now)
-        findMissing(now)
+        reconciler.releaseMissing(now)
         if (context.membership.mayAct) {
             stragglers.look(machines.values, now).forEach { restart(it) }
             machines.values.toList().forEach(commands::settle)
@@ -409,19 +346,6 @@
         machine.runs.toList().forEach { lifecycle.lost(it, "${machine.name} is gone") }
     }
 
-    /**
-     * A task that no worker reports may be started once every worker that could hold it has been heard under our
-     * baton or has lost its lease. The cloud's list can't shorten the wait: it lags.
-     */
-    private fun findMissing(now: Moment) {
-        val missing = runs.missing
-        if (missing.isEmpty() || now < strangersGoneAt || machines.values.any { !state.isFenced(it) && !it.ours }) return
-        for (run in missing) {
-            run.moveTo(RunState.WAITING, "on no worker", now)
-            if (cancelledWork.isCancelled(run.task.job)) stop(run, StopReason.CANCELLED)
-        }
-    }
-
     /** Whether a start of unknown outcome holds something up that only a new baton can settle. */
     fun needsNewBaton(): Boolean = unresolved.needHigherToken()
 
@@ -431,7 +355,7 @@
         run.restarted = true
         run.straggledS = run.runningSince?.let { loop.now().secondsSince(it) }
         outcomes.note(run)
-        stop(run, StopReason.RESTARTED)
+        stopper.stop(run, StopReason.RESTARTED)
     }
 
     // ---- placing ----
@@ -456,7 +380,7 @@
             run.moveTo(RunState.STARTING, "placed", loop.now())
             placedOn += machine
         },
-        stop = { stop(it, StopReason.PREEMPTED) },
+        stop = { stopper.stop(it, StopReason.PREEMPTED) },
         giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
     )
 
@@ -471,9 +395,6 @@
 
     companion object {
         private const val MOST_IN_VAIN = 4
-        private const val BACKOFF_S = 1.0
-        private const val BACKOFF_DOUBLINGS = 6
-        private const val LONGEST_BACKOFF_S = 60.0
 
         private val SWEEP_PACE = 400.milliseconds
         private val SUSPECT = 10.seconds
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/RunReconciler.kt
@@ -0,0 +1,88 @@
+package copperglade.coordination
+
+import copperglade.protocol.JobId
+import copperglade.protocol.JobSpec
+import copperglade.protocol.Moment
+import copperglade.protocol.TaskId
+import copperglade.storage.Assignment
+import copperglade.storage.Job
+
+/**
+ * Keeps a block's runs in line with the records: a run for each of the block's assignments, and none beside them.
+ *
+ * Invariant: a task that was assigned before our grant counts as [RunState.MISSING] until no worker can hold it any more;
+ * a former owner may have started it.
+ */
+class RunReconciler(
+    private val state: BlockState,
+    private val cancelledWork: CancelledWork,
+    private val stopper: RunStopper,
+    private val backoff: RetryBackoff,
+) {
+    private val context = state.context
+    private val runs = state.runs
+
+    /** By then, every worker that only a former owner answered has lost its lease. */
+    private val formerLeasesOverAt: Moment
+        get() = maxOf(state.grantedAt, context.absences.over) + context.longestLease
+
+    /** Brings the runs of a job in line with its records. */
+    fun sync(job: Job) {
+        if (!state.open) return
+        val live = job.live
+        val spec = job.spec
+        if (live == null || spec == null) {
+            drop(job.id)
+            return
+        }
+        val assigned = HashSet<Int>()
+        for (assignment in job.assignments()) {
+            if (assignment.block != state.name) continue
+            assigned += assignment.task
+            val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
+            run.reschedule(spec)
+            if (assignment.recalled) stopper.stop(run, StopReason.RECALLED)
+            if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
+        }
+        runs.of(job.id).filter { it.task.index !in assigned }.forEach(::forget)
+    }
+
+    /** The run that follows [assignment]. One that was given back is replaced once its task is assigned here anew. */
+    private fun runFor(job: Job, spec: JobSpec, acceptedAtMs: Long, assignment: Assignment): Run {
+        val task = TaskId(job.id, assignment.task)
+        val known = runs[task]
+        val assignedAnew = known != null && known.generation != assignment.generation && known.state == RunState.GONE
+        if (known != null && !assignedAnew) return known
+        val first = if (state.isOwnToken(assignment.baton)) RunState.WAITING else RunState.MISSING
+        val fresh = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
+        fresh.restarted = job.restarted(assignment.task)
+        runs.add(fresh)
+        return fresh
+    }
+
+    /** The job is over, or nothing is known of it any more. */
+    fun drop(job: JobId) {
+        runs.of(job).toList().forEach(::forget)
+        backoff.forget(job)
+    }
+
+    /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
+    private fun forget(run: Run) {
+        run.unbind()
+        runs.remove(run)
+    }
+
+    /**
+     * Lets tasks that no worker reports be started, once every worker that could hold one has been heard under our token
+     * or has lost its lease. The cloud's list of machines can't shorten the wait: it lags.
+     */
+    fun releaseMissing(now: Moment) {
+        val missing = runs.missing
+        if (missing.isEmpty() || now < formerLeasesOverAt) return
+        if (state.machines.values.any { !state.isFenced(it) && !it.ours }) return
+        for (run in missing) {
+            run.moveTo(RunState.WAITING, "on no worker", now)
+            if (cancelledWork.isCancelled(run.task.job)) stopper.stop(run, StopReason.CANCELLED)
+        }
+    }
+}
