--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/ReportIntake.kt
@@ -0,0 +1,104 @@
+package copperglade.coordination
+
+import copperglade.protocol.Command
+import copperglade.protocol.Report
+import copperglade.protocol.WorkerWire
+
+/**
+ * Decides which of the workers' own reports are believed, and how each is answered.
+ *
+ * An answer of 200 renews the worker's lease, so it must be reckoned with whether it arrives or not. Invariants: a late copy
+ * of a report gets no answer and changes nothing; no 200 lacks the stops of the cancelled tasks that the report shows
+ * ([CancelledWork]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
+ * taken for news.
+ */
+class ReportIntake(
+    private val state: BlockState,
+    private val cancelledWork: CancelledWork,
+    private val tracker: MachineTracker,
+    private val commands: WorkerCommands,
+) {
+    private val loop = state.context.loop
+
+    /**
+     * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
+     * that we may act.
+     */
+    fun checkin(report: Report): ByteArray? {
+        if (tracker.isOfDeparted(report)) {
+            tracker.probeDeparted(report)
+            return null
+        }
+        val known = state.machines[report.machine]
+        if (known != null && known.isDoubtful(report)) return answerInDoubt(known, report)
+        if (known != null && known.isCopy(report)) {
+            // A late copy, or a machine that began anew with low numbers: only its answer to a question of ours tells.
+            commands.fence(known)
+            return null
+        }
+        val machine = tracker.hear(report)
+        machine.sentBy(report, loop.now())
+        if (answersDoNotArrive(machine)) {
+            commands.fence(machine)
+            return null
+        }
+        return answerBelieved(machine, report)
+    }
+
+    private fun answerBelieved(machine: Machine, report: Report): ByteArray {
+        machine.answeredAt = loop.now()
+        if (!state.open || !state.isFenced(machine)) {
+            machine.answersInVain++
+            commands.fence(machine)
+            return answer(report)
+        }
+        machine.answersInVain = 0
+        return answer(report, commands.withAnswer(machine))
+    }
+
+    /**
+     * Answers a worker while we may act no more but know of nobody else who would: its lease goes on, and nothing is
+     * commanded but the end of what is cancelled. Null where somebody else has given it commands, or where the machine is
+     * not a fenced one of ours.
+     */
+    fun keep(report: Report): ByteArray? {
+        val known = state.machines[report.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
+        if (report.baton > state.token || known.isDoubtful(report) || known.isCopy(report)) return null
+        tracker.hear(report).sentBy(report, loop.now())
+        known.answeredAt = loop.now()
+        return answer(report)
+    }
+
+    /**
+     * The report may be from before the machine began to count anew. It is not taken in, but while the machine answers our
+     * questions, its lease must go on; a machine that doesn't gets no 200.
+     */
+    private fun answerInDoubt(machine: Machine, report: Report): ByteArray? {
+        commands.fence(machine)
+        if (loop.now() >= machine.heardAt + state.context.silenceLimit) return null
+        machine.reportsArrive(loop.now())
+        machine.answeredAt = loop.now()
+        return answer(report)
+    }
+
+    /**
+     * Whether our answers don't reach a worker whose reports come: it takes up no token of ours. A 200 sent is no proof of
+     * arrival, but it must be reckoned with; so the worker gets none any more, and its lease surely runs out.
+     */
+    private fun answersDoNotArrive(machine: Machine): Boolean =
+        state.open && !state.isFenced(machine) && machine.answersInVain >= MOST_ANSWERS_IN_VAIN
+
+    /** Every answer of 200 is made here: see [CancelledWork] for what none of them may lack. */
+    private fun answer(report: Report, commands: List<Command> = emptyList()): ByteArray {
+        val cancelledStops = cancelledWork.haltsFor(report)
+        if (cancelledStops.isEmpty()) return WorkerWire.answer(state.token, commands)
+        val others = commands.filterNot { command ->
+            command is Command.Halt && cancelledStops.any { it.trip == command.trip && it.task == command.task }
+        }
+        return WorkerWire.answer(state.token, cancelledStops + others)
+    }
+
+    private companion object {
+        const val MOST_ANSWERS_IN_VAIN = 4
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/TaskObserver.kt
@@ -0,0 +1,123 @@
+package copperglade.coordination
+
+import copperglade.bookkeeping.Factors
+import copperglade.bookkeeping.Profile
+import copperglade.protocol.Box
+import copperglade.protocol.BoxState
+import copperglade.protocol.ExitCause
+import copperglade.protocol.JobKind
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Follows from reports what becomes of the tasks on a machine.
+ *
+ * Invariant: only reports of a fenced machine are taken, since on others a former owner's commands may still act. Guards
+ * against a task that is taken for ended and started again while it runs.
+ */
+class TaskObserver(
+    private val state: BlockState,
+    private val cancelledWork: CancelledWork,
+    private val lifecycle: RunLifecycle,
+    private val stopper: RunStopper,
+    private val commands: WorkerCommands,
+    private val backoff: RetryBackoff,
+) {
+    private val context = state.context
+    private val loop = context.loop
+
+    /** Brings the runs in line with what a fenced machine reports, and sends it what follows from that. */
+    fun match(machine: Machine) {
+        for (reported in machine.boxes) adopt(machine, reported)
+        for (run in machine.runs.toList()) {
+            val reported = machine.box(run.task, run.trip)
+            if (reported != null) observe(run, machine, reported) else absent(run, machine)
+        }
+        commands.settle(machine)
+    }
+
+    /** Binds a missing run to the machine on which a former owner started it. */
+    private fun adopt(machine: Machine, reported: Box) {
+        val run = state.runs[reported.task] ?: return
+        if (run.state != RunState.MISSING) return
+        if (reported.state == BoxState.EXITED && reported.cause != ExitCause.DONE) return
+        run.bind(machine, reported.trip)
+        run.seen = true
+        run.moveTo(RunState.STARTING, "found on ${machine.name}", loop.now())
+        if (cancelledWork.isCancelled(reported.task.job)) stopper.stop(run, StopReason.CANCELLED)
+    }
+
+    private fun observe(run: Run, machine: Machine, reported: Box) {
+        run.seen = true
+        val stopping = run.state == RunState.STOPPING
+        when (reported.state) {
+            BoxState.FETCHING, BoxState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
+            BoxState.RUNNING -> {
+                context.types[machine.typeName]?.let { machine.usedImage(run.spec.image, it.cacheGb) }
+                if (!stopping) run.moveTo(RunState.RUNNING, "reported", loop.now())
+            }
+            BoxState.SAVING -> Unit
+            BoxState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
+        }
+    }
+
+    private fun exited(run: Run, machine: Machine, cause: ExitCause) {
+        when (cause) {
+            ExitCause.DONE -> {
+                recordProfile(run, machine)
+                machine.failedJobs.clear()
+                lifecycle.finish(run, RunState.DONE, "completed")
+            }
+            ExitCause.ERROR -> {
+                log.warn("{} failed on {}", run.task, machine.name)
+                machine.failedJobs += run.task.job
+                machine.suspectUntil = loop.now() + SUSPICION
+                failed(run, machine, backoff.afterFailure(run.task.job))
+            }
+            ExitCause.STOPPED -> lifecycle.lost(run, "stopped")
+            ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
+                log.info("{} refused by {}: {}", run.task, machine.name, cause)
+                failed(run, machine, backoff.afterRefusal())
+            }
+        }
+    }
+
+    private fun failed(run: Run, machine: Machine, pause: Duration) {
+        run.avoid += machine.name
+        run.notBefore = loop.now() + pause
+        lifecycle.lost(run, "failed")
+    }
+
+    /** Remembers how long a completed array task ran, for later predictions. */
+    private fun recordProfile(run: Run, machine: Machine) {
+        val began = run.runningSince ?: return
+        val seconds = (loop.now().ms - began.ms) / MILLIS_PER_SECOND
+        if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
+        run.straggledS?.let {
+            log.info("straggler {} done on {}: ran {} s here, {} s before", run.task, machine.name, seconds, it)
+        }
+        context.profiles.record(Profile(machine.name, factors(run, machine), seconds))
+    }
+
+    private fun factors(run: Run, machine: Machine) =
+        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+
+    /** A run that a newer report does not show. */
+    private fun absent(run: Run, machine: Machine) {
+        when {
+            run.seen -> lifecycle.lost(run, "no longer reported")
+            run.state != RunState.STOPPING -> Unit
+            // The start was answered or never sent, and the worker does not have it.
+            !machine.commandInFlight && !machine.tainted(run.task, run.trip) -> lifecycle.lost(run, "never arrived")
+        }
+    }
+
+    private companion object {
+        const val MILLIS_PER_SECOND = 1000.0
+
+        /** Nothing is placed for so long on a machine where a task has failed. */
+        val SUSPICION = 10.seconds
+        val log = LoggerFactory.getLogger("owner")
+    }
+}
