--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -7,7 +7,6 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
-import copperglade.protocol.secondsSince
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
 import copperglade.storage.StateClient
@@ -15,7 +14,15 @@
 
 /**
  * The owner of one block: picks machines for the block's tasks, starts and stops them, and finds out what became of
- * them. It commands workers only while [Membership.mayAct], and only under batons of its own tenure.
+ * them. It commands workers only while [Membership.mayAct], and only under fencing tokens of its own.
+ *
+ * The work is done by its parts, which this class wires and calls in a fixed order:
+ * - [RunReconciler] keeps the runs in line with the records;
+ * - [ReportIntake] decides which reports are believed and answers them, [MachineTracker] follows the machines and
+ *   [TaskObserver] the tasks on them;
+ * - [WorkerCommands] sends what [CommandPlanner] finds due, and [UnresolvedStarts] keeps account of unknown outcomes;
+ * - [BlockPlacement] starts what waits, [StragglerRestarts] restarts stragglers, [RunStopper] and [RunLifecycle] end runs;
+ * - [BlockSummary] describes the machines to others, by the judgement of [MachineHealth].
  */
 class BlockOwner(
     private val context: OwnerContext,
@@ -23,36 +30,37 @@
     val name: BlockName,
     first: Baton,
 ) {
+    private val state = BlockState(context, name, first)
     private val outcomes = OutcomeLog(context.loop, store, context.replica, this)
     private val cancelledWork = CancelledWork(context.replica)
-    private val loop = context.loop
-    private val state = BlockState(context, name, first)
-
-    private val runs = state.runs
     private val health = MachineHealth(state)
     private val summary = BlockSummary(state, health)
     private val lifecycle = RunLifecycle(state, outcomes)
-    private val planner = CommandPlanner(state)
     private val unresolved = UnresolvedStarts(state, cancelledWork)
-    private val commands = WorkerCommands(state, planner, unresolved, lifecycle, ::heardReply)
+    private val commands = WorkerCommands(state, CommandPlanner(state), unresolved, lifecycle, ::heardReply)
     private val stopper = RunStopper(state, lifecycle, commands)
     private val backoff = RetryBackoff()
     private val reconciler = RunReconciler(state, cancelledWork, stopper, backoff)
     private val observer = TaskObserver(state, cancelledWork, lifecycle, stopper, commands, backoff)
     private val tracker = MachineTracker(state, lifecycle, commands, observer, unresolved)
     private val intake = ReportIntake(state, cancelledWork, tracker, commands)
-    private val stragglers = StragglerWatch(context, state::requestOf)
-    val machines: MutableMap<MachineName, Machine> get() = state.machines
+    private val placement = BlockPlacement(state, health, lifecycle, stopper, commands)
+    private val stragglers = StragglerRestarts(state, outcomes, stopper)
     private var nextSweep = Moment.NEVER
 
+    /** The block's machines, as far as their workers have been heard. */
+    val machines: Map<MachineName, Machine> get() = state.machines
+
     /** The fencing token under which workers are commanded now. */
     val baton: Baton get() = state.token
 
     /** Nothing is commanded until the records are known to be as new as the grant. */
     val open: Boolean get() = state.open
 
+    /** Whether [stamp] is one of the fencing tokens that this owner has had. */
     fun holds(stamp: Baton): Boolean = state.isOwnToken(stamp)
 
+    /** The records are known to be as new as the grant: from now on workers are commanded. */
     fun open() {
         state.open = true
         context.replica.jobs.values
@@ -60,15 +68,13 @@
         machines.values.toList().forEach { if (state.isFenced(it)) observer.match(it) }
     }
 
-    /** No longer ours: nothing more is said about it. */
+    /** The block is no longer ours: nothing more is said about it. */
     fun close() {
         state.open = false
     }
 
-    /** The block's key was written anew by ourselves: late copies of older commands die out with the old baton. */
-    fun renew(next: Baton) {
-        state.raiseToken(next)
-    }
+    /** The block's key was written anew by ourselves: workers that see the new token refuse late copies of older commands. */
+    fun renew(next: Baton) = state.raiseToken(next)
 
     /** Brings the runs of a job in line with its records. */
     fun sync(job: Job) = reconciler.sync(job)
@@ -77,7 +83,7 @@
     fun drop(job: JobId) = reconciler.drop(job)
 
     /** The runs of a job's tasks in this block. */
-    fun runsOf(job: JobId): Collection<Run> = runs.of(job)
+    fun runsOf(job: JobId): Collection<Run> = state.runs.of(job)
 
     /**
      * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
@@ -96,20 +102,22 @@
         tracker.hearReply(machine, report, sentAt)
     }
 
-    // ---- the clock ----
-
+    /**
+     * Does what is due by now, always in this order: outcomes are recorded, waiting runs placed, machines dropped whose lease
+     * is over, missing tasks released, stragglers restarted, and commands sent that are due again.
+     */
     fun tick() {
         if (!open) return
         outcomes.flush()
-        val now = loop.now()
-        place(now)
+        val now = context.loop.now()
+        placement.place(now)
         if (now < nextSweep) return
         // Whatever a report or a record changes is seen to at once; the sweep finds what only time has changed.
         nextSweep = now + SWEEP_PACE
         tracker.dropExpired(now)
         reconciler.releaseMissing(now)
         if (context.membership.mayAct) {
-            stragglers.look(machines.values, now).forEach { restart(it) }
+            stragglers.restartWorthwhile(now)
             machines.values.toList().forEach(commands::settle)
         }
     }
@@ -117,44 +125,9 @@
     /** Drops a machine that the cloud has deleted. */
     fun deleted(machine: Machine) = tracker.deleted(machine)
 
-    /** Whether a start of unknown outcome holds something up that only a new baton can settle. */
+    /** Whether a start of unknown outcome holds something up that only a higher fencing token can settle. */
     fun needsNewBaton(): Boolean = unresolved.needHigherToken()
 
-    private fun restart(decision: RestartDecision) {
-        val run = decision.run
-        run.target = decision.target
-        run.restarted = true
-        run.straggledS = run.runningSince?.let { loop.now().secondsSince(it) }
-        outcomes.note(run)
-        stopper.stop(run, StopReason.RESTARTED)
-    }
-
-    // ---- placing ----
-
-    private fun place(now: Moment) {
-        if (!context.membership.mayStart) return
-        val waiting = runs.waiting.filter { now >= it.notBefore }
-        if (waiting.isEmpty()) return
-        placer.place(waiting, machines.values.filter { health.isUsable(it, now) }, now)
-        // All that a machine is to start goes in one message.
-        placedOn.forEach(commands::settle)
-        placedOn.clear()
-    }
-
-    private val placedOn = LinkedHashSet<Machine>()
-
-    private val placer = Placer(
-        context.types,
-        state::requestOf,
-        start = { run, machine ->
-            run.bind(machine, state.nextAttempt())
-            run.moveTo(RunState.STARTING, "placed", loop.now())
-            placedOn += machine
-        },
-        stop = { stopper.stop(it, StopReason.PREEMPTED) },
-        giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
-    )
-
     /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
 
@@ -164,7 +137,7 @@
     /** The capacity of the block's machines, for the leader. */
     fun room(): BlockRoom = summary.room()
 
-    companion object {
-        private val SWEEP_PACE = 400.milliseconds
+    private companion object {
+        val SWEEP_PACE = 400.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/StragglerRestarts.kt
@@ -0,0 +1,28 @@
+package copperglade.coordination
+
+import copperglade.protocol.Moment
+import copperglade.protocol.secondsSince
+
+/**
+ * Restarts stragglers where [StragglerWatch] finds it worth the risk. A task is restarted once at most: that it was is
+ * recorded with its outcome, so that a later owner does not restart it again.
+ */
+class StragglerRestarts(private val state: BlockState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
+    private val watch = StragglerWatch(state.context, state::requestOf)
+
+    /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
+    fun restartWorthwhile(now: Moment) = watch.look(state.machines.values, now).forEach(::restart)
+
+    private fun restart(decision: RestartDecision) {
+        val run = decision.run
+        run.target = decision.target
+        run.restarted = true
+        run.straggledS = run.runningSince?.let {
+            state.context.loop
+                .now()
+                .secondsSince(it)
+        }
+        outcomes.note(run)
+        stopper.stop(run, StopReason.RESTARTED)
+    }
+}
