--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -186,7 +186,9 @@
                 val next = queue.first()
                 if (urgency == Urgency.HOLD) {
                     writes.take(next.transaction.writes.size, loop.now())
-                } else if (inFlight >= MOST_IN_FLIGHT || !writes.tryTake(next.transaction.writes.size, loop.now(), urgency.reserve)) {
+                } else if (inFlight >= MOST_IN_FLIGHT ||
+                    !writes.tryTake(next.transaction.writes.size, loop.now(), reserveFor(urgency, next.transaction))
+                ) {
                     drainLater()
                     return
                 }
@@ -196,6 +198,17 @@
         }
     }
 
+    /**
+     * What doesn't come from a user leaves one change to the next user. With a small share of a small budget the urgency's own
+     * reserve is less than that: on a quiet simulated day with 21 changes a second for three controllers, outcomes took every change as
+     * soon as it was to be had, and 8% of the submissions waited for longer than 300 ms.
+     */
+    private fun reserveFor(urgency: Urgency, transaction: Transaction): Double {
+        if (urgency <= Urgency.ASSIGNMENT) return urgency.reserve
+        val withOneMore = (transaction.writes.size + 1) / writes.capacity
+        return maxOf(urgency.reserve, minOf(withOneMore, MOST_RESERVED))
+    }
+
     private fun drainLater() {
         if (draining) return
         draining = true
@@ -393,6 +406,9 @@
         private const val BURST_S = 0.8
         private const val DEMAND_S = 2.0
         private const val KEPT_FOR_URGENT = 0.2
+
+        /** However small a budget is, what is less urgent gets its turn when so much of the bucket is full. */
+        private const val MOST_RESERVED = 0.8
         private const val LIST_LIMIT = 1000
         private const val MOST_QUEUED = 400
         private const val MOST_IN_FLIGHT = 12
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -10,6 +10,7 @@
 import copperglade.standin.StandInState
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertInstanceOf
+import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** What becomes of transactions that the service's limits don't allow. */
@@ -49,6 +50,28 @@
         assertEquals(TransactionOutcome.NoSuchPermit, outcomeOf(0, listOf(write)))
     }
 
+    /** Milliseconds until a user's change is answered, with [backlog] less urgent ones waiting for a small budget. */
+    private fun userWaitMs(backlog: Urgency): List<Double> {
+        val small = StateClient(loop, network.callerOf("small", loop), AT, StateLimits(1e6, 5.0, 4.0, 12))
+        repeat(200) { small.commit(backlog, Transaction(emptyList(), listOf(set(it)))) {} }
+        return List(20) {
+            sim.run(1500.0 + sim.random.nextInt(200))
+            val askedAt = sim.nowMs
+            var answeredAt = 0.0
+            small.commit(Urgency.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMs }
+            sim.run(1000.0)
+            answeredAt - askedAt
+        }
+    }
+
+    @Test
+    fun `however small the budget is, a user's change finds some of it left by outcomes and clearing up`() {
+        for (backlog in listOf(Urgency.OUTCOME, Urgency.CLEANING)) {
+            val waits = userWaitMs(backlog)
+            assertTrue(waits.all { it in 0.0..30.0 }, "$backlog: $waits")
+        }
+    }
+
     private companion object {
         val AT = Endpoint("10.2.0.1", 2379)
     }
