--- a/src/main/kotlin/copperglade/bookkeeping/Profiles.kt
+++ b/src/main/kotlin/copperglade/bookkeeping/Profiles.kt
@@ -97,7 +97,7 @@
  * The profiles of tasks that finished while this controller watched, and the predictions drawn from them. Nothing is
  * kept across a crash: a new controller predicts nothing until tasks have finished under it.
  */
-class ProfileBook(
+class ProfileStore(
     private val nearest: Int,
     private val steps: Int,
     private val rate: Double,
--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/coordination/Assigner.kt
@@ -42,14 +42,14 @@
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
-    private val roomBook: RoomBook,
-    private val types: TypeBook,
+    private val capacityTable: CapacityTable,
+    private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val objectives: Objectives,
     private val turns: Turns,
     private val noteOf: (MemberId) -> PeerNote?,
 ) {
-    private val writer = AssignmentWriter(loop, store, replica, leadership, roomBook)
+    private val writer = AssignmentWriter(loop, store, replica, leadership, capacityTable)
     private val recall = Recall(teams)
     private var recalledAt = Moment.NEVER
 
@@ -77,17 +77,17 @@
         // for each new service took the whole budget of a grown day's burst, and for 90 s no array was assigned.
         hurriedFrom = now + HURRIED_GATHERING * (1.0 - store.writeLevel())
         if (unhurried) unhurriedFrom = now + SHORTEST_GATHERING + LONGEST_GATHERING * (1.0 - store.writeLevel())
-        val rooms = Rooms(roomBook.rooms(noteOf).filter { it.machine.usable })
-        if (rooms.all.isEmpty()) return
+        val capacities = RoundCapacity(capacityTable.capacities(noteOf).filter { it.machine.usable })
+        if (capacities.all.isEmpty()) return
         val decisions = Decisions()
-        val poolCpus = rooms.all.sumOf { room -> room.machine.free.cpus + room.machine.yielding.sumOf { it.cpus } }.coerceAtLeast(1.0)
+        val poolCpus = capacities.all.sumOf { room -> room.machine.free.cpus + room.machine.yielding.sumOf { it.cpus } }.coerceAtLeast(1.0)
         val (urgent, others) = order(waiting, poolCpus).partition { it.urgent }
         val inTurn = turns.of(others.map(::longWaiting), poolCpus)
         val first = inTurn.mapTo(HashSet()) { it.first }
         val inOrder = urgent.map { it to MOST_TASKS } + inTurn + others.filter { it !in first }.map { it to MOST_TASKS }
         for ((candidate, most) in inOrder) {
             val use = uses[candidate.spec.team] ?: continue
-            assign(candidate, use, rooms, decisions, most)
+            assign(candidate, use, capacities, decisions, most)
         }
         if (unhurried && now >= recalledAt + RECALL_PACE) {
             recalledAt = now
@@ -200,15 +200,15 @@
         return candidates
     }
 
-    private fun assign(candidate: Candidate, use: TeamUse, rooms: Rooms, decisions: Decisions, most: Int) {
+    private fun assign(candidate: Candidate, use: TeamUse, capacities: RoundCapacity, decisions: Decisions, most: Int) {
         val spec = candidate.spec
         val first = use.used + spec.request
         if (!use.team.allows(first.cpus, first.gpus)) return
         val taken = candidate.job.done.clone() as BitSet
         candidate.standing.forEach { taken.set(it.task) }
         val zones = ZoneCount(spec, candidate.standing.map { zoneOf(it.block) })
-        if (rooms.surelyFullFor(spec)) return keepRoom(spec, zones, rooms)
-        val places = places(candidate, zones, rooms).iterator()
+        if (capacities.surelyFullFor(spec)) return keepRoom(spec, zones, capacities)
+        val places = places(candidate, zones, capacities).iterator()
         val choices = ArrayList<Choice>()
         var place = if (places.hasNext()) places.next() else null
         var task = taken.nextClearBit(0)
@@ -220,8 +220,8 @@
                 place = if (places.hasNext()) places.next() else null
             }
             if (place == null) {
-                rooms.fullFor(spec)
-                keepRoom(spec, zones, rooms)
+                capacities.fullFor(spec)
+                keepRoom(spec, zones, capacities)
                 break
             }
             place.take(spec)
@@ -235,8 +235,11 @@
         }
     }
 
-    /** The rooms of a round, and which tasks have found none any more: in an overload, hundreds of jobs ask for the same. */
-    private class Rooms(val all: List<RoomBook.Room>) {
+    /**
+     * The capacity that a round may assign, and which tasks have found none any more: in an overload, hundreds of jobs
+     * ask for the same.
+     */
+    private class RoundCapacity(val all: List<CapacityTable.MachineCapacity>) {
         val blocks: List<BlockName> = all.mapTo(LinkedHashSet()) { it.block }.toList()
         private val unplaced = ArrayList<JobSpec>()
 
@@ -269,7 +272,7 @@
     }
 
     /** A machine with room for tasks of a job, as it is or by stopping lower work, and what a task costs there. */
-    private class Place(val room: RoomBook.Room, val preempts: Boolean, val cost: Double) {
+    private class Place(val room: CapacityTable.MachineCapacity, val preempts: Boolean, val cost: Double) {
         fun holds(spec: JobSpec): Boolean = !room.kept &&
             if (preempts) room.holdsYielding(spec) else spec.request.fitsIn(room.free)
 
@@ -288,22 +291,22 @@
     private fun zoneOf(block: BlockName) = block.text.substringBeforeLast('.')
 
     /** Lets the machine that comes closest to holding the task gather room for it. */
-    private fun keepRoom(spec: JobSpec, zones: ZoneCount, rooms: Rooms) {
-        var roomiest: RoomBook.Room? = null
-        for (room in rooms.all) {
-            if (room.kept || (roomiest != null && room.free.cpus <= roomiest.free.cpus)) continue
+    private fun keepRoom(spec: JobSpec, zones: ZoneCount, capacities: RoundCapacity) {
+        var largest: CapacityTable.MachineCapacity? = null
+        for (room in capacities.all) {
+            if (room.kept || (largest != null && room.free.cpus <= largest.free.cpus)) continue
             val machine = room.machine
-            if (spec.allows(machine.type, machine.zone, machine.spot) && zones.allows(machine.zone)) roomiest = room
+            if (spec.allows(machine.type, machine.zone, machine.spot) && zones.allows(machine.zone)) largest = room
         }
-        roomiest?.kept = true
+        largest?.kept = true
     }
 
     /** The places for a job's tasks, cheapest first, then fullest: weighed once a job, not once a task. */
-    private fun places(candidate: Candidate, zones: ZoneCount, rooms: Rooms): List<Place> {
+    private fun places(candidate: Candidate, zones: ZoneCount, capacities: RoundCapacity): List<Place> {
         val spec = candidate.spec
-        val blocks = blocksFor(candidate, rooms)
+        val blocks = blocksFor(candidate, capacities)
         val places = ArrayList<Place>()
-        for (room in rooms.all) {
+        for (room in capacities.all) {
             if (room.kept) continue
             val fits = spec.request.fitsIn(room.free)
             val preempts = room.holdsYielding(spec)
@@ -319,14 +322,14 @@
     }
 
     /** Where a job's tasks had better be: few blocks have few records of it to write. */
-    private fun blocksFor(candidate: Candidate, rooms: Rooms): Set<BlockName> {
+    private fun blocksFor(candidate: Candidate, capacities: RoundCapacity): Set<BlockName> {
         if (candidate.standing.isNotEmpty()) return candidate.standing.mapTo(HashSet()) { it.block }
-        val all = rooms.blocks
+        val all = capacities.blocks
         val first = Math.floorMod(candidate.job.id.hashCode(), all.size)
         return (0 until FIRST_BLOCKS).mapTo(HashSet()) { all[(first + it) % all.size] }
     }
 
-    private fun cost(spec: JobSpec, room: RoomBook.Room, preempts: Boolean): Double {
+    private fun cost(spec: JobSpec, room: CapacityTable.MachineCapacity, preempts: Boolean): Double {
         val machine = room.machine
         return PlacementCost.of(spec, types[machine.type], machine.spot, spec.image.name in machine.images, preempts)
     }
--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** A task and the room that it is given. */
-class Choice(val task: Int, val room: RoomBook.Room)
+class Choice(val task: Int, val room: CapacityTable.MachineCapacity)
 
 /** What a round of the lead has chosen, by the pages to be written. */
 class Decisions {
@@ -47,7 +47,7 @@
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
-    private val roomBook: RoomBook,
+    private val capacityTable: CapacityTable,
 ) {
     /** Arrays are written again and again while they run, services once: apart, a round of arrays is few sheets. */
     private val packers = JobKind.entries.associateWith { kind ->
@@ -206,7 +206,7 @@
                     log.debug("{} assigned", counts)
                     for ((place, chosen) in choices) {
                         val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
-                        chosen.forEach { roomBook.gave(it.room, outcome.stamp, request) }
+                        chosen.forEach { capacityTable.gave(it.room, outcome.stamp, request) }
                     }
                     replica.applied(transaction, outcome.stamp)
                     settled(sheet, counts)
--- /dev/null
+++ b/src/main/kotlin/copperglade/coordination/CapacityTable.kt
@@ -0,0 +1,63 @@
+package copperglade.coordination
+
+import copperglade.protocol.BlockName
+import copperglade.protocol.JobSpec
+import copperglade.protocol.MachineName
+import copperglade.protocol.MachineRoom
+import copperglade.protocol.MemberId
+import copperglade.protocol.PeerNote
+import copperglade.protocol.Resources
+import copperglade.protocol.Stamp
+import copperglade.storage.Replica
+
+/** The free capacity of each machine, less what the lead has assigned since the owner reported it. */
+class CapacityTable(private val replica: Replica, private val blockMap: BlockMap) {
+    private class Given(val stamp: Stamp, val request: Resources)
+
+    class MachineCapacity(val block: BlockName, val machine: MachineRoom, var free: Resources, val yielding: Array<Resources>) {
+        /** The lowest priority of which something could be stopped here; -1: nothing could. */
+        private val lowestYielding = yielding.indexOfLast { it.cpus > 0.0 }
+
+        /** Whether [spec] could be given room by stopping what is of lower priority. */
+        fun holdsYielding(spec: JobSpec): Boolean = lowestYielding > spec.priority.ordinal && spec.request.fitsIn(withYielding(spec))
+
+        private fun withYielding(spec: JobSpec): Resources {
+            var sum = free
+            for (lower in spec.priority.ordinal + 1..lowestYielding) sum += yielding[lower]
+            return sum
+        }
+
+        /** Kept for a task that doesn't fit yet: small ones must not take every piece of room that comes free. */
+        var kept = false
+    }
+
+    private val given = HashMap<MachineName, MutableList<Given>>()
+
+    /** The capacity of the machines of all blocks whose owners have been heard lately. */
+    fun capacities(noteOf: (MemberId) -> PeerNote?): List<MachineCapacity> {
+        val capacities = ArrayList<MachineCapacity>()
+        for (block in blockMap.all) {
+            val record = replica.blocks[block] ?: continue
+            val note = noteOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
+            val room =
+                note.blocks.firstOrNull { it.block == block && it.baton.number == record.stamp.number } ?: continue
+            for (machine in room.machines) {
+                val free = stillGiven(machine.name, note.cursor).fold(machine.free) { left, gift -> left - gift.request }
+                capacities += MachineCapacity(block, machine, free, machine.yielding.toTypedArray())
+            }
+        }
+        return capacities
+    }
+
+    /** What the owner didn't know of yet when it wrote its note. */
+    private fun stillGiven(machine: MachineName, cursor: Stamp): List<Given> {
+        val gifts = given[machine] ?: return emptyList()
+        gifts.removeIf { it.stamp <= cursor }
+        if (gifts.isEmpty()) given.remove(machine)
+        return gifts
+    }
+
+    fun gave(room: MachineCapacity, stamp: Stamp, request: Resources) {
+        given.getOrPut(room.machine.name) { ArrayList() } += Given(stamp, request)
+    }
+}
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -1,6 +1,6 @@
 package copperglade.coordination
 
-import copperglade.bookkeeping.ProfileBook
+import copperglade.bookkeeping.ProfileStore
 import copperglade.protocol.BadSetting
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
@@ -47,7 +47,7 @@
     private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, tuning)
     private val quiet = minOf(Replica.QUIET, staleness / READINGS_IN_STALENESS)
     private val profiles =
-        ProfileBook(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
+        ProfileStore(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
     private val replica = Replica(loop, store, readers = settings.peers.size + 1, quiet) { spec ->
         profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
     }
@@ -67,7 +67,7 @@
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, vouching)
-    private val types = TypeBook(loop, http, settings.cloud)
+    private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
     private val owner: Owner = Owner(
         OwnerContext(loop, http, replica, membership, types, profiles, tuning, settings.reportS, settings.leaseS, workload, absences),
@@ -88,10 +88,10 @@
         { replica.lead?.value?.member },
         ::heardNote,
     )
-    private val roomBook = RoomBook(replica, blockMap)
+    private val capacityTable = CapacityTable(replica, blockMap)
     private val turns = Turns(tuning.turnAfterS, tuning.turnShare)
     private val assigner =
-        Assigner(loop, store, replica, leadership, roomBook, types, settings.teams, settings.objectives, turns, ::roomNoteOf)
+        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, turns, ::roomNoteOf)
     private val closer = Closer(store, replica, leadership)
     private val fleet = Fleet(
         loop,
@@ -109,7 +109,7 @@
         ::noteOf,
     )
     private val cancellationNews = CancellationNews(loop, http, settings.peers, replica, worthTelling = staleness)
-    private val desk = JobDesk(loop, store, replica, types, settings.teams, cancellationNews)
+    private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationNews)
 
     private val submissions = Latencies(loop, "submissions")
     private val polls = Latencies(loop, "polls")
@@ -202,7 +202,7 @@
         val path = request.path.substringBefore('?')
         when {
             path == WorkerWire.REPORT_PATH -> onPost(request, responder) { checkin(request, responder) }
-            path == UserWire.JOBS_PATH -> onPost(request, responder) { desk.submit(request.body, submissions.timed(responder)) }
+            path == UserWire.JOBS_PATH -> onPost(request, responder) { jobService.submit(request.body, submissions.timed(responder)) }
             path == UserWire.HEALTH_PATH -> if (request.method ==
                 Method.GET
             ) {
@@ -222,8 +222,8 @@
         val id = JobId.parse(rest.removeSuffix("/${UserWire.CANCEL_END}"))
         when {
             id == null -> responder.send(Reply(NOT_FOUND, UserWire.error("no such job")))
-            cancelling -> onPost(request, responder) { desk.cancel(id, responder) }
-            request.method == Method.GET -> desk.poll(id, polls.timed(responder))
+            cancelling -> onPost(request, responder) { jobService.cancel(id, responder) }
+            request.method == Method.GET -> jobService.poll(id, polls.timed(responder))
             else -> wrongMethod(responder)
         }
     }
@@ -239,7 +239,7 @@
         responder.send(
             when {
                 report == null -> Reply(BAD_REQUEST, UserWire.error("not a worker's report"))
-                replica.state != ReplicaState.CURRENT -> JobDesk.later()
+                replica.state != ReplicaState.CURRENT -> JobService.later()
                 else -> owner.checkin(report)
             },
         )
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -93,7 +93,7 @@
     private val replica: Replica,
     private val leadership: Leadership,
     private val membership: Membership,
-    private val types: TypeBook,
+    private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val blockMap: BlockMap,
     private val tuning: Tuning,
--- a/src/main/kotlin/copperglade/coordination/JobDesk.kt
+++ b/src/main/kotlin/copperglade/coordination/JobService.kt
@@ -37,11 +37,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Answers users. Nothing is said of a job that is not durable, or that any later answer could contradict. */
-class JobDesk(
+class JobService(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val types: TypeBook,
+    private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val news: CancellationNews,
 ) {
--- a/src/main/kotlin/copperglade/coordination/TypeBook.kt
+++ b/src/main/kotlin/copperglade/coordination/MachineTypeCatalog.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The cloud's machine types. Prices move, so they are read again now and then. */
-class TypeBook(private val loop: EventLoop, private val http: HttpCaller, private val cloud: Endpoint) {
+class MachineTypeCatalog(private val loop: EventLoop, private val http: HttpCaller, private val cloud: Endpoint) {
     private var types: Map<String, MachineType> = emptyMap()
 
     val known: Boolean get() = types.isNotEmpty()
--- a/src/main/kotlin/copperglade/coordination/Notes.kt
+++ b/src/main/kotlin/copperglade/coordination/Notes.kt
@@ -1,19 +1,12 @@
 package copperglade.coordination
 
-import copperglade.protocol.BlockName
-import copperglade.protocol.JobSpec
-import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.Peer
 import copperglade.protocol.PeerNote
 import copperglade.protocol.PeerWire
-import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
-import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.Urgency
@@ -138,55 +131,3 @@
         private val FRESH_ROUNDABOUT = 4.seconds
     }
 }
-
-/** Room that the lead counts on, less what it has given out since the owner said so. */
-class RoomBook(private val replica: Replica, private val blockMap: BlockMap) {
-    private class Given(val stamp: Stamp, val request: Resources)
-
-    class Room(val block: BlockName, val machine: MachineRoom, var free: Resources, val yielding: Array<Resources>) {
-        /** The lowest priority of which something could be stopped here; -1: nothing could. */
-        private val lowestYielding = yielding.indexOfLast { it.cpus > 0.0 }
-
-        /** Whether [spec] could be given room by stopping what is of lower priority. */
-        fun holdsYielding(spec: JobSpec): Boolean = lowestYielding > spec.priority.ordinal && spec.request.fitsIn(withYielding(spec))
-
-        private fun withYielding(spec: JobSpec): Resources {
-            var sum = free
-            for (lower in spec.priority.ordinal + 1..lowestYielding) sum += yielding[lower]
-            return sum
-        }
-
-        /** Kept for a task that doesn't fit yet: small ones must not take every piece of room that comes free. */
-        var kept = false
-    }
-
-    private val given = HashMap<MachineName, MutableList<Given>>()
-
-    /** The rooms of all blocks whose owners have been heard lately. */
-    fun rooms(noteOf: (MemberId) -> PeerNote?): List<Room> {
-        val rooms = ArrayList<Room>()
-        for (block in blockMap.all) {
-            val record = replica.blocks[block] ?: continue
-            val note = noteOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
-            val room =
-                note.blocks.firstOrNull { it.block == block && it.baton.number == record.stamp.number } ?: continue
-            for (machine in room.machines) {
-                val free = stillGiven(machine.name, note.cursor).fold(machine.free) { left, gift -> left - gift.request }
-                rooms += Room(block, machine, free, machine.yielding.toTypedArray())
-            }
-        }
-        return rooms
-    }
-
-    /** What the owner didn't know of yet when it wrote its note. */
-    private fun stillGiven(machine: MachineName, cursor: Stamp): List<Given> {
-        val gifts = given[machine] ?: return emptyList()
-        gifts.removeIf { it.stamp <= cursor }
-        if (gifts.isEmpty()) given.remove(machine)
-        return gifts
-    }
-
-    fun gave(room: Room, stamp: Stamp, request: Resources) {
-        given.getOrPut(room.machine.name) { ArrayList() } += Given(stamp, request)
-    }
-}
--- a/src/main/kotlin/copperglade/coordination/OwnerContext.kt
+++ b/src/main/kotlin/copperglade/coordination/OwnerContext.kt
@@ -1,6 +1,6 @@
 package copperglade.coordination
 
-import copperglade.bookkeeping.ProfileBook
+import copperglade.bookkeeping.ProfileStore
 import copperglade.storage.Replica
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
@@ -13,8 +13,8 @@
     val http: HttpCaller,
     val replica: Replica,
     val membership: Membership,
-    val types: TypeBook,
-    val profiles: ProfileBook,
+    val types: MachineTypeCatalog,
+    val profiles: ProfileStore,
     val tuning: Tuning,
     val reportS: Double,
     val leaseS: Double,
--- a/src/main/kotlin/copperglade/coordination/Placer.kt
+++ b/src/main/kotlin/copperglade/coordination/Placer.kt
@@ -11,7 +11,7 @@
 
 /** Finds machines of a block for its waiting runs, and says what lower work has to make room. */
 class Placer(
-    private val types: TypeBook,
+    private val types: MachineTypeCatalog,
     private val requestOf: (TaskId) -> Resources?,
     private val start: (Run, Machine) -> Unit,
     private val stop: (Run) -> Unit,
--- a/src/test/kotlin/copperglade/bookkeeping/RiskAssessmentTest.kt
+++ b/src/test/kotlin/copperglade/bookkeeping/RiskAssessmentTest.kt
@@ -66,16 +66,16 @@
         )
     }
 
-    private fun book(times: Map<String, List<Double>>): ProfileBook {
-        val book = ProfileBook(nearest = 8, steps = 2, rate = 0.02, capacity = 100)
-        for ((machine, runs) in times) runs.forEach { book.record(Profile(MachineName(machine), factors, it)) }
-        return book
+    private fun profileStore(times: Map<String, List<Double>>): ProfileStore {
+        val profileStore = ProfileStore(nearest = 8, steps = 2, rate = 0.02, capacity = 100)
+        for ((machine, runs) in times) runs.forEach { profileStore.record(Profile(MachineName(machine), factors, it)) }
+        return profileStore
     }
 
     @Test
     fun `nothing is predicted without history, and a prediction is a range`() {
-        assertNull(book(emptyMap()).predict(MachineName("i-1"), factors))
-        val prediction = book(mapOf("i-1" to listOf(10.0, 12.0, 14.0))).predict(MachineName("i-1"), factors)
+        assertNull(profileStore(emptyMap()).predict(MachineName("i-1"), factors))
+        val prediction = profileStore(mapOf("i-1" to listOf(10.0, 12.0, 14.0))).predict(MachineName("i-1"), factors)
         assertNotNull(prediction)
         assertEquals(10.0, prediction!!.best)
         assertEquals(14.0, prediction.worst)
@@ -83,15 +83,15 @@
 
     @Test
     fun `a task that is merely long is not like the short ones`() {
-        val book = book(mapOf("i-1" to listOf(5.0, 6.0, 7.0, 8.0, 30.0, 31.0, 32.0)))
-        val prediction = book.predict(MachineName("i-2"), factors, doneS = 20.0)
+        val profileStore = profileStore(mapOf("i-1" to listOf(5.0, 6.0, 7.0, 8.0, 30.0, 31.0, 32.0)))
+        val prediction = profileStore.predict(MachineName("i-2"), factors, doneS = 20.0)
         assertEquals(listOf(30.0, 31.0, 32.0), prediction?.timesS)
     }
 
     @Test
     fun `a slow machine is known by its tasks`() {
-        val book = book(mapOf("fast" to List(20) { 10.0 }, "slow" to List(8) { 40.0 }))
-        assertTrue(book.speedOf(MachineName("slow")) < 0.5)
-        assertTrue(book.speedOf(MachineName("fast")) > 1.0)
+        val profileStore = profileStore(mapOf("fast" to List(20) { 10.0 }, "slow" to List(8) { 40.0 }))
+        assertTrue(profileStore.speedOf(MachineName("slow")) < 0.5)
+        assertTrue(profileStore.speedOf(MachineName("fast")) > 1.0)
     }
 }
