--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/coordination/Assigner.kt
@@ -46,11 +46,11 @@
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val objectives: Objectives,
-    private val turns: Turns,
+    private val fairShare: FairShare,
     private val noteOf: (MemberId) -> PeerNote?,
 ) {
     private val writer = AssignmentWriter(loop, store, replica, leadership, capacityTable)
-    private val recall = Recall(teams)
+    private val guaranteePreemption = GuaranteePreemption(teams)
     private var recalledAt = Moment.NEVER
 
     private var unhurriedFrom = Moment.NEVER
@@ -82,9 +82,9 @@
         val decisions = Decisions()
         val poolCpus = capacities.all.sumOf { room -> room.machine.free.cpus + room.machine.yielding.sumOf { it.cpus } }.coerceAtLeast(1.0)
         val (urgent, others) = order(waiting, poolCpus).partition { it.urgent }
-        val inTurn = turns.of(others.map(::longWaiting), poolCpus)
-        val first = inTurn.mapTo(HashSet()) { it.first }
-        val inOrder = urgent.map { it to MOST_TASKS } + inTurn + others.filter { it !in first }.map { it to MOST_TASKS }
+        val fairShares = fairShare.of(others.map(::waitingJob), poolCpus)
+        val first = fairShares.mapTo(HashSet()) { it.first }
+        val inOrder = urgent.map { it to MOST_TASKS } + fairShares + others.filter { it !in first }.map { it to MOST_TASKS }
         for ((candidate, most) in inOrder) {
             val use = uses[candidate.spec.team] ?: continue
             assign(candidate, use, capacities, decisions, most)
@@ -107,7 +107,7 @@
             .filter { !it.guaranteed && it.spec.kind == JobKind.ARRAY && !writer.pends(it.job.id) && it.job.id !in chosen }
             .map { Borrowed(it.job, it.spec, it.standing) }
         val used = uses.mapValues { it.value.used.cpus }
-        for ((job, tasks) in recall.choose(claims, lent, used)) {
+        for ((job, tasks) in guaranteePreemption.choose(claims, lent, used)) {
             tasks.groupBy { it.task / Keys.PAGE_TASKS }.forEach { (page, its) ->
                 if (writer.ready(job, page)) {
                     decisions.recalls[JobPage(job.id, page)] = BitSet().apply { its.forEach { set(it.task) } }
@@ -117,11 +117,11 @@
         }
     }
 
-    private fun longWaiting(candidate: Candidate): LongWaiting<Candidate> {
+    private fun waitingJob(candidate: Candidate): WaitingJob<Candidate> {
         val cpus = candidate.spec.request.cpus
             .coerceAtLeast(SMALLEST_CPUS)
         val begun = candidate.standing.isNotEmpty() || !candidate.job.done.isEmpty
-        return LongWaiting(candidate, candidate.waitedS, cpus, candidate.standing.size * cpus, begun, mayBeInTime(candidate))
+        return WaitingJob(candidate, candidate.waitedS, cpus, candidate.standing.size * cpus, begun, mayBeInTime(candidate))
     }
 
     private val Candidate.waitedS get() = (loop.wallMillis() - job.startableSinceMs) / MS
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -62,7 +62,7 @@
         stalenessLimit = staleness,
         startLimit = quiet * 2,
     )
-    private val absences = Absences(loop, replica, settings.peers.map { it.member }, membership.grace)
+    private val absentOwners = AbsentOwners(loop, replica, settings.peers.map { it.member }, membership.grace)
     private val leadership = Leadership(loop, store, replica, membership, tuning.leadHold)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
@@ -70,7 +70,7 @@
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
     private val owner: Owner = Owner(
-        OwnerContext(loop, http, replica, membership, types, profiles, tuning, settings.reportS, settings.leaseS, workload, absences),
+        OwnerContext(loop, http, replica, membership, types, profiles, tuning, settings.reportS, settings.leaseS, workload, absentOwners),
         store,
         blockMap,
         settings.cloud,
@@ -89,10 +89,10 @@
         ::heardNote,
     )
     private val capacityTable = CapacityTable(replica, blockMap)
-    private val turns = Turns(tuning.turnAfterS, tuning.turnShare)
+    private val fairShare = FairShare(tuning.turnAfterS, tuning.turnShare)
     private val assigner =
-        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, turns, ::roomNoteOf)
-    private val closer = Closer(store, replica, leadership)
+        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::roomNoteOf)
+    private val jobFinalizer = JobFinalizer(store, replica, leadership)
     private val fleet = Fleet(
         loop,
         http,
@@ -121,9 +121,9 @@
     val clusterHandler = workload.measured(RequestHandler(::handlePeer))
 
     fun start() {
-        replica.listen(absences)
+        replica.listen(absentOwners)
         replica.listen(owner)
-        replica.listen(closer)
+        replica.listen(jobFinalizer)
         replica.listen { touched -> touched.notes.mapNotNull(PeerWire::decode).forEach(notes::receiveRoundabout) }
         membership.onChange = owner::reconcile
         types.start()
@@ -149,7 +149,7 @@
         if (leadership.leading) {
             granter.round()
             assigner.round()
-            closer.round()
+            jobFinalizer.round()
         }
         shareBudget()
     }
--- a/src/main/kotlin/copperglade/coordination/DeadlinePlan.kt
+++ b/src/main/kotlin/copperglade/coordination/DeadlinePlan.kt
@@ -65,7 +65,7 @@
 }
 
 /** A job that waits: how long it has, how many of its CPUs run, and whether any task of it has ever begun. */
-class LongWaiting<T>(
+class WaitingJob<T>(
     val job: T,
     val waitedS: Double,
     val taskCpus: Double,
@@ -80,22 +80,22 @@
  * tasks, whatever else waits; and what can't be in time any more shares a part of the machines in order of arrival, small
  * at first and larger the longer the first of them has waited. The rest, and so nearly all jobs in time, stays the plan's.
  */
-class Turns(private val afterS: Double, private val share: Double) {
+class FairShare(private val afterS: Double, private val share: Double) {
     /** How many tasks of which jobs come before the plan's. */
-    fun <T> of(jobs: List<LongWaiting<T>>, poolCpus: Double): List<Pair<T, Int>> {
+    fun <T> of(jobs: List<WaitingJob<T>>, poolCpus: Double): List<Pair<T, Int>> {
         val waiting = jobs.filter { it.waitedS >= afterS }.sortedByDescending { it.waitedS }
         val late = waiting.filter { !it.mayBeInTime }
         val growth = (late.firstOrNull()?.waitedS ?: 0.0) / afterS
         var left = poolCpus * min(share * growth, max(share, LARGEST_SHARE)) - late.sumOf { it.runningCpus }
-        val turns = ArrayList<Pair<T, Int>>()
+        val shares = ArrayList<Pair<T, Int>>()
         for (job in waiting) {
             var tasks = if (job.begun) 0 else FIRST_TASKS
             if (!job.mayBeInTime && left > 0.0) tasks = maxOf(tasks, (left / job.taskCpus).toInt())
             if (tasks == 0) continue
             left -= tasks * job.taskCpus
-            turns += job.job to tasks
+            shares += job.job to tasks
         }
-        return turns
+        return shares
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -102,12 +102,12 @@
 ) {
     private data class Kind(val type: String, val zone: String, val spot: Boolean)
 
-    private class Hired(val kind: Kind, val at: Moment)
+    private class RentedMachine(val kind: Kind, val at: Moment)
 
     private var listed: Map<MachineName, ListedMachine> = emptyMap()
     private var listedAt = Moment.NEVER
     private var listing = false
-    private val hired = HashMap<MachineName, Hired>()
+    private val rentedMachines = HashMap<MachineName, RentedMachine>()
     private val pending = HashMap<Kind, Int>()
     private val refusedUntil = HashMap<Kind, Moment>()
     private val heardAt = HashMap<MachineName, Moment>()
@@ -127,7 +127,7 @@
     /** What a former spell of leading left is out of date. */
     private fun forget() {
         listedAt = Moment.NEVER
-        hired.clear()
+        rentedMachines.clear()
         retire = emptyList()
         heardAt.clear()
         levelAt = Moment.NEVER
@@ -177,7 +177,7 @@
                 listing = false
                 listedAt = loop.now()
                 listed = gathered
-                gathered.keys.forEach(hired::remove)
+                gathered.keys.forEach(rentedMachines::remove)
             }
         }
     }
@@ -234,37 +234,37 @@
         }
     }
 
-    private class Stock(var ordinary: Double, var spot: Double)
+    private class Inventory(var ordinary: Double, var spot: Double)
 
     private fun adjust(now: Moment, rooms: Map<MachineName, MachineRoom>) {
-        hired.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds }
+        rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds }
         val counts = HashMap<Kind, Int>()
-        val stock = Stock(0.0, 0.0)
+        val inventory = Inventory(0.0, 0.0)
         for (machine in listed.values) {
             val kind = Kind(machine.type, machine.zone, machine.spot)
             if (machine.name in deletedAt || isDead(machine, now)) continue
             if (rooms[machine.name]?.worthKeeping == false && now.secondsSince(heardAt[machine.name] ?: now) < UNHEARD_S) continue
-            count(kind, 1, counts, stock)
+            count(kind, 1, counts, inventory)
         }
-        for (hire in hired.values) count(hire.kind, 1, counts, stock)
-        for ((kind, number) in pending) count(kind, number, counts, stock)
+        for (machine in rentedMachines.values) count(machine.kind, 1, counts, inventory)
+        for ((kind, number) in pending) count(kind, number, counts, inventory)
 
         val ordinaryTarget = ordinaryLevel * tuning.headroom
         val flexibleTarget = flexibleLevel * tuning.headroom
-        var ordinaryMissing = ordinaryTarget - stock.ordinary
+        var ordinaryMissing = ordinaryTarget - inventory.ordinary
         val spare = max(0.0, -ordinaryMissing)
-        var flexibleMissing = flexibleTarget - stock.spot - spare
+        var flexibleMissing = flexibleTarget - inventory.spot - spare
         if (flexibleMissing > 0) flexibleMissing -= rent(flexibleMissing, spot = true, counts, now)
         if (flexibleMissing > 0) ordinaryMissing = max(0.0, ordinaryMissing) + flexibleMissing
         if (ordinaryMissing > 0) rent(ordinaryMissing, spot = false, counts, now)
         rentBound(rooms, counts, now)
-        retire = if (flexibleMissing > 0 || ordinaryMissing > 0) unusable(rooms) else idle(rooms, stock, ordinaryTarget, flexibleTarget)
+        retire = if (flexibleMissing > 0 || ordinaryMissing > 0) unusable(rooms) else idle(rooms, inventory, ordinaryTarget, flexibleTarget)
     }
 
-    private fun count(kind: Kind, number: Int, counts: HashMap<Kind, Int>, stock: Stock) {
+    private fun count(kind: Kind, number: Int, counts: HashMap<Kind, Int>, inventory: Inventory) {
         counts.merge(kind, number, Int::plus)
         val cpus = (types[kind.type]?.capacity?.cpus ?: 0.0) * number
-        if (kind.spot) stock.spot += cpus else stock.ordinary += cpus
+        if (kind.spot) inventory.spot += cpus else inventory.ordinary += cpus
     }
 
     /** What waits for room that only some machines can give is rented for beside the rest, unless such machines are on their way. */
@@ -277,7 +277,7 @@
             val allowed = { kind: Kind -> binding.allows(kind.type, kind.zone, kind.spot) }
             val coming = listed.values
                 .filter { it.name !in rooms && it.name !in deletedAt && !isDead(it, now) }
-                .map { Kind(it.type, it.zone, it.spot) } + hired.values.map { it.kind } +
+                .map { Kind(it.type, it.zone, it.spot) } + rentedMachines.values.map { it.kind } +
                 pending.flatMap { (kind, number) -> List(number) { kind } }
             val comingCpus = coming.filter(allowed).sumOf { types[it.type]?.capacity?.cpus ?: 0.0 }
             var missing = work.cpus - comingCpus - BoundDemand.room(binding, work, rooms.values)
@@ -299,7 +299,7 @@
             val share = kinds.count { it.second === type }
             val number = ceil(missing / type.capacity.cpus / share).toInt().coerceIn(1, CloudWire.MOST_RENTED)
             if (!budget.tryTake(1, now)) break
-            hire(kind, number)
+            requestMachines(kind, number)
             missing -= number * type.capacity.cpus
             asked += number * type.capacity.cpus
         }
@@ -308,7 +308,7 @@
 
     private fun pricePerCpu(type: MachineType, spot: Boolean) = (if (spot) type.spotPrice else type.price) / type.capacity.cpus
 
-    private fun hire(kind: Kind, number: Int) {
+    private fun requestMachines(kind: Kind, number: Int) {
         val incarnation = membership.incarnation ?: return
         // The incarnation is never given twice, so no other life and no other controller uses this name.
         val name = "r-$incarnation-${++rentals}"
@@ -323,7 +323,7 @@
             when {
                 rented != null -> {
                     log.info("rented {} of {} {}", rented.size, number, kind)
-                    rented.forEach { hired[it] = Hired(kind, loop.now()) }
+                    rented.forEach { rentedMachines[it] = RentedMachine(kind, loop.now()) }
                     pending -= kind
                     if (rented.size < number) refusedUntil[kind] = loop.now() + REFUSED
                 }
@@ -346,7 +346,7 @@
 
     private fun idle(
         rooms: Map<MachineName, MachineRoom>,
-        stock: Stock,
+        inventory: Inventory,
         ordinaryTarget: Double,
         flexibleTarget: Double,
     ): List<MachineName> {
@@ -362,14 +362,14 @@
         for (room in candidates) {
             val cpus = types[room.type]?.capacity?.cpus ?: continue
             if (free < cpus) break
-            val ordinary = stock.ordinary - if (room.spot) 0.0 else cpus
-            val spot = stock.spot - if (room.spot) cpus else 0.0
+            val ordinary = inventory.ordinary - if (room.spot) 0.0 else cpus
+            val spot = inventory.spot - if (room.spot) cpus else 0.0
             val spare = ordinary - ordinaryTarget
             val enough = spare >= 0.0 && spot + spare >= flexibleTarget
             if (!enough) continue
             free -= cpus
-            stock.ordinary = ordinary
-            stock.spot = spot
+            inventory.ordinary = ordinary
+            inventory.spot = spot
             chosen += room.name
         }
         return chosen
--- a/src/main/kotlin/copperglade/coordination/Recall.kt
+++ b/src/main/kotlin/copperglade/coordination/GuaranteePreemption.kt
@@ -17,7 +17,7 @@
  * What to stop so that teams get their guarantees: work that other teams run beyond their own. Saved progress first, then
  * what was assigned last, which has least to lose; never more than the claims need, nor than a team has borrowed.
  */
-class Recall(private val teams: Map<TeamName, Team>) {
+class GuaranteePreemption(private val teams: Map<TeamName, Team>) {
     /** The tasks to recall, by job. */
     fun choose(claims: List<Claim>, lent: List<Borrowed>, usedCpus: Map<TeamName, Double>): Map<Job, List<Assignment>> {
         var needed = neededCpus(claims, usedCpus)
--- a/src/main/kotlin/copperglade/coordination/Closer.kt
+++ b/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
@@ -18,10 +18,10 @@
 import kotlin.math.min
 
 /**
- * The lead's clearing up: a job that is over, with nothing of it left on any machine, becomes a small final record.
+ * The lead's cleanup: a job that is over, with nothing of it left on any machine, becomes a small final record.
  * Several share a transaction. What sheets still say of them goes with the sheets' next rewrite.
  */
-class Closer(
+class JobFinalizer(
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
@@ -44,7 +44,7 @@
         }
         val jobsAtOnce = min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_A_JOB).coerceAtLeast(1)
         over.chunked(jobsAtOnce).forEachIndexed { index, jobs ->
-            if (index < MOST_IN_FLIGHT) close(jobs) else jobs.forEach { lookAgain(it.id) }
+            if (index < MOST_IN_FLIGHT) finalize(jobs) else jobs.forEach { lookAgain(it.id) }
         }
     }
 
@@ -52,7 +52,7 @@
         changed?.add(job)
     }
 
-    private fun close(jobs: List<Job>) {
+    private fun finalize(jobs: List<Job>) {
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
         conditions += leadership.condition
--- a/src/main/kotlin/copperglade/coordination/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/coordination/MachineTracker.kt
@@ -22,7 +22,7 @@
     private val context = state.context
     private val loop = context.loop
     private val machines = state.machines
-    private val departures = Departures()
+    private val removedMachines = RemovedMachines()
 
     /** Dropped machines that have just been asked whether they live. */
     private val probed = HashSet<MachineName>()
@@ -48,18 +48,18 @@
     }
 
     /** Whether [report] is of a machine that was dropped, and from before that or from a count begun anew. */
-    fun isOfDeparted(report: Report): Boolean = departures.covers(report)
+    fun isOfRemovedMachine(report: Report): Boolean = removedMachines.covers(report)
 
     /** Asks a machine that was dropped whether it lives; late copies of its reports get no answer. */
-    fun probeDeparted(report: Report) {
-        if (!state.open || departures.forGood(report.machine) || !probed.add(report.machine)) return
+    fun probeRemovedMachine(report: Report) {
+        if (!state.open || removedMachines.forGood(report.machine) || !probed.add(report.machine)) return
         commands.probe(report.endpoint, report.session) { answer ->
             probed -= report.machine
-            if (answer != null && answer.machine == report.machine && departures.knows(answer.machine)) {
+            if (answer != null && answer.machine == report.machine && removedMachines.knows(answer.machine)) {
                 log.info("{} is back in session {}", answer.machine, answer.session)
-                val departed = departures.sessionOf(answer.machine)
-                hear(answer).doubtUpTo(departed, Long.MAX_VALUE)
-                departures.isBack(answer.machine)
+                val removedSession = removedMachines.sessionOf(answer.machine)
+                hear(answer).doubtUpTo(removedSession, Long.MAX_VALUE)
+                removedMachines.isBack(answer.machine)
             }
         }
     }
@@ -77,11 +77,11 @@
     /** Drops a machine that the cloud has deleted. Machine names are never given again. */
     fun deleted(machine: Machine) {
         drop(machine)
-        departures.deleted(machine.name)
+        removedMachines.deleted(machine.name)
     }
 
     private fun discover(report: Report): Machine {
-        val sessionIsOurs = departures.knows(report.machine)
+        val sessionIsOurs = removedMachines.knows(report.machine)
         val fresh = Machine(report.machine, report.zone, report.spot, report.type, report.endpoint, loop.now(), sessionIsOurs)
         context.replica.images[state.name]
             ?.value
@@ -109,7 +109,7 @@
     private fun drop(machine: Machine) {
         machines.remove(machine.name)
         context.profiles.forgetMachine(machine.name)
-        departures.expired(machine.name, machine.session)
+        removedMachines.expired(machine.name, machine.session)
         loseAll(machine, "${machine.name} is gone")
     }
 
--- a/src/main/kotlin/copperglade/coordination/Membership.kt
+++ b/src/main/kotlin/copperglade/coordination/Membership.kt
@@ -125,8 +125,9 @@
         get() = mayAct && (loop.now() < replica.asOf + startLimit || loop.now() < vouching.vouchedUntil)
 
     /**
-     * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the hold has run out
-     * without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over reckon with it ([Absences]).
+     * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the hold has run
+     * out without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over reckon with it
+     * ([AbsentOwners]).
      */
     val mayKeep: Boolean
         get() = state == MemberState.MEMBER && loop.now() < minOf(hold.renewedAt, replica.asOf) + stalenessLimit
--- a/src/main/kotlin/copperglade/coordination/OwnerContext.kt
+++ b/src/main/kotlin/copperglade/coordination/OwnerContext.kt
@@ -19,7 +19,7 @@
     val reportS: Double,
     val leaseS: Double,
     val workload: Workload,
-    val absences: Absences,
+    val absentOwners: AbsentOwners,
 ) {
     /** After so long without an answer a worker's lease has run out for certain, whatever its clock's drift. */
     val longestLease: Duration get() = (leaseS * (1 + Hold.DRIFT) + LEASE_MARGIN_S).seconds
--- a/src/main/kotlin/copperglade/coordination/Departures.kt
+++ b/src/main/kotlin/copperglade/coordination/RemovedMachines.kt
@@ -4,10 +4,10 @@
 import copperglade.protocol.Report
 
 /**
- * Machines that were dropped, so that late copies of their reports bring none of them back. Reports may arrive minutes
+ * Machines that were removed, so that late copies of their reports bring none of them back. Reports may arrive minutes
  * after they were sent; one of a machine that is gone would otherwise look like a machine with room.
  */
-class Departures {
+class RemovedMachines {
     /** The highest session that a report may be of and still be old. */
     private val sessions = object : LinkedHashMap<MachineName, Long>() {
         override fun removeEldestEntry(eldest: MutableMap.MutableEntry<MachineName, Long>?) = size > MOST
@@ -26,7 +26,7 @@
 
     fun sessionOf(machine: MachineName): Long = sessions[machine] ?: 0L
 
-    /** Whether [report] is from before the departure, or of a machine that counts from the start again. */
+    /** Whether [report] is from before the removal, or of a machine that counts from the start again. */
     fun covers(report: Report): Boolean = sessions[report.machine]?.let { report.session <= it } ?: false
 
     /** Whether nothing can ever be heard of the machine again. */
--- a/src/main/kotlin/copperglade/coordination/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/coordination/ReportIntake.kt
@@ -25,8 +25,8 @@
      * that we may act.
      */
     fun checkin(report: Report): ByteArray? {
-        if (tracker.isOfDeparted(report)) {
-            tracker.probeDeparted(report)
+        if (tracker.isOfRemovedMachine(report)) {
+            tracker.probeRemovedMachine(report)
             return null
         }
         val known = state.machines[report.machine]
--- a/src/main/kotlin/copperglade/coordination/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/coordination/RunReconciler.kt
@@ -24,7 +24,7 @@
 
     /** By then, every worker that only a former owner answered has lost its lease. */
     private val formerLeasesOverAt: Moment
-        get() = maxOf(state.grantedAt, context.absences.over) + context.longestLease
+        get() = maxOf(state.grantedAt, context.absentOwners.over) + context.longestLease
 
     /** Brings the runs of a job in line with its records. */
     fun sync(job: Job) {
