--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -13,14 +13,14 @@
 import copperglade.storage.Job
 import copperglade.storage.JobPage
 import copperglade.storage.Keys
+import copperglade.storage.PackedWrite
 import copperglade.storage.RecordCodec
+import copperglade.storage.RecordPacker
 import copperglade.storage.Replica
-import copperglade.storage.SheetPacker
-import copperglade.storage.SheetWrite
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.UnsettledSheets
+import copperglade.storage.UnresolvedWrites
 import copperglade.storage.Urgency
 import copperglade.storage.WorkPlace
 import copperglade.transport.EventLoop
@@ -49,18 +49,18 @@
     private val leadership: Leadership,
     private val capacityTable: CapacityTable,
 ) {
-    /** Arrays are written again and again while they run, services once: apart, a round of arrays is few sheets. */
+    /** Arrays are written again and again while they run, services once: apart, a round of arrays is few packed records. */
     private val packers = JobKind.entries.associateWith { kind ->
-        SheetPacker(
+        RecordPacker(
             replica,
             store.limits,
-            Keys.sheetsOf(kind),
+            Keys.assignmentRecords(kind),
             { job, page -> job.pages[page] },
             { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
         )
     }
 
-    private val unsettled = UnsettledSheets(loop, store, replica, Urgency.ASSIGNMENT) { leadership.condition }
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.ASSIGNMENT) { leadership.condition }
 
     /** Tasks whose assignment is on its way or of unknown outcome: they count as assigned. */
     private val pending = HashMap<JobId, Int>()
@@ -147,8 +147,8 @@
         // No more than can be written now: what must wait is decided later, with more room at a time. Otherwise a
         // queue of decisions about lesser work would hold up the urgent ones behind it.
         var affordable = store.affordableAssignments()
-        for (sheet in pack(changes)) {
-            val urgent = sheet.places.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
+        for (packedWrite in pack(changes)) {
+            val urgent = packedWrite.places.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
             if (!urgent) {
                 // However little there is, some of it is theirs.
                 if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + LONGEST_WITHOUT) {
@@ -158,7 +158,7 @@
                 unhurriedWrittenAt = loop.now()
             }
             affordable--
-            commit(sheet, sheet.places.associateWith { chosen.getValue(it) })
+            commit(packedWrite, packedWrite.places.associateWith { chosen.getValue(it) })
         }
     }
 
@@ -180,24 +180,24 @@
     }
 
     /** Services first: they are the urgent ones as a rule. */
-    private fun pack(changes: Map<JobPage, ByteArray>): List<SheetWrite> = packers.entries
+    private fun pack(changes: Map<JobPage, ByteArray>): List<PackedWrite> = packers.entries
         .sortedBy { it.key != JobKind.SERVICE }
         .flatMap { (kind, packer) -> packer.pack(changes.filterKeys { replica.jobs[it.job]?.spec?.kind == kind }) }
 
-    private fun commit(sheet: SheetWrite, choices: Map<JobPage, List<Choice>>) {
+    private fun commit(packedWrite: PackedWrite, choices: Map<JobPage, List<Choice>>) {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
-        conditions += sheet.condition
+        conditions += packedWrite.condition
         for ((place, chosen) in choices) {
             conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveStamp())
             chosen.mapTo(conditions) { Condition(Keys.block(it.room.block), replica.blocks.getValue(it.room.block).stamp) }
         }
         if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
-        val transaction = Transaction(conditions.toList(), listOf(sheet.write))
+        val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
         val counts = HashMap<JobId, Int>()
         choices.forEach { (place, chosen) -> counts.merge(place.job, chosen.size, Int::plus) }
         counts.forEach { (job, count) -> pending.merge(job, count, Int::plus) }
-        sheet.packer.begin(sheet)
+        packedWrite.packer.begin(packedWrite)
         val spell = term
         store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
             if (spell != term) return@commit
@@ -209,15 +209,15 @@
                         chosen.forEach { capacityTable.gave(it.room, outcome.stamp, request) }
                     }
                     replica.applied(transaction, outcome.stamp)
-                    settled(sheet, counts)
+                    settled(packedWrite, counts)
                 }
-                TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(sheet, counts) }
+                TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(packedWrite, counts) }
                 // Somebody cancelled, a block changed hands: surely not applied, but what stood in the way must be known.
-                is TransactionOutcome.Conflict -> replica.fresh { if (spell == term) settled(sheet, counts) }
+                is TransactionOutcome.Conflict -> replica.fresh { if (spell == term) settled(packedWrite, counts) }
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
                 TransactionOutcome.Unknown, TransactionOutcome.NoSuchPermit ->
-                    unsettled.settle(sheet, ours = { spell == term }) { settled(sheet, counts) }
+                    unresolvedWrites.resolve(packedWrite, ours = { spell == term }) { settled(packedWrite, counts) }
             }
         }
     }
@@ -229,7 +229,7 @@
         val changes = part.mapValues { (place, chosen) ->
             RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, recalls = null))
         }
-        pack(changes).forEach { sheet -> commit(sheet, sheet.places.associateWith { part.getValue(it) }) }
+        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { part.getValue(it) }) }
     }
 
     /** Half of the pages, or half of the tasks where there is one page. */
@@ -238,8 +238,8 @@
         return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
     }
 
-    private fun settled(sheet: SheetWrite, counts: Map<JobId, Int>) {
-        sheet.packer.end(sheet)
+    private fun settled(packedWrite: PackedWrite, counts: Map<JobId, Int>) {
+        packedWrite.packer.end(packedWrite)
         counts.forEach { (job, count) -> pending.computeIfPresent(job) { _, sum -> (sum - count).takeIf { it > 0 } } }
     }
 
--- a/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
@@ -19,7 +19,7 @@
 
 /**
  * The lead's cleanup: a job that is over, with nothing of it left on any machine, becomes a small final record.
- * Several share a transaction. What sheets still say of them goes with the sheets' next rewrite.
+ * Several share a transaction. What packed records still say of them goes with the packed records' next rewrite.
  */
 class JobFinalizer(
     private val store: StateClient,
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -7,14 +7,14 @@
 import copperglade.storage.Job
 import copperglade.storage.JobPage
 import copperglade.storage.Keys
+import copperglade.storage.PackedWrite
 import copperglade.storage.RecordCodec
+import copperglade.storage.RecordPacker
 import copperglade.storage.Replica
-import copperglade.storage.SheetPacker
-import copperglade.storage.SheetWrite
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.UnsettledSheets
+import copperglade.storage.UnresolvedWrites
 import copperglade.storage.Urgency
 import copperglade.storage.WorkPlace
 import copperglade.storage.WorkRecord
@@ -23,9 +23,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Writes down what became of a block's tasks. Outcomes of many jobs share a sheet, and are gathered first: for longer
- * the scarcer the write budget, and for longest while the page has more tasks to come here. Until it is written down
- * that a task is done, its box stays on its machine, so that a new owner finds it.
+ * Writes down what became of a block's tasks. Outcomes of many jobs share a packed record, and are gathered first: for
+ * longer the scarcer the write budget, and for longest while the page has more tasks to come here. Until it is written
+ * down that a task is done, its box stays on its machine, so that a new owner finds it.
  */
 class OutcomeLog(
     private val loop: EventLoop,
@@ -33,20 +33,20 @@
     private val replica: Replica,
     private val owner: BlockOwner,
 ) {
-    private val packer = SheetPacker(
+    private val packer = RecordPacker(
         replica,
         store.limits,
-        Keys.workSheets(owner.name),
+        Keys.outcomeRecords(owner.name),
         { job, page -> job.works[WorkPlace(page, owner.name)] },
         { job, page -> job.works[WorkPlace(page, owner.name)]?.let { RecordCodec.encode(it.value) } },
     )
-    private val unsettled = UnsettledSheets(loop, store, replica, Urgency.OUTCOME, ::ownership)
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.OUTCOME, ::ownership)
     private val dirtySince = LinkedHashMap<JobPage, Moment>()
 
     /** Pages with tasks given back, which somebody else could run. */
     private val hasty = HashSet<JobPage>()
 
-    /** A transaction's conditions are the block, the sheet and a job for each page. */
+    /** A transaction's conditions are the block, the packed record and a job for each page. */
     private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
 
     fun note(run: Run) {
@@ -85,29 +85,29 @@
         it.task.index / Keys.PAGE_TASKS == place.page && it.state != RunState.DONE && it.state != RunState.GONE
     }
 
-    private fun write(sheet: SheetWrite) {
+    private fun write(packedWrite: PackedWrite) {
         val conditions = LinkedHashSet<Condition>()
         conditions += ownership()
-        conditions += sheet.condition
+        conditions += packedWrite.condition
         // The live record changes with a cancellation, after which nothing may become done any more.
-        sheet.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveStamp()) }
-        val transaction = Transaction(conditions.toList(), listOf(sheet.write))
-        packer.begin(sheet)
-        val since = sheet.places.associateWith { dirtySince.remove(it) ?: loop.now() }
+        packedWrite.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveStamp()) }
+        val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
+        packer.begin(packedWrite)
+        val since = packedWrite.places.associateWith { dirtySince.remove(it) ?: loop.now() }
         store.commit(Urgency.OUTCOME, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
-                packer.end(sheet)
+                packer.end(packedWrite)
                 replica.applied(transaction, outcome.stamp)
                 return@commit
             }
             // Whatever stood in the way, or became of the write: read first, then try what is still news.
             val again = {
-                packer.end(sheet)
+                packer.end(packedWrite)
                 since.forEach { (place, first) -> dirtySince.merge(place, first) { a, b -> minOf(a, b) } }
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
-                TransactionOutcome.Unknown -> unsettled.settle(sheet, ours = { owner.open }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { owner.open }, again)
                 else -> replica.fresh { loop.after(AFTER_CONFLICT, again) }
             }
         }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -13,7 +13,7 @@
 class Assignment(val task: Int, val block: BlockName, val baton: Baton, val generation: Int, val recalled: Boolean)
 
 /** A part of a packed record, and which record that is. */
-class Packed<T>(val value: T, val sheet: String, encode: (T) -> ByteArray) {
+class PackedPart<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
     /** Only the record's writer asks for it: worked out by every controller for every change, it cost as much as reading. */
     val bytes: Int by lazy(LazyThreadSafetyMode.NONE) { encode(value).size }
 }
@@ -33,8 +33,8 @@
     /** Kept by [DependencyGraph]; until that has looked at the job, one with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
         private set
-    private val pageRecords = HashMap<Int, Packed<AssignmentPage>>()
-    private val workRecords = HashMap<WorkPlace, Packed<WorkRecord>>()
+    private val pageRecords = HashMap<Int, PackedPart<AssignmentPage>>()
+    private val workRecords = HashMap<WorkPlace, PackedPart<WorkRecord>>()
 
     /** What is assigned and neither done nor given back, as worked out last; null after a change. */
     private var standing: List<Assignment>? = null
@@ -42,8 +42,8 @@
     /** Tasks that are done. Only ever grows while the job is live. */
     val done = BitSet()
 
-    val pages: Map<Int, Packed<AssignmentPage>> get() = pageRecords
-    val works: Map<WorkPlace, Packed<WorkRecord>> get() = workRecords
+    val pages: Map<Int, PackedPart<AssignmentPage>> get() = pageRecords
+    val works: Map<WorkPlace, PackedPart<WorkRecord>> get() = workRecords
 
     /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
     val spec: JobSpec? get() = scheduledSpec
@@ -86,12 +86,12 @@
         return true
     }
 
-    fun setPage(page: Int, record: Packed<AssignmentPage>?) {
+    fun setPage(page: Int, record: PackedPart<AssignmentPage>?) {
         standing = null
         if (record == null) pageRecords.remove(page) else pageRecords[page] = record
     }
 
-    fun setWork(place: WorkPlace, record: Packed<WorkRecord>?) {
+    fun setWork(place: WorkPlace, record: PackedPart<WorkRecord>?) {
         standing = null
         if (record == null) workRecords.remove(place) else workRecords[place] = record
         record?.let { done.or(it.value.done) }
--- a/src/main/kotlin/copperglade/storage/SheetPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -4,33 +4,34 @@
 import org.slf4j.LoggerFactory
 
 /** The write of one packed record, its condition, and the pages that it changes. */
-class SheetWrite(val packer: SheetPacker, val condition: Condition, val write: Write.Set, val places: Set<JobPage>)
+class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val places: Set<JobPage>)
 
 /**
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
  * for each page, its outcome in each block and a deletion for each of them, the grown print shop's budget was spent on a
  * quarter of its jobs.
  *
- * A changed page stays in its sheet as long as that has room. Otherwise it is written to another sheet, like a page that
- * is in none yet, and its former sheet is left alone: what that still says of the page has a lower version, so every
- * reader takes the page from the new sheet, in whatever order it meets the two. A page may thus stand in two sheets, but
- * never in none: a sheet is rewritten without a page only once the page is known to stand in another. What is left of
- * moved pages, and of jobs that are over, goes with the next rewrite: nothing has to be deleted, and no move needs more
- * than one write.
+ * A changed page stays in its packed record as long as that has room. Otherwise it is written to another packed record,
+ * like a page that is in none yet, and its former packed record is left alone: what that still says of the page has a
+ * lower version, so every reader takes the page from the new packed record, in whatever order it meets the two. A page
+ * may thus stand in two packed records, but never in none: a packed record is rewritten without a page only once the
+ * page is known to stand in another. What is left of moved pages, and of jobs that are over, goes with the next
+ * rewrite: nothing has to be deleted, and no move needs more than one write.
  *
- * A limit that was lowered leaves sheets behind that are larger than a value may be now. They stay readable, and are not
- * written as long as what still counts of them is above the limit: each of their pages moves when it changes. So a sheet
- * is written only if it fits both before and after the change, and [same] can always write it as it was.
+ * A limit that was lowered leaves packed records behind that are larger than a value may be now. They stay readable,
+ * and are not written as long as what still counts of them is above the limit: each of their pages moves when it
+ * changes. So a packed record is written only if it fits both before and after the change, and [same] can always write
+ * it as it was.
  *
- * @param prefix of the sheets' keys; all of them are written by one writer at a time.
+ * @param prefix of the packed records' keys; all of them are written by one writer at a time.
  * @param packed a page as the replica has it.
  * @param encode the bytes of that.
  */
-class SheetPacker(
+class RecordPacker(
     private val replica: Replica,
     limits: StateLimits,
     private val prefix: String,
-    private val packed: (Job, Int) -> Packed<*>?,
+    private val packed: (Job, Int) -> PackedPart<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val valueBytes = limits.valueBytes
@@ -38,15 +39,15 @@
     private val busy = HashSet<String>()
 
     /**
-     * Pages on their way. A page that is in no sheet yet must not go into a second one meanwhile: on a grown day two
-     * writes of one page came to stand in two sheets, the older was taken for the page, and finished jobs ran again.
+     * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
+     * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
     private val busyPages = HashSet<JobPage>()
 
     /** Pages that were logged as too large. */
     private val tooLarge = HashSet<JobPage>()
 
-    /** A sheet as it would be written: what counts of its present content, with changes. */
+    /** A packed record as it would be written: what counts of its present content, with changes. */
     private inner class Draft(val key: String) {
         private val parts = LinkedHashMap<JobPage, ByteArray>()
         val changed = HashSet<JobPage>()
@@ -54,16 +55,16 @@
             private set
 
         init {
-            for (place in replica.sheets[key]?.places.orEmpty()) {
+            for (place in replica.packedRecords[key]?.places.orEmpty()) {
                 val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-                if (packed(job, place.page)?.sheet == key) encode(job, place.page)?.let { put(place, it) }
+                if (packed(job, place.page)?.recordKey == key) encode(job, place.page)?.let { put(place, it) }
             }
         }
 
-        /** Whether the sheet may be written at all: its present content fits into a value. */
+        /** Whether the packed record may be written at all: its present content fits into a value. */
         private val writable = bytes <= valueBytes
 
-        /** Whether the sheet, where [place] stands already, still fits into a value with [part] in its stead. */
+        /** Whether the packed record, where [place] stands already, still fits into a value with [part] in its stead. */
         fun holds(place: JobPage, part: ByteArray): Boolean {
             val after = bytes - (parts[place]?.let { sizeOf(place, it.size) } ?: 0) + sizeOf(place, part.size)
             val alone = parts.keys.all { it == place }
@@ -81,26 +82,26 @@
             bytes += sizeOf(place, part.size)
         }
 
-        fun write(): SheetWrite {
-            val condition = Condition(key, replica.sheets[key]?.stamp ?: Stamp.ABSENT)
-            return SheetWrite(this@SheetPacker, condition, Write.Set(key, RecordCodec.encodeSheet(parts)), changed)
+        fun write(): PackedWrite {
+            val condition = Condition(key, replica.packedRecords[key]?.stamp ?: Stamp.ABSENT)
+            return PackedWrite(this@RecordPacker, condition, Write.Set(key, RecordCodec.encodePackedRecord(parts)), changed)
         }
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.sheet !in busy
+    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
 
     /** Whether a value can hold [part] at all. */
     fun fitsValue(place: JobPage, part: ByteArray): Boolean = BYTES_AROUND + sizeOf(place, part.size) <= valueBytes
 
     /**
-     * The writes that bring about [changes], each with a higher version than the page has now; those of sheets under way
-     * are left out, and those that no value can hold. In order of the changes.
+     * The writes that bring about [changes], each with a higher version than the page has now; those of packed records
+     * under way are left out, and those that no value can hold. In order of the changes.
      */
-    fun pack(changes: Map<JobPage, ByteArray>): List<SheetWrite> {
+    fun pack(changes: Map<JobPage, ByteArray>): List<PackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         for ((place, part) in changes) {
-            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.sheet }
+            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
             if (place in busyPages || (home != null && home in busy)) continue
             if (!fitsValue(place, part)) {
                 if (tooLarge.add(place)) log.warn("page {} of {} bytes is too large for a value", place, part.size)
@@ -114,14 +115,14 @@
     }
 
     /**
-     * Writes the sheet of [write] as it is, only to change its stamp: a late copy of [write] dies of that. Its present
-     * content fits into a value, as it did when [write] was made: nobody else has written it since.
+     * Writes the packed record of [write] as it is, only to change its stamp: a late copy of [write] dies of that. Its
+     * present content fits into a value, as it did when [write] was made: nobody else has written it since.
      */
-    fun same(write: SheetWrite): SheetWrite = Draft(write.write.key).write()
+    fun same(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
     private fun draftWithRoom(place: JobPage, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
         drafts.values.firstOrNull { fits(it.bytes, place, part) }?.let { return it }
-        val known = replica.sheets.keys.firstOrNull {
+        val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), place, part)
         }
         val key = known ?: unusedKey(drafts.keys)
@@ -130,31 +131,31 @@
 
     private fun unusedKey(taken: Collection<String>): String {
         var number = 0
-        while ("$prefix$number".let { it in replica.sheets || it in busy || it in taken }) number++
+        while ("$prefix$number".let { it in replica.packedRecords || it in busy || it in taken }) number++
         return "$prefix$number"
     }
 
     private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
 
-    /** What of a sheet still counts. */
+    /** What of a packed record still counts. */
     private fun bytesOf(key: String): Int {
         var sum = BYTES_AROUND
-        for (place in replica.sheets[key]?.places.orEmpty()) {
+        for (place in replica.packedRecords[key]?.places.orEmpty()) {
             val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-            packed(job, place.page)?.takeIf { it.sheet == key }?.let { sum += sizeOf(place, it.bytes) }
+            packed(job, place.page)?.takeIf { it.recordKey == key }?.let { sum += sizeOf(place, it.bytes) }
         }
         return sum
     }
 
     private fun sizeOf(place: JobPage, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
 
-    fun begin(write: SheetWrite) {
+    fun begin(write: PackedWrite) {
         busy += write.write.key
         busyPages += write.places
     }
 
     /** [write] is not on its way any more. */
-    fun end(write: SheetWrite) {
+    fun end(write: PackedWrite) {
         busy -= write.write.key
         busyPages -= write.places
     }
@@ -166,7 +167,7 @@
     }
 
     private companion object {
-        /** Sheets are read and written whole: much larger ones would cost more processor than they save writes. */
+        /** Packed records are read and written whole: much larger ones would cost more processor than they save writes. */
         const val LARGEST_BYTES = 8 * 1024.0
         const val FULL = 0.9
 
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -155,11 +155,11 @@
 
     fun live(job: JobId) = "${NOW}live/$job"
 
-    /** The lead's sheets: each holds the assignments of several jobs' pages. */
-    fun sheetsOf(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
+    /** The lead's packed records: each holds the assignments of several jobs' pages. */
+    fun assignmentRecords(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
 
-    /** A block's sheets: each holds what became of several jobs' pages in that block. */
-    fun workSheets(block: BlockName) = "${NOW}work/$block/"
+    /** A block's packed records: each holds what became of several jobs' pages in that block. */
+    fun outcomeRecords(block: BlockName) = "${NOW}work/$block/"
 
     fun block(name: BlockName) = "${NOW}block/$name"
 
@@ -179,8 +179,8 @@
         val parts = key.substring(NOW.length).split('/')
         return when (parts[0]) {
             "live" -> JobId.parse(parts[1])?.let { ParsedKey.Live(it) }
-            "task" -> ParsedKey.Sheet
-            "work" -> ParsedKey.WorkSheet(BlockName(parts[1]))
+            "task" -> ParsedKey.Assignments
+            "work" -> ParsedKey.Outcomes(BlockName(parts[1]))
             "block" -> ParsedKey.Block(BlockName(parts[1]))
             "images" -> ParsedKey.Images(BlockName(parts[1]))
             "room" -> ParsedKey.Room(MemberId(parts[1]))
@@ -208,9 +208,9 @@
 
     class Live(val job: JobId) : ParsedKey
 
-    data object Sheet : ParsedKey
+    data object Assignments : ParsedKey
 
-    class WorkSheet(val block: BlockName) : ParsedKey
+    class Outcomes(val block: BlockName) : ParsedKey
 
     class Over(val job: JobId) : ParsedKey
 
@@ -296,7 +296,7 @@
     }
 
     /** A packed record: its parts under the pages' names, as they were encoded. */
-    fun encodeSheet(parts: Map<JobPage, ByteArray>): ByteArray = Json.write {
+    fun encodePackedRecord(parts: Map<JobPage, ByteArray>): ByteArray = Json.write {
         obj {
             for ((place, part) in parts) {
                 writeFieldName(place.toString())
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -24,7 +24,7 @@
 }
 
 /** A packed record: its stamp, and which pages it tells of. */
-class Sheet(val stamp: Stamp, val places: Set<JobPage>)
+class PackedRecord(val stamp: Stamp, val places: Set<JobPage>)
 
 fun interface ReplicaListener {
     fun changed(touched: Touched)
@@ -63,7 +63,7 @@
     /** Stamps of keys that are not there: a late event must not bring them back. */
     private val dropped = HashMap<String, Stamp>()
     private val listeners = ArrayList<ReplicaListener>()
-    private val sheetRecords = HashMap<String, Sheet>()
+    private val packedRecordsByKey = HashMap<String, PackedRecord>()
     private var waiting = ArrayList<(Boolean) -> Unit>()
     private var pulling = false
     private var watching = false
@@ -74,7 +74,7 @@
     private var takingTook = Duration.ZERO
 
     /** The packed records, by key. */
-    val sheets: Map<String, Sheet> get() = sheetRecords
+    val packedRecords: Map<String, PackedRecord> get() = packedRecordsByKey
 
     var state = ReplicaState.LOADING
         private set
@@ -144,7 +144,7 @@
         blocks.clear()
         members.clear()
         images.clear()
-        sheetRecords.clear()
+        packedRecordsByKey.clear()
         lead = null
         dropped.clear()
     }
@@ -270,8 +270,8 @@
                 val job = job(parsed.job, touched)
                 if (stamp > job.liveStamp()) RecordCodec.decodeLive(value)?.let { job.live = Stamped(it, stamp) }
             }
-            ParsedKey.Sheet -> putSheet(key, value, stamp, Pages, touched)
-            is ParsedKey.WorkSheet -> putSheet(key, value, stamp, Works(parsed.block), touched)
+            ParsedKey.Assignments -> putPackedRecord(key, value, stamp, Pages, touched)
+            is ParsedKey.Outcomes -> putPackedRecord(key, value, stamp, Works(parsed.block), touched)
             is ParsedKey.Over -> rememberEnd(parsed.job, value, touched)
             is ParsedKey.Block -> if (newer(stamp, blocks[parsed.name])) {
                 touched.standing = true
@@ -302,8 +302,8 @@
         when (val parsed = Keys.parse(key)) {
             null, is ParsedKey.Over, is ParsedKey.Room -> return
             is ParsedKey.Live -> editJob(parsed.job, touched) { if (older(it.live, stamp)) it.live = null }
-            ParsedKey.Sheet -> dropSheet(key, stamp, Pages, touched)
-            is ParsedKey.WorkSheet -> dropSheet(key, stamp, Works(parsed.block), touched)
+            ParsedKey.Assignments -> dropPackedRecord(key, stamp, Pages, touched)
+            is ParsedKey.Outcomes -> dropPackedRecord(key, stamp, Works(parsed.block), touched)
             is ParsedKey.Block -> if (older(blocks[parsed.name], stamp)) {
                 touched.standing = true
                 blocks.remove(parsed.name)
@@ -322,9 +322,9 @@
 
     /** How the parts of one sort of packed record are kept with their jobs. */
     private interface Parts {
-        fun present(job: Job, page: Int): Packed<out Versioned>?
+        fun present(job: Job, page: Int): PackedPart<out Versioned>?
 
-        fun set(job: Job, page: Int, value: JsonNode, sheet: String)
+        fun set(job: Job, page: Int, value: JsonNode, recordKey: String)
 
         fun remove(job: Job, page: Int)
     }
@@ -332,8 +332,8 @@
     private object Pages : Parts {
         override fun present(job: Job, page: Int) = job.pages[page]
 
-        override fun set(job: Job, page: Int, value: JsonNode, sheet: String) =
-            job.setPage(page, Packed(RecordCodec.decodePage(value), sheet, RecordCodec::encode))
+        override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
+            job.setPage(page, PackedPart(RecordCodec.decodePage(value), recordKey, RecordCodec::encode))
 
         override fun remove(job: Job, page: Int) = job.setPage(page, null)
     }
@@ -341,38 +341,38 @@
     private class Works(private val block: BlockName) : Parts {
         override fun present(job: Job, page: Int) = job.works[WorkPlace(page, block)]
 
-        override fun set(job: Job, page: Int, value: JsonNode, sheet: String) =
-            job.setWork(WorkPlace(page, block), Packed(RecordCodec.decodeWork(value), sheet, RecordCodec::encode))
+        override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
+            job.setWork(WorkPlace(page, block), PackedPart(RecordCodec.decodeWork(value), recordKey, RecordCodec::encode))
 
         override fun remove(job: Job, page: Int) = job.setWork(WorkPlace(page, block), null)
     }
 
     /** Only what has changed in a packed record is read, and counts as touched. */
-    private fun putSheet(key: String, value: JsonNode, stamp: Stamp, parts: Parts, touched: Touched) {
-        val before = sheetRecords[key]
+    private fun putPackedRecord(key: String, value: JsonNode, stamp: Stamp, parts: Parts, touched: Touched) {
+        val before = packedRecordsByKey[key]
         if (before != null && before.stamp >= stamp) return
         val places = HashSet<JobPage>()
         for ((name, part) in value.properties()) {
             val place = JobPage.parse(name) ?: continue
             places += place
             val known = jobs[place.job]?.let { parts.present(it, place.page) }
-            // The same, or older than what stands in another sheet.
+            // The same, or older than what stands in another packed record.
             if (known != null && known.value.version >= RecordCodec.versionOf(part)) continue
             parts.set(job(place.job, touched), place.page, part, key)
         }
         before?.places?.forEach { if (it !in places) removePart(key, it, parts, touched) }
-        sheetRecords[key] = Sheet(stamp, places)
+        packedRecordsByKey[key] = PackedRecord(stamp, places)
     }
 
-    private fun dropSheet(key: String, stamp: Stamp, parts: Parts, touched: Touched) {
-        val before = sheetRecords[key]?.takeIf { it.stamp < stamp } ?: return
+    private fun dropPackedRecord(key: String, stamp: Stamp, parts: Parts, touched: Touched) {
+        val before = packedRecordsByKey[key]?.takeIf { it.stamp < stamp } ?: return
         before.places.forEach { removePart(key, it, parts, touched) }
-        sheetRecords.remove(key)
+        packedRecordsByKey.remove(key)
     }
 
     /** A part that has moved to another record meanwhile stays. */
     private fun removePart(key: String, place: JobPage, parts: Parts, touched: Touched) = editJob(place.job, touched) {
-        if (parts.present(it, place.page)?.sheet == key) parts.remove(it, place.page)
+        if (parts.present(it, place.page)?.recordKey == key) parts.remove(it, place.page)
     }
 
     private fun job(id: JobId, touched: Touched): Job {
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -79,15 +79,15 @@
         assertEquals(sample.text, rewritten(sample.directory, later).decodeToString())
     }
 
-    private fun withFieldInEachPart(sample: RecordSample): JsonNode = sample.value.deepCopy<ObjectNode>().also { sheet ->
-        sheet.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE) }
+    private fun withFieldInEachPart(sample: RecordSample): JsonNode = sample.value.deepCopy<ObjectNode>().also { record ->
+        record.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE) }
     }
 
     /** What the present code writes for a record that it has read. */
     private fun rewritten(directory: String, value: JsonNode): ByteArray = when (directory) {
         "live" -> RecordCodec.encode(RecordCodec.decodeLive(value)!!)
-        "task" -> sheet(value) { RecordCodec.encode(RecordCodec.decodePage(it)) }
-        "work" -> sheet(value) { RecordCodec.encode(RecordCodec.decodeWork(it)) }
+        "task" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodePage(it)) }
+        "work" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeWork(it)) }
         "over" -> RecordCodec.encode(RecordCodec.decodeEnd(value)!!)
         "block" -> RecordCodec.encode(RecordCodec.decodeBlock(value)!!)
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
@@ -97,8 +97,8 @@
         else -> error("no such records: $directory")
     }
 
-    private fun sheet(value: JsonNode, part: (JsonNode) -> ByteArray): ByteArray =
-        RecordCodec.encodeSheet(value.properties().associate { (name, node) -> JobPage.parse(name)!! to part(node) })
+    private fun packedRecord(value: JsonNode, part: (JsonNode) -> ByteArray): ByteArray =
+        RecordCodec.encodePackedRecord(value.properties().associate { (name, node) -> JobPage.parse(name)!! to part(node) })
 
     @Test
     fun `a live array with all optional fields`() {
@@ -172,7 +172,7 @@
     }
 
     @Test
-    fun `a sheet of assignments`() {
+    fun `a packed record of assignments`() {
         val pages = ProductionFiles.inSnapshot("cg/now/task/array/0").value
         assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), pages.fieldNames().asSequence().toList())
         val page = RecordCodec.decodePage(pages.get("job-605/0"))
@@ -197,7 +197,7 @@
         page.groups.map { "${it.block} baton ${it.baton} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
 
     @Test
-    fun `sheets of work with done, returned and restarted tasks`() {
+    fun `packed records of work with done, returned and restarted tasks`() {
         val done = work(ProductionFiles.inSnapshot("cg/now/work/south.1/0"), "job-1/0")
         assertEquals("done 0-5, returned {}, restarted , version 1", described(done))
         val returned = work(ProductionFiles.inSnapshot("cg/now/work/north.1/0"), "job-605/0")
@@ -206,7 +206,7 @@
         assertEquals("done 1,3, returned {}, restarted 5, version 3", described(restarted))
     }
 
-    private fun work(sheet: RecordSample, page: String) = RecordCodec.decodeWork(sheet.value.get(page))
+    private fun work(record: RecordSample, page: String) = RecordCodec.decodeWork(record.value.get(page))
 
     private fun described(work: WorkRecord): String {
         val returned = work.returned.mapValues { Ranges.format(it.value) }
@@ -405,7 +405,7 @@
             "job-605" to JobStatus.CANCELLED,
         ) + (2..7).associate { "job-$it" to JobStatus.QUEUED }
         assertEquals(expected, live)
-        // Parts of jobs that are over stay in their sheets until these are written again.
+        // Parts of jobs that are over stay in their packed records until these are written again.
         assertEquals(
             setOf("job-1", "job-501"),
             replica.jobs.keys
@@ -463,8 +463,8 @@
                 .map { it.text }
                 .toSet(),
         )
-        val sheets = setOf("task/array/0", "task/service/0", "work/north.1/0", "work/south.0/0", "work/south.1/0")
-        assertEquals(sheets.map { "cg/now/$it" }.toSet(), replica.sheets.keys)
+        val keys = setOf("task/array/0", "task/service/0", "work/north.1/0", "work/south.0/0", "work/south.1/0")
+        assertEquals(keys.map { "cg/now/$it" }.toSet(), replica.packedRecords.keys)
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -196,8 +196,8 @@
     val directory = key.removePrefix(Keys.NOW).substringBefore('/')
     val features = when (directory) {
         "live" -> liveFeatures(value)
-        "task" -> listOf(key.split('/')[3]) + sheetFeatures(value) + groupFeatures(value)
-        "work" -> sheetFeatures(value)
+        "task" -> listOf(key.split('/')[3]) + packedRecordFeatures(value) + groupFeatures(value)
+        "work" -> packedRecordFeatures(value)
         "block" -> listOf(if (value.get("inc").asLong() == 0L) "given up" else "owned")
         "room" -> listOf(noteKind(PeerWire.decode(value.get("note").binaryValue())!!))
         "images" -> listOf(if (value.isEmpty) "empty" else "filled")
@@ -214,7 +214,7 @@
     return flags + optional + listOf(spec.get("haul").asText()) + if (value.has("cancelled")) listOf("cancelled") else emptyList()
 }
 
-private fun sheetFeatures(value: JsonNode): List<String> = value
+private fun packedRecordFeatures(value: JsonNode): List<String> = value
     .flatMap { part -> part.fieldNames().asSequence().toList() }
     .distinct()
     .sorted()
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -32,9 +32,9 @@
         assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.NOW, Keys.OVER, Keys.LEAD))
         assertEquals("cg/now/live/job-000412", Keys.live(JobId("job-000412")))
         assertEquals("cg/over/job-000412", Keys.over(JobId("job-000412")))
-        assertEquals("cg/now/task/array/", Keys.sheetsOf(JobKind.ARRAY))
-        assertEquals("cg/now/task/service/", Keys.sheetsOf(JobKind.SERVICE))
-        assertEquals("cg/now/work/north.0/", Keys.workSheets(BlockName("north.0")))
+        assertEquals("cg/now/task/array/", Keys.assignmentRecords(JobKind.ARRAY))
+        assertEquals("cg/now/task/service/", Keys.assignmentRecords(JobKind.SERVICE))
+        assertEquals("cg/now/work/north.0/", Keys.outcomeRecords(BlockName("north.0")))
         assertEquals("cg/now/block/north.0", Keys.block(BlockName("north.0")))
         assertEquals("cg/now/images/north.0", Keys.images(BlockName("north.0")))
         assertEquals("cg/now/member/lorry-0", Keys.member(MemberId("lorry-0")))
@@ -48,9 +48,9 @@
     fun `what a key names`() {
         assertEquals("Live job-7", parsed("cg/now/live/job-7"))
         assertEquals("Over job-7", parsed("cg/over/job-7"))
-        assertEquals("Sheet", parsed("cg/now/task/array/3"))
-        assertEquals("Sheet", parsed("cg/now/task/service/3"))
-        assertEquals("WorkSheet north.0", parsed("cg/now/work/north.0/3"))
+        assertEquals("Assignments", parsed("cg/now/task/array/3"))
+        assertEquals("Assignments", parsed("cg/now/task/service/3"))
+        assertEquals("Outcomes north.0", parsed("cg/now/work/north.0/3"))
         assertEquals("Block north.0", parsed("cg/now/block/north.0"))
         assertEquals("Images north.0", parsed("cg/now/images/north.0"))
         assertEquals("Room lorry-0", parsed("cg/now/room/lorry-0"))
@@ -65,8 +65,8 @@
         null -> null
         is ParsedKey.Live -> "Live ${known.job}"
         is ParsedKey.Over -> "Over ${known.job}"
-        ParsedKey.Sheet -> "Sheet"
-        is ParsedKey.WorkSheet -> "WorkSheet ${known.block}"
+        ParsedKey.Assignments -> "Assignments"
+        is ParsedKey.Outcomes -> "Outcomes ${known.block}"
         is ParsedKey.Block -> "Block ${known.name}"
         is ParsedKey.Images -> "Images ${known.block}"
         is ParsedKey.Room -> "Room ${known.id}"
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -33,11 +33,11 @@
         crash(node, backAfterMs = 1500.0)
     }
 
-    private fun SimSite.largestSheet(): Int = JobKind.entries
-        .flatMap { state.keys(Keys.sheetsOf(it)) }
+    private fun SimSite.largestPackedRecord(): Int = JobKind.entries
+        .flatMap { state.keys(Keys.assignmentRecords(it)) }
         .maxOf { state.text(it)!!.toByteArray().size }
 
-    /** Arrays of many sizes, and some of the services are cancelled, so that pages of all sheets change. */
+    /** Arrays of many sizes, and some of the services are cancelled, so that pages of all packed records change. */
     private fun SimSite.work() {
         val random = sim.random
         repeat(SERVICES) { submit(SimSite.job(500 + it, tasks = 3, cpus = 0.25, service = true, spot = false)) { null } }
@@ -52,7 +52,10 @@
         repeat(SERVICES / 4) { sim.after(40_000.0 + it * 4000.0) { cancel(JobId("job-${500 + it * 3}")) } }
     }
 
-    /** For a minute after that, machines, the lead and the links between controllers are lost, so that tasks of the large sheets are assigned again. */
+    /**
+     * For a minute after that, machines, the lead and the links between controllers are lost, so that tasks of the
+     * large packed records are assigned again.
+     */
     private fun SimSite.lowerLimits() {
         state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerS)
         killMachine(sim.random.nextInt(workerCount()))
@@ -74,17 +77,17 @@
         // Every other day some writes have no answer and are applied seconds later.
         site.network.lateWriteOneIn = if (seed % 2 == 0L) 0 else 12
         site.run(45.0)
-        assertTrue(site.largestSheet() > LOWERED.valueBytes, "the largest sheet has ${site.largestSheet()} bytes")
+        assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
         for (node in (0 until NODES).shuffled(site.sim.random)) {
             site.replaceUninformed(node)
             site.run(6.0)
         }
-        assertTrue(site.largestSheet() > LOWERED.valueBytes, "the largest sheet has ${site.largestSheet()} bytes")
+        assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
         val appliedBefore = site.state.applied
         site.lowerLimits()
         site.assertKept(240.0)
         val refusals = site.state.limitRefusals
-        println("seed $seed: ${site.state.applied - appliedBefore} applied, refused: $refusals, largest ${site.largestSheet()}")
+        println("seed $seed: ${site.state.applied - appliedBefore} applied, refused: $refusals, largest ${site.largestPackedRecord()}")
         assertEquals(0, refusals.malformed, "$refusals")
         assertTrue(site.state.applied - appliedBefore > 100)
     }
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MeetingsTest.kt
@@ -235,7 +235,7 @@
     @ValueSource(longs = [251, 252, 253, 254, 255, 256, 257, 258])
     fun `transactions without an answer are carried out late, after newer ones`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        // Small values: many sheets, and pages that go from one to another.
+        // Small values: many packed records, and pages that go from one to another.
         repeat(24) { number ->
             site.sim.after(number * 2500.0) {
                 site.submit(SimSite.job(number + 1, tasks = 3 + number % 9)) { task -> 3.0 + task * 2.5 }
--- a/src/test/kotlin/copperglade/storage/FormerSheetPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -2,37 +2,38 @@
 
 import copperglade.protocol.Stamp
 
-/** One transaction of the former version: the sheets it writes, and the pages that it changes. */
-class FormerSheetWrite(val conditions: List<Condition>, val writes: List<Write>, val places: Set<JobPage>)
+/** One transaction of the former version: the packed records it writes, and the pages that it changes. */
+class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val places: Set<JobPage>)
 
 /**
- * The packer of the version that knows no announced limits, as it was: it moves a page by rewriting both sheets. Kept to
- * see that both versions can write the same sheets in turn.
+ * The packer of the version that knows no announced limits, as it was: it moves a page by rewriting both packed
+ * records. Kept to see that both versions can write the same packed records in turn.
  *
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
  * for each page, its outcome in each block and a deletion for each of them, the grown print shop's budget was spent on a
  * quarter of its jobs.
  *
- * A page stays in the sheet where it is, unless that has become too full; then it moves, both sheets changing in one
- * transaction. What is left of jobs that are over goes with the next rewrite: nothing has to be deleted.
+ * A page stays in the packed record where it is, unless that has become too full; then it moves, both packed records
+ * changing in one transaction. What is left of jobs that are over goes with the next rewrite: nothing has to be
+ * deleted.
  *
- * @param prefix of the sheets' keys; all of them are written by one writer at a time.
+ * @param prefix of the packed records' keys; all of them are written by one writer at a time.
  * @param packed a page as the replica has it.
  * @param encode the bytes of that.
  */
-class FormerSheetPacker(
+class FormerRecordPacker(
     private val replica: Replica,
     limits: StateLimits,
     private val prefix: String,
-    private val packed: (Job, Int) -> Packed<*>?,
+    private val packed: (Job, Int) -> PackedPart<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val fullBytes = minOf(limits.valueBytes * FULL, LARGEST_BYTES).toInt()
     private val busy = HashSet<String>()
 
     /**
-     * Pages on their way. A page that is in no sheet yet must not go into a second one meanwhile: on a grown day two
-     * writes of one page came to stand in two sheets, the older was taken for the page, and finished jobs ran again.
+     * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
+     * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
     private val busyPages = HashSet<JobPage>()
 
@@ -42,9 +43,9 @@
         var bytes = BYTES_AROUND
 
         init {
-            for (place in replica.sheets[key]?.places.orEmpty()) {
+            for (place in replica.packedRecords[key]?.places.orEmpty()) {
                 val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-                if (packed(job, place.page)?.sheet == key) encode(job, place.page)?.let { put(place, it) }
+                if (packed(job, place.page)?.recordKey == key) encode(job, place.page)?.let { put(place, it) }
             }
         }
 
@@ -58,30 +59,30 @@
             parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
         }
 
-        fun condition() = Condition(key, replica.sheets[key]?.stamp ?: Stamp.ABSENT)
+        fun condition() = Condition(key, replica.packedRecords[key]?.stamp ?: Stamp.ABSENT)
 
-        fun write() = Write.Set(key, RecordCodec.encodeSheet(parts))
+        fun write() = Write.Set(key, RecordCodec.encodePackedRecord(parts))
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.sheet !in busy
+    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
 
-    /** The writes that bring about [changes]; those of sheets under way are left out. In order of the changes. */
-    fun pack(changes: Map<JobPage, ByteArray>): List<FormerSheetWrite> {
+    /** The writes that bring about [changes]; those of packed records under way are left out. In order of the changes. */
+    fun pack(changes: Map<JobPage, ByteArray>): List<FormerPackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         val moved = HashMap<String, MutableList<Draft>>()
         for ((place, part) in changes) {
-            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.sheet }
+            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
             if (place in busyPages || (home != null && home in busy)) continue
             val draft = when (home) {
-                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: roomySheet(place, part, drafts)
+                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: recordWithRoom(place, part, drafts)
                 else -> drafts[home] ?: Draft(home)
             }
             drafts[draft.key] = draft
             draft.put(place, part)
             draft.changed += place
             if (draft.bytes <= fullBytes || draft.parts.size == 1) continue
-            // It has outgrown its sheet: a new one for it alone.
+            // It has outgrown its packed record: a new one for it alone.
             draft.remove(place)
             val alone = emptyDraft(drafts.keys + moved.values.flatten().map { it.key })
             alone.put(place, part)
@@ -89,20 +90,22 @@
         }
         return drafts.values.map { draft ->
             val all = listOf(draft) + moved[draft.key].orEmpty()
-            FormerSheetWrite(all.map { it.condition() }, all.map { it.write() }, draft.changed)
+            FormerPackedWrite(all.map { it.condition() }, all.map { it.write() }, draft.changed)
         }
     }
 
-    /** Writes the first of [write]'s sheets as it is, only to change its stamp: a late copy of [write] dies of that. */
-    fun same(write: FormerSheetWrite): FormerSheetWrite {
+    /**
+     * Writes the first of [write]'s packed records as it is, only to change its stamp: a late copy of [write] dies of that.
+     */
+    fun same(write: FormerPackedWrite): FormerPackedWrite {
         val draft = Draft(write.writes.first().key)
-        return FormerSheetWrite(listOf(draft.condition()), listOf(draft.write()), emptySet())
+        return FormerPackedWrite(listOf(draft.condition()), listOf(draft.write()), emptySet())
     }
 
     private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
 
-    private fun roomySheet(place: JobPage, part: ByteArray, taken: Map<String, Draft>): Draft {
-        val known = replica.sheets.keys.firstOrNull {
+    private fun recordWithRoom(place: JobPage, part: ByteArray, taken: Map<String, Draft>): Draft {
+        val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), place, part)
         }
         return if (known != null) Draft(known) else emptyDraft(taken.keys)
@@ -110,14 +113,14 @@
 
     private fun emptyDraft(taken: Collection<String>): Draft {
         var number = 0
-        while ("$prefix$number".let { it in replica.sheets || it in busy || it in taken }) number++
+        while ("$prefix$number".let { it in replica.packedRecords || it in busy || it in taken }) number++
         return Draft("$prefix$number")
     }
 
-    /** What of a sheet still matters. */
+    /** What of a packed record still matters. */
     private fun bytesOf(key: String): Int {
         var sum = BYTES_AROUND
-        for (place in replica.sheets[key]?.places.orEmpty()) {
+        for (place in replica.packedRecords[key]?.places.orEmpty()) {
             val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
             packed(job, place.page)?.let { sum += sizeOf(place, it.bytes) }
         }
@@ -126,13 +129,13 @@
 
     private fun sizeOf(place: JobPage, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
 
-    fun begin(write: FormerSheetWrite) {
+    fun begin(write: FormerPackedWrite) {
         write.writes.forEach { busy += it.key }
         busyPages += write.places
     }
 
-    /** No sheet of [write] is on its way any more. */
-    fun end(write: FormerSheetWrite) {
+    /** No packed record of [write] is on its way any more. */
+    fun end(write: FormerPackedWrite) {
         write.writes.forEach { busy -= it.key }
         busyPages -= write.places
     }
@@ -145,7 +148,7 @@
     private companion object {
         const val BYTES_OF_KB = 1024
 
-        /** Sheets are read and written whole: much larger ones would cost more processor than they save writes. */
+        /** Packed records are read and written whole: much larger ones would cost more processor than they save writes. */
         const val LARGEST_BYTES = 8 * 1024.0
         const val FULL = 0.9
 
--- a/src/test/kotlin/copperglade/storage/SheetPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -21,8 +21,8 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Sheets against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
-class SheetPackerTest {
+/** Packed records against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
+class RecordPackerTest {
     /** With [lateOneIn], one write in so many has no answer and is applied seconds later; [settles]: the writer sees to its end. */
     private class Bench(
         seed: Long,
@@ -38,7 +38,7 @@
         private val store = StateClient(loop, network.callerOf("writer", loop), AT, limits)
         val replica = Replica(loop, store).also { it.start() }
         private var packer = packer()
-        private val unsettled = UnsettledSheets(loop, store, replica, Urgency.ASSIGNMENT) { Condition("cg/now/none", Stamp.ABSENT) }
+        private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.ASSIGNMENT) { Condition("cg/now/none", Stamp.ABSENT) }
         val model = HashMap<JobPage, String>()
         val late get() = network.lateWrites
 
@@ -50,10 +50,10 @@
             network.lateWriteOneIn = lateOneIn
         }
 
-        private fun packer() = SheetPacker(
+        private fun packer() = RecordPacker(
             replica,
             limits,
-            Keys.sheetsOf(JobKind.ARRAY),
+            Keys.assignmentRecords(JobKind.ARRAY),
             { job, page -> job.pages[page] },
             { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
         )
@@ -65,17 +65,18 @@
             packer = packer()
         }
 
-        fun sheetSizes(): List<Int> = service.keys(Keys.sheetsOf(JobKind.ARRAY)).map { service.text(it)!!.toByteArray().size }
+        fun packedRecordSizes(): List<Int> =
+            service.keys(Keys.assignmentRecords(JobKind.ARRAY)).map { service.text(it)!!.toByteArray().size }
 
         private fun put(key: String, value: ByteArray) {
             val transaction = Transaction(emptyList(), listOf(Write.Set(key, value)))
             store.commit(Urgency.HOLD, transaction) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.stamp) }
         }
 
-        private val former = FormerSheetPacker(
+        private val former = FormerRecordPacker(
             replica,
             StateLimits(1e6, 1e6, 8.0, 12),
-            Keys.sheetsOf(JobKind.ARRAY),
+            Keys.assignmentRecords(JobKind.ARRAY),
             { job, page -> job.pages[page] },
             { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
         )
@@ -84,15 +85,15 @@
         fun formerStep() {
             service.limits = null
             val pages = changedPages { job, page -> former.ready(job, page) }
-            for (sheet in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
-                val transaction = Transaction(sheet.conditions, sheet.writes)
-                former.begin(sheet)
+            for (packedWrite in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
+                val transaction = Transaction(packedWrite.conditions, packedWrite.writes)
+                former.begin(packedWrite)
                 store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        sheet.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
                         replica.applied(transaction, outcome.stamp)
                     }
-                    loop.after(sim.random.nextInt(40).milliseconds) { former.end(sheet) }
+                    loop.after(sim.random.nextInt(40).milliseconds) { former.end(packedWrite) }
                 }
             }
             sim.run(sim.random.nextInt(12).toDouble())
@@ -102,29 +103,29 @@
 
         fun step() {
             val pages = changedPages(packer::ready)
-            for (sheet in packer.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
-                assertTrue(sheet.write.value.size <= limits.valueBytes)
+            for (packedWrite in packer.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
+                assertTrue(packedWrite.write.value.size <= limits.valueBytes)
                 assertTrue(
                     packer
-                        .same(sheet)
+                        .same(packedWrite)
                         .write.value.size <= limits.valueBytes,
                 )
-                val transaction = Transaction(listOf(sheet.condition), listOf(sheet.write))
-                packer.begin(sheet)
+                val transaction = Transaction(listOf(packedWrite.condition), listOf(packedWrite.write))
+                packer.begin(packedWrite)
                 store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        sheet.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
                         replica.applied(transaction, outcome.stamp)
                     }
                     if (outcome == TransactionOutcome.Unknown && settles) {
-                        unsettled.settle(sheet, ours = { true }) {
-                            sheet.places.forEach(::adopt)
-                            packer.end(sheet)
+                        unresolvedWrites.resolve(packedWrite, ours = { true }) {
+                            packedWrite.places.forEach(::adopt)
+                            packer.end(packedWrite)
                         }
                         return@commit
                     }
                     // Its end is known a little later than its effect, as after a conflict.
-                    loop.after(sim.random.nextInt(40).milliseconds) { packer.end(sheet) }
+                    loop.after(sim.random.nextInt(40).milliseconds) { packer.end(packedWrite) }
                 }
             }
             sim.run(sim.random.nextInt(12).toDouble())
@@ -180,7 +181,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [5, 6, 7, 8])
-    fun `a write that is carried out late leaves every page in one sheet, as it was written last`(seed: Long) {
+    fun `a write that is carried out late leaves every page in one packed record, as it was written last`(seed: Long) {
         val bench = Bench(seed, lateOneIn = 6)
         repeat(12) {
             repeat(12) { bench.step() }
@@ -207,27 +208,27 @@
         val bench = Bench(seed, lateOneIn, limits = StateLimits(1e6, 1e6, 8.0, 12), jobs = 3 * JOBS)
         repeat(200) { bench.step() }
         assertEquals(bench.model, bench.reread())
-        assertTrue(bench.sheetSizes().max() > LOWERED_BYTES, "${bench.sheetSizes()}")
+        assertTrue(bench.packedRecordSizes().max() > LOWERED_BYTES, "${bench.packedRecordSizes()}")
         bench.lower(2.0, 4)
         repeat(20) {
             repeat(12) { bench.step() }
             assertEquals(bench.model, bench.reread())
         }
         assertEquals(0, bench.service.limitRefusals.malformed, "${bench.service.limitRefusals}")
-        // Every page has moved by now, or nearly: what was left in the large sheets has made room for rewrites.
-        assertTrue(bench.sheetSizes().max() <= LOWERED_BYTES, "${bench.sheetSizes()}")
+        // Every page has moved by now, or nearly: what was left in the large packed records has made room for rewrites.
+        assertTrue(bench.packedRecordSizes().max() <= LOWERED_BYTES, "${bench.packedRecordSizes()}")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `the former version and this one write the same sheets in turn, and no page is lost`(seed: Long) {
+    fun `the former version and this one write the same packed records in turn, and no page is lost`(seed: Long) {
         val bench = Bench(seed, jobs = 3 * JOBS)
         repeat(6) { turn ->
             repeat(3) {
                 repeat(25) { bench.formerStep() }
                 assertEquals(bench.model, bench.reread())
             }
-            if (turn == 0) assertTrue(bench.sheetSizes().max() > LOWERED_BYTES, "${bench.sheetSizes()}")
+            if (turn == 0) assertTrue(bench.packedRecordSizes().max() > LOWERED_BYTES, "${bench.packedRecordSizes()}")
             bench.lower(2.0, 4)
             repeat(3) {
                 repeat(25) { bench.step() }
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -57,7 +57,7 @@
         val block = BlockName("north.0")
         job.setPage(
             0,
-            Packed(
+            PackedPart(
                 AssignmentPage(listOf(AssignmentGroup(block, Baton(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
                 "sheet",
                 RecordCodec::encode,
@@ -65,7 +65,7 @@
         )
         // Task 0 was given back in an earlier generation, task 1 in this one, task 2 is done.
         val work = WorkRecord(bits(2), mapOf(1 to bits(0), 2 to bits(1)), BitSet(), 1)
-        job.setWork(WorkPlace(0, block), Packed(work, "sheet", RecordCodec::encode))
+        job.setWork(WorkPlace(0, block), PackedPart(work, "sheet", RecordCodec::encode))
         assertEquals(listOf(0), job.assignments().map { it.task })
         assertEquals(JobStatus.RUNNING, job.status())
     }
