--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/coordination/Assigner.kt
@@ -24,7 +24,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What the lead counts of a team while it decides. */
+/** What the leader counts of a team while it decides. */
 private class TeamUse(val team: Team) {
     var used = Resources.ZERO
 
@@ -33,7 +33,7 @@
 }
 
 /**
- * The lead's rounds: gives waiting tasks to blocks that have room, within the teams' limits, and writes that down
+ * The leader's rounds: gives waiting tasks to blocks that have room, within the teams' limits, and writes that down
  * before any owner may start them. All that is assigned counts against its team's limit until its record says that it
  * is surely gone.
  */
--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -31,7 +31,7 @@
 /** A task and the room that it is given. */
 class Choice(val task: Int, val room: CapacityTable.MachineCapacity)
 
-/** What a round of the lead has chosen, by the pages to be written. */
+/** What a round of the leader has chosen, by the pages to be written. */
 class Decisions {
     val choices = LinkedHashMap<JobPage, List<Choice>>()
     val recalls = LinkedHashMap<JobPage, BitSet>()
@@ -41,7 +41,7 @@
 /** A page as it is to be written, and those of the choices that went into it. */
 private class FittingPage(val choices: List<Choice>, val bytes: ByteArray)
 
-/** Writes the lead's decisions down, and keeps count of those whose outcome is not known yet. */
+/** Writes the leader's decisions down, and keeps count of those whose outcome is not known yet. */
 class AssignmentWriter(
     private val loop: EventLoop,
     private val store: StateClient,
@@ -65,11 +65,11 @@
     /** Tasks whose assignment is on its way or of unknown outcome: they count as assigned. */
     private val pending = HashMap<JobId, Int>()
 
-    /** The spell of leading that [pending] belongs to. */
+    /** The leadership term that [pending] belongs to. */
     private var term = Stamp.ABSENT
     private var unhurriedWrittenAt = Moment.NEVER
 
-    /** What an earlier spell of leading left behind can't be applied any more: its stamp was a condition of all. */
+    /** What an earlier leadership term left behind can't be applied any more: its stamp was a condition of all. */
     fun beginRound() {
         if (term == leadership.stamp) return
         term = leadership.stamp
--- a/src/main/kotlin/copperglade/coordination/Blocks.kt
+++ b/src/main/kotlin/copperglade/coordination/Blocks.kt
@@ -41,7 +41,7 @@
 }
 
 /**
- * The lead's hand in who owns which block. A block is granted anew only when its holder's incarnation is gone from the
+ * The leader's hand in who owns which block. A block is granted anew only when its holder's incarnation is gone from the
  * member key, which is a condition of the same transaction, or when the holder has given it up.
  */
 class BlockGranter(
--- a/src/main/kotlin/copperglade/coordination/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/coordination/CapacityTable.kt
@@ -10,7 +10,7 @@
 import copperglade.protocol.Stamp
 import copperglade.storage.Replica
 
-/** The free capacity of each machine, less what the lead has assigned since the owner reported it. */
+/** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
 class CapacityTable(private val replica: Replica, private val blockMap: BlockMap) {
     private class Given(val stamp: Stamp, val request: Resources)
 
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -63,7 +63,7 @@
         startLimit = quiet * 2,
     )
     private val absentOwners = AbsentOwners(loop, replica, settings.peers.map { it.member }, membership.grace)
-    private val leadership = Leadership(loop, store, replica, membership, tuning.leadHold)
+    private val leadership = Leadership(loop, store, replica, membership, tuning.leaderHold)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, vouching)
@@ -85,7 +85,7 @@
         settings.peers,
         { owner.machineCount },
         { composeNote() },
-        { replica.lead?.value?.member },
+        { replica.leader?.value?.member },
         ::heardNote,
     )
     private val capacityTable = CapacityTable(replica, blockMap)
@@ -139,13 +139,13 @@
         polls.start()
         loop.again({ if (leadership.leading) SHORTEST_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
             val began = loop.now()
-            workload.measure("round") { leadRound() }
+            workload.measure("round") { leaderRound() }
             lastRound = (loop.now().ms - began.ms).milliseconds
         }
     }
 
-    /** The lead's rounds. The longer a round takes, the later the next one, and the more it decides. */
-    private fun leadRound() {
+    /** The leader's rounds. The longer a round takes, the later the next one, and the more it decides. */
+    private fun leaderRound() {
         if (leadership.leading) {
             granter.round()
             assigner.round()
@@ -159,7 +159,7 @@
     /** All controllers together must stay within the state service's budgets; whoever has more to write gets more. */
     private fun shareBudget() {
         val others = (replica.members.keys - settings.member).map { noteOf(it)?.writesWanted }
-        // The lead rents and lists, the others only return what is idle.
+        // The leader rents and lists, the others only return what is idle.
         val cloudShare = if (leadership.leading) LEADS_PART_OF_CLOUD else (1.0 - LEADS_PART_OF_CLOUD) / others.size.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
         store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
@@ -173,7 +173,7 @@
             incarnation = incarnation,
             cursor = replica.cursor,
             stateSilentMs = loop.now().ms - store.lastGood.ms,
-            leads = leading,
+            isLeader = leading,
             blocks = owner.rooms(),
             release = if (leading) granter.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
@@ -185,7 +185,7 @@
 
     private fun heardNote(note: PeerNote) {
         if (note.member == settings.member) ownNote = note
-        if (!note.leads) return
+        if (!note.isLeader) return
         owner.release(note.release)
         owner.retire(note.retire)
     }
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -84,7 +84,7 @@
     }
 }
 
-/** The lead's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
+/** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
 class Fleet(
     private val loop: EventLoop,
     private val http: HttpCaller,
@@ -124,7 +124,7 @@
 
     fun start() = loop.again({ PACE }) { if (leadership.leading && types.known) round() else forget() }
 
-    /** What a former spell of leading left is out of date. */
+    /** What a former leadership term left is out of date. */
     private fun forget() {
         listedAt = Moment.NEVER
         rentedMachines.clear()
@@ -142,7 +142,7 @@
         updateLevels(now)
         if (listedAt == Moment.NEVER) return
         clearOut(now)
-        // A new lead's list may lack what its predecessor has just rented.
+        // A new leader's list may lack what its predecessor has just rented.
         if (leadership.leadingForS < 2 * listLagS && replica.cursor.number > FIRST_REVISIONS) return
         adjust(now, rooms)
     }
--- a/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
@@ -18,7 +18,7 @@
 import kotlin.math.min
 
 /**
- * The lead's cleanup: a job that is over, with nothing of it left on any machine, becomes a small final record.
+ * The leader's cleanup: a job that is over, with nothing of it left on any machine, becomes a small final record.
  * Several share a transaction. What packed records still say of them goes with the packed records' next rewrite.
  */
 class JobFinalizer(
--- a/src/main/kotlin/copperglade/coordination/Leadership.kt
+++ b/src/main/kotlin/copperglade/coordination/Leadership.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.secondsSince
 import copperglade.storage.Condition
 import copperglade.storage.Keys
-import copperglade.storage.LeadRecord
+import copperglade.storage.LeaderRecord
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
@@ -18,11 +18,11 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-enum class LeadState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
+enum class LeadershipState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
 
 /**
- * Who leads. The lead's key hangs on a hold of its own, much shorter than a member's, since a lead that is gone holds
- * up every new task; nothing unsafe follows from two leads, as each write of a lead is conditional on the key's stamp.
+ * Who leads. The leader's key hangs on a hold of its own, much shorter than a member's, since a leader that is gone holds
+ * up every new task; nothing unsafe follows from two leaders, as each write of a leader is conditional on the key's stamp.
  */
 class Leadership(
     private val loop: EventLoop,
@@ -34,20 +34,20 @@
     private var hold = Hold(loop, store, holdLength)
     private var since = Moment.NEVER
 
-    var state = LeadState.FOLLOWING
+    var state = LeadershipState.FOLLOWING
         private set
 
-    /** The stamp of the lead's key, condition of everything that the lead writes. */
+    /** The stamp of the leader's key, condition of everything that the leader writes. */
     var stamp = Stamp.ABSENT
         private set
 
-    val leading: Boolean get() = state == LeadState.LEADING && hold.alive && membership.mayAct
-    val condition: Condition get() = Condition(Keys.LEAD, stamp)
+    val leading: Boolean get() = state == LeadershipState.LEADING && hold.alive && membership.mayAct
+    val condition: Condition get() = Condition(Keys.LEADER, stamp)
     val leadingForS: Double get() = loop.now().secondsSince(since)
 
-    fun start() = loop.again({ if (state == LeadState.LEADING) holdLength / EXTENDS_PER_HOLD else LOOK }, ::tick)
+    fun start() = loop.again({ if (state == LeadershipState.LEADING) holdLength / EXTENDS_PER_HOLD else LOOK }, ::tick)
 
-    private fun moveTo(next: LeadState, why: String) {
+    private fun moveTo(next: LeadershipState, why: String) {
         if (state == next) return
         log.info("lead {} -> {}: {}", state, next, why)
         state = next
@@ -55,38 +55,38 @@
 
     private fun tick() {
         when (state) {
-            LeadState.FOLLOWING -> if (vacant()) campaign()
-            LeadState.LEADING -> {
-                if (replica.lead?.stamp != stamp) {
+            LeadershipState.FOLLOWING -> if (vacant()) campaign()
+            LeadershipState.LEADING -> {
+                if (replica.leader?.stamp != stamp) {
                     stepDown("the key is no longer ours")
                 } else {
                     hold.extend { kept -> if (!kept) stepDown("the hold ran out") }
                 }
             }
-            LeadState.CAMPAIGNING, LeadState.CATCHING_UP -> Unit
+            LeadershipState.CAMPAIGNING, LeadershipState.CATCHING_UP -> Unit
         }
     }
 
     /** Nobody leads, or the key was left behind by an earlier life of this very member. */
     private fun vacant(): Boolean {
         if (!membership.mayAct) return false
-        val present = replica.lead ?: return true
+        val present = replica.leader ?: return true
         return present.value.member == membership.self && present.value.incarnation != membership.incarnation
     }
 
     private fun campaign() {
         val incarnation = membership.incarnation ?: return
-        moveTo(LeadState.CAMPAIGNING, "no lead")
+        moveTo(LeadershipState.CAMPAIGNING, "no lead")
         hold = Hold(loop, store, holdLength)
         hold.open { opened ->
             val permit = hold.permit
             if (!opened || permit == null) return@open stepDown("no hold")
-            val before = replica.lead?.stamp ?: Stamp.ABSENT
+            val before = replica.leader?.stamp ?: Stamp.ABSENT
             if (!vacant()) return@open stepDown("somebody else was faster")
-            val record = RecordCodec.encode(LeadRecord(membership.self, incarnation))
+            val record = RecordCodec.encode(LeaderRecord(membership.self, incarnation))
             val transaction = Transaction(
-                listOf(Condition(Keys.LEAD, before), Condition(Keys.member(membership.self), membership.stamp)),
-                listOf(Write.Set(Keys.LEAD, record, permit)),
+                listOf(Condition(Keys.LEADER, before), Condition(Keys.member(membership.self), membership.stamp)),
+                listOf(Write.Set(Keys.LEADER, record, permit)),
             )
             store.commit(Urgency.HOLD, transaction) { outcome ->
                 if (outcome !is TransactionOutcome.Applied) return@commit stepDown("lost the campaign")
@@ -97,19 +97,19 @@
         }
     }
 
-    /** What an earlier lead wrote must be known before the first decision: limits are counted over all of it. */
+    /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
     private fun catchUp() {
-        moveTo(LeadState.CATCHING_UP, "elected with stamp $stamp")
+        moveTo(LeadershipState.CATCHING_UP, "elected with stamp $stamp")
         replica.fresh { known ->
             if (!known) return@fresh stepDown("could not catch up")
             since = loop.now()
-            moveTo(LeadState.LEADING, "caught up")
+            moveTo(LeadershipState.LEADING, "caught up")
         }
     }
 
     private fun stepDown(why: String) {
         hold.end()
-        moveTo(LeadState.FOLLOWING, why)
+        moveTo(LeadershipState.FOLLOWING, why)
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/coordination/Notes.kt
+++ b/src/main/kotlin/copperglade/coordination/Notes.kt
@@ -20,7 +20,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Sends this controller's note to its peers and keeps the latest of theirs. Where the lead can't be reached, because
+ * Sends this controller's note to its peers and keeps the latest of theirs. Where the leader can't be reached, because
  * controllers refuse each other, a member's room goes to it through the state service: less of it, and less often.
  */
 class Notes(
@@ -31,7 +31,7 @@
     private val peers: List<Peer>,
     private val machines: () -> Int,
     private val compose: () -> PeerNote?,
-    private val leader: () -> MemberId?,
+    private val currentLeader: () -> MemberId?,
     private val heard: (PeerNote) -> Unit,
 ) {
     private class Received(val note: PeerNote, val at: Moment)
@@ -50,21 +50,21 @@
 
     private fun tell(note: PeerNote) {
         heard(note)
-        val lead = leader()
-        // Only the lead works with the rooms; for hundreds of machines they are most of a note.
+        val leader = currentLeader()
+        // Only the leader works with the rooms; for hundreds of machines they are most of a note.
         val brief = lazy { PeerWire.encode(note.brief()) }
         val now = loop.now()
         val briefDue = now >= briefAt + BRIEF_PACE
         if (briefDue) briefAt = now
         for (peer in peers) {
             if (peer.member in busy) continue
-            if (peer.member == lead) {
+            if (peer.member == leader) {
                 send(peer, PeerWire.encode(note))
             } else if (briefDue) {
                 send(peer, brief.value)
             }
         }
-        if (lead != null && lead != self) recordIfCutOff(lead, note)
+        if (leader != null && leader != self) recordIfCutOff(leader, note)
     }
 
     private fun send(peer: Peer, body: ByteArray) {
@@ -75,9 +75,9 @@
         }
     }
 
-    private fun recordIfCutOff(lead: MemberId, note: PeerNote) {
+    private fun recordIfCutOff(leader: MemberId, note: PeerNote) {
         val now = loop.now()
-        val reached = deliveredAt.getOrPut(lead) { now }
+        val reached = deliveredAt.getOrPut(leader) { now }
         if (now < reached + UNREACHED || now < recordedAt + RECORD_PACE) return
         recordedAt = now
         val value = fittingValue(note) ?: return
@@ -122,7 +122,7 @@
         private val PACE_A_MACHINE = 1.milliseconds
         private val LONGEST_PACE = 600.milliseconds
 
-        /** What others than the lead are told changes slowly. */
+        /** What others than the leader are told changes slowly. */
         private val BRIEF_PACE = 450.milliseconds
         private val TIMEOUT = 1.seconds
         private val FRESH = 2.seconds
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -143,7 +143,7 @@
         return WorkRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1)
     }
 
-    /** Give-backs matter only as long as the lead's page still names the assignment. */
+    /** Give-backs matter only as long as the leader's page still names the assignment. */
     private fun stillNeeded(returned: Map<Int, BitSet>, page: AssignmentPage?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in page?.groups.orEmpty()) {
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/coordination/Owner.kt
@@ -168,7 +168,7 @@
     }
 
     /**
-     * Gives blocks up that the lead would rather see elsewhere. We stop acting before we say so. Where the outcome
+     * Gives blocks up that the leader would rather see elsewhere. We stop acting before we say so. Where the outcome
      * stays unknown, the drop might be applied much later, while we act again: the key is written anew first.
      */
     fun release(names: List<BlockName>, unheard: Boolean = false) {
@@ -227,7 +227,7 @@
 
     fun rooms(): List<BlockRoom> = owned.values.filter { it.open }.map { it.room() }
 
-    /** Returns machines that the lead no longer needs, provided that nothing is on them. */
+    /** Returns machines that the leader no longer needs, provided that nothing is on them. */
     fun retire(names: List<MachineName>) {
         if (!membership.mayAct) return
         val empty = names
--- a/src/main/kotlin/copperglade/coordination/PlacementCost.kt
+++ b/src/main/kotlin/copperglade/coordination/PlacementCost.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineType
 
-/** How little a place suits a task, in seconds of waiting that would be as bad. Lead and owners judge alike. */
+/** How little a place suits a task, in seconds of waiting that would be as bad. Leader and owners judge alike. */
 object PlacementCost {
     /** Ordinary machines are kept for what can't run elsewhere, so that they empty and can be returned. */
     private const val ORDINARY_FOR_FLEXIBLE_S = 4.0
--- a/src/main/kotlin/copperglade/coordination/Run.kt
+++ b/src/main/kotlin/copperglade/coordination/Run.kt
@@ -25,7 +25,7 @@
     /** Completed; to be recorded. */
     DONE,
 
-    /** Surely on no machine; to be given back to the lead. */
+    /** Surely on no machine; to be given back to the leader. */
     GONE,
 }
 
--- a/src/main/kotlin/copperglade/coordination/Tuning.kt
+++ b/src/main/kotlin/copperglade/coordination/Tuning.kt
@@ -9,7 +9,7 @@
     val holdLimit: Duration = 30.seconds,
     val holdMargin: Duration = USUAL_HOLD_MARGIN,
     val holdPartOfLease: Double = 0.55,
-    val leadHold: Duration = 2500.milliseconds,
+    val leaderHold: Duration = 2500.milliseconds,
     val blocksPerZone: Int = 0,
     val stragglerMargin: Double = 1.0,
     val nearestProfiles: Int = 8,
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -34,11 +34,11 @@
     /** Everything up to this revision of the state service is in the note. */
     val cursor: Stamp,
     val stateSilentMs: Long,
-    val leads: Boolean,
+    val isLeader: Boolean,
     val blocks: List<BlockRoom>,
-    /** From the lead: blocks that it would rather see with another owner. */
+    /** From the leader: blocks that it would rather see with another owner. */
     val release: List<BlockName>,
-    /** From the lead: machines that are no longer needed. */
+    /** From the leader: machines that are no longer needed. */
     val retire: List<MachineName>,
     /** Changes a second that this controller would like to make in the state service. */
     val writesWanted: Double,
@@ -55,10 +55,10 @@
         val left = blocks.map { block ->
             BlockRoom(block.block, block.baton, block.machines.filter { it in chosen }.map { it.withoutImages() })
         }
-        return PeerNote(member, incarnation, cursor, stateSilentMs, leads, left, emptyList(), emptyList(), writesWanted)
+        return PeerNote(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
 
-    fun brief() = PeerNote(member, incarnation, cursor, stateSilentMs, leads, emptyList(), release, retire, writesWanted)
+    fun brief() = PeerNote(member, incarnation, cursor, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
 
     private companion object {
         const val BYTES_BESIDE = 400
@@ -89,7 +89,7 @@
         out.writeLong(note.incarnation.number)
         out.writeLong(note.cursor.number)
         out.writeLong(note.stateSilentMs)
-        out.flag(note.leads)
+        out.flag(note.isLeader)
         // Types, zones and images recur on hundreds of machines: they are written once and then by number.
         val words = Words()
         val rooms = Buffer()
@@ -118,7 +118,7 @@
                 incarnation = Incarnation(source.readLong()),
                 cursor = Stamp(source.readLong()),
                 stateSilentMs = source.readLong(),
-                leads = source.flag(),
+                isLeader = source.flag(),
                 blocks = source.let {
                     words = it.items { text() }
                     it.items { BlockRoom(BlockName(text()), Baton(readLong()), items { machine(words) }) }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -111,7 +111,7 @@
 
     /**
      * What is assigned and neither done nor given back: all that may be on a machine. Kept until a record changes:
-     * with hundreds of live jobs, the lead's rounds would do little else than work it out again.
+     * with hundreds of live jobs, the leader's rounds would do little else than work it out again.
      */
     fun assignments(): List<Assignment> = standing ?: workOut().also { standing = it }
 
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -38,7 +38,7 @@
 }
 
 /**
- * Tasks that the lead gave to a block.
+ * Tasks that the leader gave to a block.
  *
  * @property baton the block's stamp at that time: an owner that still holds it knows that nobody before it can have
  * started these tasks.
@@ -52,7 +52,7 @@
 }
 
 /**
- * Where the tasks of one page of a job are; written by the lead alone.
+ * Where the tasks of one page of a job are; written by the leader alone.
  *
  * @property lastGeneration kept although its group may be gone: a generation used twice would take an old give-back
  * for that of a new assignment.
@@ -106,7 +106,7 @@
 
 data class MemberRecord(val incarnation: Incarnation)
 
-data class LeadRecord(val member: MemberId, val incarnation: Incarnation)
+data class LeaderRecord(val member: MemberId, val incarnation: Incarnation)
 
 /** Sets of task numbers as text, such as `0-3,7`. */
 object Ranges {
@@ -148,14 +148,14 @@
     /** All that a starting controller has to read. */
     const val NOW = "cg/now/"
     const val OVER = "cg/over/"
-    const val LEAD = "cg/now/lead"
+    const val LEADER = "cg/now/lead"
 
     /** Tasks a page: a page of the most scattered ranges stays far below the smallest value limit. */
     const val PAGE_TASKS = 256
 
     fun live(job: JobId) = "${NOW}live/$job"
 
-    /** The lead's packed records: each holds the assignments of several jobs' pages. */
+    /** The leader's packed records: each holds the assignments of several jobs' pages. */
     fun assignmentRecords(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
 
     /** A block's packed records: each holds what became of several jobs' pages in that block. */
@@ -165,7 +165,7 @@
 
     fun member(id: MemberId) = "${NOW}member/$id"
 
-    /** What a member would tell the lead of its room, while it can't reach it. */
+    /** What a member would tell the leader of its room, while it can't reach it. */
     fun room(id: MemberId) = "${NOW}room/$id"
 
     fun images(block: BlockName) = "${NOW}images/$block"
@@ -173,7 +173,7 @@
     fun over(job: JobId) = "$OVER$job"
 
     fun parse(key: String): ParsedKey? {
-        if (key == LEAD) return ParsedKey.Lead
+        if (key == LEADER) return ParsedKey.Leader
         if (key.startsWith(OVER)) return JobId.parse(key.substring(OVER.length))?.let { ParsedKey.Over(it) }
         if (!key.startsWith(NOW)) return null
         val parts = key.substring(NOW.length).split('/')
@@ -204,7 +204,7 @@
 }
 
 sealed interface ParsedKey {
-    data object Lead : ParsedKey
+    data object Leader : ParsedKey
 
     class Live(val job: JobId) : ParsedKey
 
@@ -328,9 +328,9 @@
         return BlockRecord(member, Incarnation(node.long("inc") ?: return null))
     }
 
-    fun encode(record: LeadRecord): ByteArray = holder(record.member, record.incarnation)
+    fun encode(record: LeaderRecord): ByteArray = holder(record.member, record.incarnation)
 
-    fun decodeLead(node: JsonNode): LeadRecord? = decodeBlock(node)?.let { LeadRecord(it.member, it.incarnation) }
+    fun decodeLeader(node: JsonNode): LeaderRecord? = decodeBlock(node)?.let { LeaderRecord(it.member, it.incarnation) }
 
     fun encode(record: ImageRecord): ByteArray = Json.write {
         obj {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -51,7 +51,7 @@
     val blocks = HashMap<BlockName, Stamped<BlockRecord>>()
     val members = HashMap<MemberId, Stamped<MemberRecord>>()
     val images = HashMap<BlockName, Stamped<ImageRecord>>()
-    var lead: Stamped<LeadRecord>? = null
+    var leader: Stamped<LeaderRecord>? = null
         private set
     private val over = object : LinkedHashMap<JobId, EndRecord>(64, 0.75f, true) {
         override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > MOST_ENDED
@@ -145,7 +145,7 @@
         members.clear()
         images.clear()
         packedRecordsByKey.clear()
-        lead = null
+        leader = null
         dropped.clear()
     }
 
@@ -285,9 +285,9 @@
                 images[parsed.block] = Stamped(RecordCodec.decodeImages(value), stamp)
             }
             is ParsedKey.Room -> RecordCodec.decodeNote(value)?.let { touched.notes += it }
-            ParsedKey.Lead -> if (newer(stamp, lead)) {
+            ParsedKey.Leader -> if (newer(stamp, leader)) {
                 touched.standing = true
-                RecordCodec.decodeLead(value)?.let { lead = Stamped(it, stamp) }
+                RecordCodec.decodeLeader(value)?.let { leader = Stamped(it, stamp) }
             }
         }
     }
@@ -313,9 +313,9 @@
                 members.remove(parsed.id)
             }
             is ParsedKey.Images -> if (older(images[parsed.block], stamp)) images.remove(parsed.block)
-            ParsedKey.Lead -> if (older(lead, stamp)) {
+            ParsedKey.Leader -> if (older(leader, stamp)) {
                 touched.standing = true
-                lead = null
+                leader = null
             }
         }
     }
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -52,7 +52,7 @@
 /**
  * What comes first when there is less budget than work, and how full the budget must be for it. Assignments are decided
  * by what could be written at once: without a reserve, clearing up took every bit that came free, and on a grown day
- * the lead assigned nothing but urgent tasks for ten seconds at a time, while half of 500 machines stood idle.
+ * the leader assigned nothing but urgent tasks for ten seconds at a time, while half of 500 machines stood idle.
  */
 enum class Urgency(val reserve: Double) { HOLD(0.0), USER(0.0), ASSIGNMENT(0.0), OUTCOME(0.1), CLEANING(0.6) }
 
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -23,7 +23,7 @@
 import copperglade.storage.AssignmentPage
 import copperglade.storage.BlockRecord
 import copperglade.storage.JobPage
-import copperglade.storage.LeadRecord
+import copperglade.storage.LeaderRecord
 import copperglade.storage.LiveRecord
 import copperglade.storage.MemberRecord
 import copperglade.storage.Ranges
@@ -91,7 +91,7 @@
         "over" -> RecordCodec.encode(RecordCodec.decodeEnd(value)!!)
         "block" -> RecordCodec.encode(RecordCodec.decodeBlock(value)!!)
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
-        "lead" -> RecordCodec.encode(RecordCodec.decodeLead(value)!!)
+        "lead" -> RecordCodec.encode(RecordCodec.decodeLeader(value)!!)
         "images" -> RecordCodec.encode(RecordCodec.decodeImages(value))
         "room" -> RecordCodec.encodeNote(PeerWire.encode(PeerWire.decode(RecordCodec.decodeNote(value)!!)!!))
         else -> error("no such records: $directory")
@@ -222,7 +222,7 @@
     }
 
     @Test
-    fun `blocks that are owned and given up, members and the lead`() {
+    fun `blocks that are owned and given up, members and the leader`() {
         val owned = RecordCodec.decodeBlock(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
         assertEquals(BlockRecord(MemberId("lorry-2"), Incarnation(2)), owned)
         assertFalse(owned.givenUp)
@@ -231,8 +231,8 @@
         assertTrue(givenUp.givenUp)
         val member = RecordCodec.decodeMember(ProductionFiles.inSnapshot("cg/now/member/lorry-0").value)
         assertEquals(MemberRecord(Incarnation(3)), member)
-        val lead = RecordCodec.decodeLead(ProductionFiles.inSnapshot("cg/now/lead").value)
-        assertEquals(LeadRecord(MemberId("lorry-1"), Incarnation(1)), lead)
+        val leader = RecordCodec.decodeLeader(ProductionFiles.inSnapshot("cg/now/lead").value)
+        assertEquals(LeaderRecord(MemberId("lorry-1"), Incarnation(1)), leader)
     }
 
     @Test
@@ -271,7 +271,7 @@
         assertEquals(Incarnation(2), note.incarnation)
         assertEquals(Stamp(51), note.cursor)
         assertEquals(458, note.stateSilentMs)
-        assertFalse(note.leads)
+        assertFalse(note.isLeader)
         assertEquals(0.10845220000923077, note.writesWanted)
         assertEquals(listOf("north.1 6 1", "south.2 7 0"), note.blocks.map { "${it.block} ${it.baton} ${it.machines.size}" })
         with(
@@ -297,12 +297,12 @@
     }
 
     @Test
-    fun `brief notes, and what the lead adds`() {
+    fun `brief notes, and what the leader adds`() {
         val brief = note("note brief")
         assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.cursor.toString()))
         assertEquals(emptyList<Any>(), brief.blocks)
-        assertFalse(brief.leads)
-        assertTrue(note("note brief lead").leads)
+        assertFalse(brief.isLeader)
+        assertTrue(note("note brief lead").isLeader)
         assertEquals(listOf("south.1"), note("note brief lead release").release.map { it.text })
         assertEquals(listOf("i-000006"), note("note brief lead retire").retire.map { it.text })
     }
@@ -440,7 +440,7 @@
     private fun span(tasks: List<Int>) = tasks.last() - tasks.first() + 1
 
     @Test
-    fun `a replica has the blocks, members, images and the lead that production left`() {
+    fun `a replica has the blocks, members, images and the leader that production left`() {
         val replica = loadedReplica()
         val owners = replica.blocks.entries.associate { (name, record) ->
             name.text to "${record.value.member} ${record.value.incarnation}"
@@ -456,7 +456,7 @@
         assertEquals(expected, owners)
         val members = replica.members.entries.associate { (id, record) -> id.text to record.value.incarnation.number }
         assertEquals(mapOf("lorry-0" to 3L, "lorry-1" to 1L, "lorry-2" to 2L), members)
-        assertEquals(LeadRecord(MemberId("lorry-1"), Incarnation(1)), replica.lead?.value)
+        assertEquals(LeaderRecord(MemberId("lorry-1"), Incarnation(1)), replica.leader?.value)
         assertEquals(
             setOf("north.1", "north.2", "south.0", "south.1"),
             replica.images.keys
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -232,7 +232,7 @@
     val machines = note.blocks.flatMap { it.machines }
     val parts = listOfNotNull(
         if (note.blocks.isEmpty()) "brief" else "full",
-        "lead".takeIf { note.leads },
+        "lead".takeIf { note.isLeader },
         "release".takeIf { note.release.isNotEmpty() },
         "retire".takeIf { note.retire.isNotEmpty() },
         "machines".takeIf { machines.isNotEmpty() },
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -29,7 +29,7 @@
 class WireNamesTest {
     @Test
     fun `the keys of the state service`() {
-        assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.NOW, Keys.OVER, Keys.LEAD))
+        assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.NOW, Keys.OVER, Keys.LEADER))
         assertEquals("cg/now/live/job-000412", Keys.live(JobId("job-000412")))
         assertEquals("cg/over/job-000412", Keys.over(JobId("job-000412")))
         assertEquals("cg/now/task/array/", Keys.assignmentRecords(JobKind.ARRAY))
@@ -55,7 +55,7 @@
         assertEquals("Images north.0", parsed("cg/now/images/north.0"))
         assertEquals("Room lorry-0", parsed("cg/now/room/lorry-0"))
         assertEquals("Member lorry-0", parsed("cg/now/member/lorry-0"))
-        assertEquals("Lead", parsed("cg/now/lead"))
+        assertEquals("Leader", parsed("cg/now/lead"))
         // A later version may write keys of other kinds.
         assertNull(parsed("cg/now/later/job-7"))
         assertNull(parsed("cg/later/job-7"))
@@ -71,7 +71,7 @@
         is ParsedKey.Images -> "Images ${known.block}"
         is ParsedKey.Room -> "Room ${known.id}"
         is ParsedKey.Member -> "Member ${known.id}"
-        ParsedKey.Lead -> "Lead"
+        ParsedKey.Leader -> "Leader"
     }
 
     @Test
--- a/src/test/kotlin/copperglade/coordination/NotesTest.kt
+++ b/src/test/kotlin/copperglade/coordination/NotesTest.kt
@@ -52,7 +52,7 @@
         Incarnation(3),
         Stamp(9),
         12,
-        leads = false,
+        isLeader = false,
         listOf(BlockRoom(BlockName("z.0"), Baton(4), List(40, ::room))),
         emptyList(),
         emptyList(),
@@ -71,7 +71,7 @@
             emptyList(),
             machines = { 40 },
             compose = ::note,
-            leader = { MemberId("lead") },
+            currentLeader = { MemberId("lead") },
             heard = {},
         ).start()
         sim.run(5000.0)
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -146,7 +146,7 @@
             Incarnation(3),
             Stamp(9),
             12,
-            leads = true,
+            isLeader = true,
             listOf(BlockRoom(BlockName("z.0"), Baton(4), listOf(room))),
             listOf(BlockName("z.1")),
             listOf(MachineName("i-2")),
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -53,7 +53,7 @@
     }
 
     /**
-     * For a minute after that, machines, the lead and the links between controllers are lost, so that tasks of the
+     * For a minute after that, machines, the leader and the links between controllers are lost, so that tasks of the
      * large packed records are assigned again.
      */
     private fun SimSite.lowerLimits() {
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MeetingsTest.kt
@@ -44,23 +44,23 @@
         .distinct()
 
     /**
-     * The lead is refused alone, others confirm cancellations, then the state service is down for all for longer than a
-     * cancellation may take, while workers report to the old lead.
+     * The leader is refused alone, others confirm cancellations, then the state service is down for all for longer than a
+     * cancellation may take, while workers report to the old leader.
      */
-    private fun gap(site: SimSite, told: Boolean, lead: Int) {
-        val cancelled = onMachinesOf(site, lead)
+    private fun gap(site: SimSite, told: Boolean, leader: Int) {
+        val cancelled = onMachinesOf(site, leader)
         assertTrue(cancelled.size > 1, "it has no such tasks")
         val refusals = site.network.refusals
-        site.refuseController(lead)
+        site.refuseController(leader)
         if (!told) site.cutPeers()
         site.run(0.6)
         val confirmed = cancelAndConfirm(site, cancelled, withinS = 1.4)
-        assertTrue(site.network.refusals > refusals, "the lead was not refused")
+        assertTrue(site.network.refusals > refusals, "the leader was not refused")
         val outage = site.state.refusedInOutage
         site.state.outage = true
         site.run(3.0)
-        if (!told) assertTrue(runningOf(site, confirmed) > 0, "the old lead's workers had heard of it")
-        site.sim.after(12_000.0) { site.serveController(lead) }
+        if (!told) assertTrue(runningOf(site, confirmed) > 0, "the old leader's workers had heard of it")
+        site.sim.after(12_000.0) { site.serveController(leader) }
         site.run(SimSite.CANCEL_S + 6.0)
         assertTrue(site.state.refusedInOutage > outage, "nobody met the outage")
         assertEquals(0, runningOf(site, confirmed))
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @CsvSource("201,true", "202,true", "203,false", "204,false", "205,false", "206,false")
-    fun `what is cancelled while the lead alone is refused is gone in time, though all are refused then`(seed: Long, told: Boolean) {
+    fun `what is cancelled while the leader alone is refused is gone in time, though all are refused then`(seed: Long, told: Boolean) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
@@ -118,9 +118,9 @@
         val site = SimSite(Simulation(207), scale = scale, toldCancelS = 2 * SimSite.CANCEL_S)
         longArrays(site, tasks = 2, workS = 300.0)
         site.run(30.0)
-        val lead = site.leader()!!
-        val cancelled = onMachinesOf(site, lead)
-        site.refuseController(lead)
+        val leader = site.leader()!!
+        val cancelled = onMachinesOf(site, leader)
+        site.refuseController(leader)
         site.cutPeers()
         site.run(0.6)
         cancelAndConfirm(site, cancelled, withinS = 2.4)
@@ -162,18 +162,18 @@
         site.run(20.0)
         val leaders = HashSet<String?>()
         repeat(4) {
-            leaders += site.state.text(Keys.LEAD)
-            site.leader()?.let { lead -> site.crash(lead, 400.0 + site.sim.random.nextInt(6000)) }
+            leaders += site.state.text(Keys.LEADER)
+            site.leader()?.let { leader -> site.crash(leader, 400.0 + site.sim.random.nextInt(6000)) }
             site.run(12.0)
         }
-        assertTrue(leaders.filterNotNull().size >= 4, "leads: $leaders")
+        assertTrue(leaders.filterNotNull().size >= 4, "leaders: $leaders")
         assertTrue(site.completions in 6..28, "${site.completions} tasks had ended by then")
         site.assertKept()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [231, 232, 233, 234])
-    fun `the state service is slow, refuses the lead, then everybody, while users cancel and ask`(seed: Long) {
+    fun `the state service is slow, refuses the leader, then everybody, while users cancel and ask`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 12, tasks = 2)
         site.arrays(8, first = 50)
@@ -181,8 +181,8 @@
         site.network.delayMs = { if (it.from == "state") 150.0 + site.sim.random.nextInt(700) else 0.0 }
         site.run(8.0)
         assertTrue(site.network.delayed > 0)
-        val lead = site.leader()
-        lead?.let(site::refuseController)
+        val leader = site.leader()
+        leader?.let(site::refuseController)
         val before = site.confirmedCancellations
         (1..6).forEach { site.cancel(id(it)) }
         site.run(5.0)
@@ -263,19 +263,19 @@
         site.services(4)
         site.arrays(20)
         site.run(20.0)
-        val leads = LinkedHashSet<String>()
+        val leaders = LinkedHashSet<String>()
         repeat(14) { turn ->
             if (turn == 5) site.state.outage = true
             if (turn == 7) site.state.outage = false
-            site.state.text(Keys.LEAD)?.let { leads += it }
-            site.leader()?.let { lead ->
-                if (turn % 3 == 2) site.refuseController(lead) else site.crash(lead, 200.0 + site.sim.random.nextInt(4000))
-                site.sim.after(7000.0) { site.serveController(lead) }
+            site.state.text(Keys.LEADER)?.let { leaders += it }
+            site.leader()?.let { leader ->
+                if (turn % 3 == 2) site.refuseController(leader) else site.crash(leader, 200.0 + site.sim.random.nextInt(4000))
+                site.sim.after(7000.0) { site.serveController(leader) }
             }
             if (turn % 4 == 1) site.cancel(id(turn))
             site.run(8.5)
         }
-        assertTrue(leads.size >= 10, "${leads.size} leads")
+        assertTrue(leaders.size >= 10, "${leaders.size} leaders")
         site.assertKept()
     }
 
@@ -300,7 +300,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [281, 282, 283, 284])
-    fun `a lead is left with workers and users while jobs are cancelled through the next one`(seed: Long) {
+    fun `a leader is left with workers and users while jobs are cancelled through the next one`(seed: Long) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(30.0)
@@ -316,7 +316,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [291, 292, 293, 294])
-    fun `a team is at its limit when the lead changes, some machines can't be asked, and a job is cancelled`(seed: Long) {
+    fun `a team is at its limit when the leader changes, some machines can't be asked, and a job is cancelled`(seed: Long) {
         val site = wide(seed, teamCpus = 100.0)
         longArrays(site, jobs = 10, tasks = 4, workS = 40.0)
         site.run(25.0)
@@ -427,13 +427,13 @@
         site.services(4)
         site.arrays(14)
         site.run(24.0)
-        val before = site.state.text(Keys.LEAD)
+        val before = site.state.text(Keys.LEADER)
         // Only what workers send is held back; it is delivered to whoever has the address by then.
         site.holdReports(site.workerNames().take(3))
         site.run(1.5)
         (0 until site.nodes).forEach { site.crash(it, 150.0 + it * 400.0) }
         site.run(4.0 + site.sim.random.nextInt(5))
-        assertTrue(site.state.text(Keys.LEAD) != before && site.leader() != null, "no new leader")
+        assertTrue(site.state.text(Keys.LEADER) != before && site.leader() != null, "no new leader")
         site.heal()
         site.run(20.0)
         site.assertKept()
@@ -448,12 +448,12 @@
         site.arrays(16)
         site.run(20.0)
         repeat(4) {
-            val lead = site.leader() ?: 0
-            site.crash(lead, 250.0 + random.nextInt(600))
+            val leader = site.leader() ?: 0
+            site.crash(leader, 250.0 + random.nextInt(600))
             site.run(2.0 + random.nextInt(3))
-            (0 until site.nodes).forEach { node -> site.crash(node, if (node == lead) 300.0 else 4000.0 + random.nextInt(9000)) }
+            (0 until site.nodes).forEach { node -> site.crash(node, if (node == leader) 300.0 else 4000.0 + random.nextInt(9000)) }
             site.run(0.9)
-            site.crash(lead, 200.0)
+            site.crash(leader, 200.0)
             site.run(14.0)
         }
         site.assertKept()
@@ -484,7 +484,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [371, 372, 373, 374])
-    fun `a lead ends while machines with long tasks can't be reached, or don't hear the next one's answer`(seed: Long) {
+    fun `a leader ends while machines with long tasks can't be reached, or don't hear the next one's answer`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 4, workS = 60.0)
         site.run(25.0)
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -214,7 +214,7 @@
     fun serveController(node: Int) = network.serveAgain(name(node))
 
     /** Who leads, by the state service's own records; null while nobody does. */
-    fun leader(): Int? = state.text(Keys.LEAD)?.let { lead -> (0 until nodes).firstOrNull { "\"${name(it)}\"" in lead } }
+    fun leader(): Int? = state.text(Keys.LEADER)?.let { leader -> (0 until nodes).firstOrNull { "\"${name(it)}\"" in leader } }
 
     /** Machines whose reports arrive, while answers and direct commands to them are lost. */
     fun deafen(workers: Collection<String>) {
