--- a/src/main/kotlin/copperglade/app/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/app/OperatorProperties.kt
@@ -44,10 +44,10 @@
         val reader = Reader(properties)
         val usual = Tuning()
         return Tuning(
-            holdLimit = reader.seconds("hold.limit.s", usual.holdLimit, 1.0..600.0),
-            holdMargin = reader.seconds("hold.margin.s", usual.holdMargin, 0.5..60.0),
-            holdPartOfLease = reader.number("hold.part-of-lease", usual.holdPartOfLease, 0.1..10.0),
-            leaderHold = reader.seconds("lead.hold.s", usual.leaderHold, 1.0..60.0),
+            stalenessLimit = reader.seconds("hold.limit.s", usual.stalenessLimit, 1.0..600.0),
+            stalenessMargin = reader.seconds("hold.margin.s", usual.stalenessMargin, 0.5..60.0),
+            sessionLeasePart = reader.number("hold.part-of-lease", usual.sessionLeasePart, 0.1..10.0),
+            leaderLease = reader.seconds("lead.hold.s", usual.leaderLease, 1.0..60.0),
             blocksPerZone = reader.whole("blocks.per-zone", usual.blocksPerZone, 0..64),
             stragglerMargin = reader.number("straggler.margin", usual.stragglerMargin, 1.0..100.0),
             nearestProfiles = reader.whole("profiles.nearest", usual.nearestProfiles, 1..1000),
--- a/src/main/kotlin/copperglade/coordination/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/coordination/AbsentOwners.kt
@@ -11,7 +11,8 @@
 
 /**
  * Until when other controllers may have answered workers of blocks that were theirs. One that hears from nobody goes on
- * answering for [grace] beyond its hold ([Membership.mayKeep]); one that is back under a new incarnation has stopped.
+ * answering for [grace] beyond its session lease ([Membership.mayKeep]); one that is back under a new incarnation has
+ * stopped.
  */
 class AbsentOwners(
     private val loop: EventLoop,
--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -216,7 +216,7 @@
                 is TransactionOutcome.Conflict -> replica.fresh { if (spell == term) settled(packedWrite, counts) }
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
-                TransactionOutcome.Unknown, TransactionOutcome.NoSuchPermit ->
+                TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
                     unresolvedWrites.resolve(packedWrite, ours = { spell == term }) { settled(packedWrite, counts) }
             }
         }
--- a/src/main/kotlin/copperglade/coordination/Blocks.kt
+++ b/src/main/kotlin/copperglade/coordination/Blocks.kt
@@ -126,7 +126,7 @@
         val record = RecordCodec.encode(BlockRecord(to, member.value.incarnation))
         val transaction = Transaction(conditions, listOf(Write.Set(Keys.block(block), record)))
         inFlight += block
-        store.commit(Urgency.HOLD, transaction) { outcome ->
+        store.commit(Urgency.LEASE, transaction) { outcome ->
             inFlight -= block
             if (outcome is TransactionOutcome.Applied) {
                 log.info("block {} granted to {} with baton {}", block, to, outcome.stamp)
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -58,12 +58,12 @@
         replica,
         vouching,
         settings.member,
-        holdLength = minOf(staleness, (settings.leaseS * tuning.holdPartOfLease).seconds),
+        leaseLength = minOf(staleness, (settings.leaseS * tuning.sessionLeasePart).seconds),
         stalenessLimit = staleness,
         startLimit = quiet * 2,
     )
     private val absentOwners = AbsentOwners(loop, replica, settings.peers.map { it.member }, membership.grace)
-    private val leadership = Leadership(loop, store, replica, membership, tuning.leaderHold)
+    private val leadership = Leadership(loop, store, replica, membership, tuning.leaderLease)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, vouching)
@@ -305,11 +305,12 @@
          */
         fun stalenessLimit(leaseS: Double, cancelS: Double, tuning: Tuning): Duration {
             val between = (cancelS - leaseS).seconds
-            val margin = if (tuning.holdMargin > Tuning.USUAL_HOLD_MARGIN) tuning.holdMargin else minOf(tuning.holdMargin, between / 3)
+            val wanted = tuning.stalenessMargin
+            val margin = if (wanted > Tuning.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
             if (between - margin < SHORTEST_STALENESS) {
                 throw BadSetting("deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in")
             }
-            return minOf(tuning.holdLimit, between - margin)
+            return minOf(tuning.stalenessLimit, between - margin)
         }
     }
 }
--- a/src/main/kotlin/copperglade/coordination/JobService.kt
+++ b/src/main/kotlin/copperglade/coordination/JobService.kt
@@ -113,7 +113,7 @@
                 TransactionOutcome.Refused -> {
                     if (tries > 0) loop.after(RETRY) { accept(record, responder, tries - 1) } else responder.send(later())
                 }
-                TransactionOutcome.Unknown, TransactionOutcome.NoSuchPermit -> responder.send(later())
+                TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease -> responder.send(later())
             }
         }
     }
--- a/src/main/kotlin/copperglade/coordination/Leadership.kt
+++ b/src/main/kotlin/copperglade/coordination/Leadership.kt
@@ -21,17 +21,18 @@
 enum class LeadershipState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
 
 /**
- * Who leads. The leader's key hangs on a hold of its own, much shorter than a member's, since a leader that is gone holds
- * up every new task; nothing unsafe follows from two leaders, as each write of a leader is conditional on the key's stamp.
+ * Who leads. The leader's key hangs on a session lease of its own, much shorter than a member's, since a leader that is
+ * gone holds up every new task; nothing unsafe follows from two leaders, as each write of a leader is conditional on
+ * the key's stamp.
  */
 class Leadership(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val membership: Membership,
-    private val holdLength: Duration,
+    private val leaseLength: Duration,
 ) {
-    private var hold = Hold(loop, store, holdLength)
+    private var lease = SessionLease(loop, store, leaseLength)
     private var since = Moment.NEVER
 
     var state = LeadershipState.FOLLOWING
@@ -41,11 +42,11 @@
     var stamp = Stamp.ABSENT
         private set
 
-    val leading: Boolean get() = state == LeadershipState.LEADING && hold.alive && membership.mayAct
+    val leading: Boolean get() = state == LeadershipState.LEADING && lease.alive && membership.mayAct
     val condition: Condition get() = Condition(Keys.LEADER, stamp)
     val leadingForS: Double get() = loop.now().secondsSince(since)
 
-    fun start() = loop.again({ if (state == LeadershipState.LEADING) holdLength / EXTENDS_PER_HOLD else LOOK }, ::tick)
+    fun start() = loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
 
     private fun moveTo(next: LeadershipState, why: String) {
         if (state == next) return
@@ -60,7 +61,7 @@
                 if (replica.leader?.stamp != stamp) {
                     stepDown("the key is no longer ours")
                 } else {
-                    hold.extend { kept -> if (!kept) stepDown("the hold ran out") }
+                    lease.extend { kept -> if (!kept) stepDown("the hold ran out") }
                 }
             }
             LeadershipState.CAMPAIGNING, LeadershipState.CATCHING_UP -> Unit
@@ -77,18 +78,18 @@
     private fun campaign() {
         val incarnation = membership.incarnation ?: return
         moveTo(LeadershipState.CAMPAIGNING, "no lead")
-        hold = Hold(loop, store, holdLength)
-        hold.open { opened ->
-            val permit = hold.permit
-            if (!opened || permit == null) return@open stepDown("no hold")
+        lease = SessionLease(loop, store, leaseLength)
+        lease.open { opened ->
+            val leaseId = lease.leaseId
+            if (!opened || leaseId == null) return@open stepDown("no hold")
             val before = replica.leader?.stamp ?: Stamp.ABSENT
             if (!vacant()) return@open stepDown("somebody else was faster")
             val record = RecordCodec.encode(LeaderRecord(membership.self, incarnation))
             val transaction = Transaction(
                 listOf(Condition(Keys.LEADER, before), Condition(Keys.member(membership.self), membership.stamp)),
-                listOf(Write.Set(Keys.LEADER, record, permit)),
+                listOf(Write.Set(Keys.LEADER, record, leaseId)),
             )
-            store.commit(Urgency.HOLD, transaction) { outcome ->
+            store.commit(Urgency.LEASE, transaction) { outcome ->
                 if (outcome !is TransactionOutcome.Applied) return@commit stepDown("lost the campaign")
                 stamp = outcome.stamp
                 replica.applied(transaction, outcome.stamp)
@@ -108,12 +109,12 @@
     }
 
     private fun stepDown(why: String) {
-        hold.end()
+        lease.end()
         moveTo(LeadershipState.FOLLOWING, why)
     }
 
     private companion object {
-        const val EXTENDS_PER_HOLD = 5
+        const val EXTENSIONS_PER_LEASE = 5
         val LOOK = 100.milliseconds
         val log = LoggerFactory.getLogger("lead")
     }
--- a/src/main/kotlin/copperglade/coordination/Membership.kt
+++ b/src/main/kotlin/copperglade/coordination/Membership.kt
@@ -1,13 +1,13 @@
 package copperglade.coordination
 
 import copperglade.protocol.Incarnation
+import copperglade.protocol.LeaseId
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
-import copperglade.protocol.Permit
 import copperglade.protocol.Stamp
 import copperglade.storage.Condition
-import copperglade.storage.HoldOutcome
 import copperglade.storage.Keys
+import copperglade.storage.LeaseOutcome
 import copperglade.storage.MemberRecord
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
@@ -23,11 +23,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A hold, and our own reckoning of how long it surely lives: from when the last successful request was sent, less
- * the drift of the clocks and a margin. Whoever acts on the hold asks [alive] at the moment of acting.
+ * A session lease, and our own reckoning of how long it surely lives: from when the last successful request was sent, less
+ * the drift of the clocks and a margin. Whoever acts on the session lease asks [alive] at the moment of acting.
  */
-class Hold(private val loop: EventLoop, private val store: StateClient, private val length: Duration) {
-    var permit: Permit? = null
+class SessionLease(private val loop: EventLoop, private val store: StateClient, private val length: Duration) {
+    var leaseId: LeaseId? = null
         private set
     private var surelyUntil = Moment.NEVER
 
@@ -35,28 +35,28 @@
     var renewedAt = Moment.NEVER
         private set
 
-    val alive: Boolean get() = permit != null && loop.now() < surelyUntil
+    val alive: Boolean get() = leaseId != null && loop.now() < surelyUntil
 
     fun open(done: (Boolean) -> Unit) {
         val sent = loop.now()
-        store.openHold(length) { outcome ->
-            if (outcome is HoldOutcome.Granted) {
-                permit = outcome.permit
+        store.openLease(length) { outcome ->
+            if (outcome is LeaseOutcome.Granted) {
+                leaseId = outcome.leaseId
                 renewed(sent)
             }
-            done(outcome is HoldOutcome.Granted)
+            done(outcome is LeaseOutcome.Granted)
         }
     }
 
-    /** [done] gets false once the service no longer knows the hold. */
+    /** [done] gets false once the service no longer knows the session lease. */
     fun extend(done: (Boolean) -> Unit) {
-        val extended = permit ?: return
+        val extended = leaseId ?: return
         val sent = loop.now()
-        store.extendHold(extended) { outcome ->
-            if (permit != extended) return@extendHold
-            if (outcome == HoldOutcome.Extended) renewed(sent)
-            if (outcome == HoldOutcome.Gone) {
-                permit = null
+        store.extendLease(extended) { outcome ->
+            if (leaseId != extended) return@extendLease
+            if (outcome == LeaseOutcome.Extended) renewed(sent)
+            if (outcome == LeaseOutcome.Gone) {
+                leaseId = null
                 done(false)
             } else {
                 done(true)
@@ -65,8 +65,8 @@
     }
 
     fun end() {
-        permit?.let { store.endHold(it) }
-        permit = null
+        leaseId?.let { store.endLease(it) }
+        leaseId = null
     }
 
     private fun renewed(sent: Moment) {
@@ -84,36 +84,36 @@
 
 enum class MemberState { OUTSIDE, JOINING, MEMBER }
 
-/** This process's place among the controllers: a hold, and `member/<id>` attached to it. */
+/** This process's place among the controllers: a session lease, and `member/<id>` attached to it. */
 class Membership(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val vouching: Vouching,
     val self: MemberId,
-    private val holdLength: Duration,
+    private val leaseLength: Duration,
     private val stalenessLimit: Duration,
     private val startLimit: Duration,
 ) {
-    private var hold = Hold(loop, store, holdLength)
+    private var lease = SessionLease(loop, store, leaseLength)
 
     var state = MemberState.OUTSIDE
         private set
     var stamp = Stamp.ABSENT
         private set
 
-    /** The hold's number stands for this life of the process: the state service gives none twice. */
-    val incarnation: Incarnation? get() = hold.permit
+    /** The session lease's number stands for this life of the process: the state service gives none twice. */
+    val incarnation: Incarnation? get() = lease.leaseId
         ?.takeIf {
             state == MemberState.MEMBER
         }?.let { Incarnation(it.number) }
 
     /**
-     * Whether this process may act at this very moment: on its hold, or on what its peers promised in an outage. In
+     * Whether this process may act at this very moment: on its session lease, or on what its peers promised in an outage. In
      * either case its knowledge must be recent enough for a cancellation it has not heard of to be met in time.
      */
     val mayAct: Boolean
-        get() = state == MemberState.MEMBER && (hold.alive || loop.now() < vouching.vouchedUntil) &&
+        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < vouching.vouchedUntil) &&
             loop.now() < replica.asOf + stalenessLimit
 
     /**
@@ -125,24 +125,24 @@
         get() = mayAct && (loop.now() < replica.asOf + startLimit || loop.now() < vouching.vouchedUntil)
 
     /**
-     * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the hold has run
-     * out without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over reckon with it
-     * ([AbsentOwners]).
+     * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the session
+     * lease has run out without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over
+     * reckon with it ([AbsentOwners]).
      */
     val mayKeep: Boolean
-        get() = state == MemberState.MEMBER && loop.now() < minOf(hold.renewedAt, replica.asOf) + stalenessLimit
+        get() = state == MemberState.MEMBER && loop.now() < minOf(lease.renewedAt, replica.asOf) + stalenessLimit
 
-    /** How long that may go on beyond the hold. */
-    val grace: Duration get() = (stalenessLimit - holdLength) * (1.0 + 2 * Hold.DRIFT) + GRACE_MARGIN
+    /** How long that may go on beyond the session lease. */
+    val grace: Duration get() = (stalenessLimit - leaseLength) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
 
     /** Called whenever a life of this member begins or ends. */
     var onChange: () -> Unit = {}
 
     fun start() {
-        vouching.intact = { state == MemberState.MEMBER && (hold.alive || loop.now() < vouching.vouchedUntil) }
+        vouching.intact = { state == MemberState.MEMBER && (lease.alive || loop.now() < vouching.vouchedUntil) }
         join()
-        loop.again({ if (hold.alive) holdLength / EXTENDS_PER_HOLD else RETRY }) {
-            if (state == MemberState.MEMBER) hold.extend { kept -> if (!kept) lost() }
+        loop.again({ if (lease.alive) leaseLength / EXTENSIONS_PER_LEASE else RETRY }) {
+            if (state == MemberState.MEMBER) lease.extend { kept -> if (!kept) lost() }
         }
     }
 
@@ -156,30 +156,30 @@
     private fun join() {
         if (state != MemberState.OUTSIDE) return
         moveTo(MemberState.JOINING, "asking for a hold")
-        hold = Hold(loop, store, holdLength)
-        hold.open { if (it) register() else retry("no hold") }
+        lease = SessionLease(loop, store, leaseLength)
+        lease.open { if (it) register() else retry("no hold") }
     }
 
     /** Replaces the key of our predecessor, who is dead: a process of this name runs only once. */
     private fun register() {
-        val permit = hold.permit ?: return retry("hold lost")
-        if (replica.state != ReplicaState.CURRENT && hold.alive) {
+        val leaseId = lease.leaseId ?: return retry("hold lost")
+        if (replica.state != ReplicaState.CURRENT && lease.alive) {
             loop.after(LOOK) { register() }
             return
         }
         replica.fresh { known ->
             if (!known) return@fresh retry("state service silent")
             val before = replica.members[self]?.stamp ?: Stamp.ABSENT
-            val record = MemberRecord(Incarnation(permit.number))
+            val record = MemberRecord(Incarnation(leaseId.number))
             val transaction = Transaction(
                 listOf(Condition(Keys.member(self), before)),
-                listOf(Write.Set(Keys.member(self), RecordCodec.encode(record), permit)),
+                listOf(Write.Set(Keys.member(self), RecordCodec.encode(record), leaseId)),
             )
-            store.commit(Urgency.HOLD, transaction) { outcome ->
+            store.commit(Urgency.LEASE, transaction) { outcome ->
                 if (outcome is TransactionOutcome.Applied) {
                     stamp = outcome.stamp
                     replica.applied(transaction, outcome.stamp)
-                    moveTo(MemberState.MEMBER, "incarnation $permit")
+                    moveTo(MemberState.MEMBER, "incarnation $leaseId")
                 } else {
                     retry("could not register")
                 }
@@ -188,7 +188,7 @@
     }
 
     private fun retry(why: String) {
-        hold.end()
+        lease.end()
         moveTo(MemberState.OUTSIDE, why)
         loop.after(RETRY) { join() }
     }
@@ -199,7 +199,7 @@
     }
 
     private companion object {
-        const val EXTENDS_PER_HOLD = 8
+        const val EXTENSIONS_PER_LEASE = 8
         val GRACE_MARGIN = 500.milliseconds
         val RETRY = 300.milliseconds
         val LOOK = 20.milliseconds
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/coordination/Owner.kt
@@ -196,7 +196,7 @@
 
     private fun rewrite(name: BlockName, baton: Baton, write: Write, done: (TransactionOutcome) -> Unit) {
         val transaction = Transaction(listOf(Condition(Keys.block(name), Stamp(baton.number))), listOf(write))
-        store.commit(Urgency.HOLD, transaction) { outcome ->
+        store.commit(Urgency.LEASE, transaction) { outcome ->
             done(outcome)
             if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
         }
--- a/src/main/kotlin/copperglade/coordination/OwnerContext.kt
+++ b/src/main/kotlin/copperglade/coordination/OwnerContext.kt
@@ -22,7 +22,7 @@
     val absentOwners: AbsentOwners,
 ) {
     /** After so long without an answer a worker's lease has run out for certain, whatever its clock's drift. */
-    val longestLease: Duration get() = (leaseS * (1 + Hold.DRIFT) + LEASE_MARGIN_S).seconds
+    val longestLease: Duration get() = (leaseS * (1 + SessionLease.DRIFT) + LEASE_MARGIN_S).seconds
 
     /** A machine of which nothing has come for so long is taken for silent. */
     val silenceLimit: Duration get() = reportIntervals(SILENT_REPORTS)
--- a/src/main/kotlin/copperglade/coordination/Tuning.kt
+++ b/src/main/kotlin/copperglade/coordination/Tuning.kt
@@ -6,10 +6,10 @@
 
 /** What the operators may set; `docs/operations.md` says what each is for. */
 class Tuning(
-    val holdLimit: Duration = 30.seconds,
-    val holdMargin: Duration = USUAL_HOLD_MARGIN,
-    val holdPartOfLease: Double = 0.55,
-    val leaderHold: Duration = 2500.milliseconds,
+    val stalenessLimit: Duration = 30.seconds,
+    val stalenessMargin: Duration = USUAL_STALENESS_MARGIN,
+    val sessionLeasePart: Double = 0.55,
+    val leaderLease: Duration = 2500.milliseconds,
     val blocksPerZone: Int = 0,
     val stragglerMargin: Double = 1.0,
     val nearestProfiles: Int = 8,
@@ -23,6 +23,6 @@
     val fadeReplacements: Double = 2.0,
 ) {
     companion object {
-        val USUAL_HOLD_MARGIN = 2.seconds
+        val USUAL_STALENESS_MARGIN = 2.seconds
     }
 }
--- a/src/main/kotlin/copperglade/coordination/Vouching.kt
+++ b/src/main/kotlin/copperglade/coordination/Vouching.kt
@@ -13,15 +13,16 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How short holds outlive an outage of the state service. A member that the service has stopped answering asks every
- * other controller to vouch: not to grant its blocks away for the next [PROMISE]. A controller vouches only while the
- * service is silent to itself as well. With a promise from all of them, asked for while the member's right was still
- * intact, nobody can have granted or will grant its blocks, whatever the service does with its hold meanwhile.
+ * How short session leases outlive an outage of the state service. A member that the service has stopped answering asks
+ * every other controller to vouch: not to grant its blocks away for the next [PROMISE]. A controller vouches only while
+ * the service is silent to itself as well. With a promise from all of them, asked for while the member's right was
+ * still intact, nobody can have granted or will grant its blocks, whatever the service does with its session lease
+ * meanwhile.
  *
  * Why that is enough: a grant needs that the holder's incarnation was seen to be gone. As long as the right is intact
  * it has not gone, so no grant against it can be on its way either, not even a late one. A controller that restarts
  * forgets its promises, hence grants nothing of others for one [PROMISE] after its start. Without the peer link there
- * are no promises, and the hold alone decides.
+ * are no promises, and the session lease alone decides.
  */
 class Vouching(
     private val loop: EventLoop,
@@ -52,7 +53,7 @@
         val request = Request(Method.POST, PeerWire.VOUCH_PATH, self.text.encodeToByteArray())
         http.call(peer.endpoint, request, TIMEOUT) { reply ->
             asking -= peer.member
-            if (reply?.status == OK && intact()) promisedBy[peer.member] = sent + PROMISE * (1.0 - Hold.DRIFT) - MARGIN
+            if (reply?.status == OK && intact()) promisedBy[peer.member] = sent + PROMISE * (1.0 - SessionLease.DRIFT) - MARGIN
         }
     }
 
--- a/src/main/kotlin/copperglade/protocol/Ids.kt
+++ b/src/main/kotlin/copperglade/protocol/Ids.kt
@@ -38,7 +38,7 @@
     override fun toString() = text
 }
 
-/** One life of a controller: the number of its hold, which the state service never gives twice. */
+/** One life of a controller: the number of its session lease, which the state service never gives twice. */
 @JvmInline
 value class Incarnation(val number: Long) {
     override fun toString() = number.toString()
@@ -95,9 +95,9 @@
     }
 }
 
-/** The state service's name for a hold. */
+/** The state service's name for a session lease. */
 @JvmInline
-value class Permit(val number: Long) {
+value class LeaseId(val number: Long) {
     override fun toString() = number.toString()
 }
 
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -94,7 +94,7 @@
     val givenUp: Boolean get() = incarnation == NO_LIFE
 
     companion object {
-        /** The state service's holds are numbered from 1. */
+        /** The state service's leases are numbered from 1. */
         private val NO_LIFE = Incarnation(0)
 
         fun givenUpBy(member: MemberId) = BlockRecord(member, NO_LIFE)
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
+import copperglade.protocol.LeaseId
 import copperglade.protocol.Moment
-import copperglade.protocol.Permit
 import copperglade.protocol.Stamp
 import copperglade.protocol.array
 import copperglade.protocol.flag
@@ -27,7 +27,7 @@
 sealed interface Write {
     val key: String
 
-    class Set(override val key: String, val value: ByteArray, val permit: Permit? = null) : Write
+    class Set(override val key: String, val value: ByteArray, val leaseId: LeaseId? = null) : Write
 
     class Drop(override val key: String) : Write
 }
@@ -40,7 +40,7 @@
 
     class Conflict(val failed: List<String>) : TransactionOutcome
 
-    data object NoSuchPermit : TransactionOutcome
+    data object NoSuchLease : TransactionOutcome
 
     /** Surely not carried out. */
     data object Refused : TransactionOutcome
@@ -54,7 +54,7 @@
  * by what could be written at once: without a reserve, clearing up took every bit that came free, and on a grown day
  * the leader assigned nothing but urgent tasks for ten seconds at a time, while half of 500 machines stood idle.
  */
-enum class Urgency(val reserve: Double) { HOLD(0.0), USER(0.0), ASSIGNMENT(0.0), OUTCOME(0.1), CLEANING(0.6) }
+enum class Urgency(val reserve: Double) { LEASE(0.0), USER(0.0), ASSIGNMENT(0.0), OUTCOME(0.1), CLEANING(0.6) }
 
 class Entry(val key: String, val value: JsonNode, val stamp: Stamp)
 
@@ -86,14 +86,14 @@
     data object Failed : ReadOutcome
 }
 
-sealed interface HoldOutcome {
-    class Granted(val permit: Permit) : HoldOutcome
+sealed interface LeaseOutcome {
+    class Granted(val leaseId: LeaseId) : LeaseOutcome
 
-    data object Extended : HoldOutcome
+    data object Extended : LeaseOutcome
 
-    data object Gone : HoldOutcome
+    data object Gone : LeaseOutcome
 
-    data object Failed : HoldOutcome
+    data object Failed : LeaseOutcome
 }
 
 /** Limits of the state service, as the platform's settings give them. */
@@ -171,7 +171,7 @@
 
     fun commit(urgency: Urgency, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
         val queue = queues.getValue(urgency)
-        if (urgency != Urgency.HOLD && queue.size >= MOST_QUEUED) {
+        if (urgency != Urgency.LEASE && queue.size >= MOST_QUEUED) {
             done(TransactionOutcome.Refused)
             return
         }
@@ -184,7 +184,7 @@
         for ((urgency, queue) in queues) {
             while (queue.isNotEmpty()) {
                 val next = queue.first()
-                if (urgency == Urgency.HOLD) {
+                if (urgency == Urgency.LEASE) {
                     writes.take(next.transaction.writes.size, loop.now())
                 } else if (inFlight >= MOST_IN_FLIGHT ||
                     !writes.tryTake(next.transaction.writes.size, loop.now(), reserveFor(urgency, next.transaction))
@@ -242,7 +242,7 @@
         BAD_REQUEST -> {
             val problem = Json.read(reply.body)?.text("error").orEmpty()
             if (problem.contains(NO_SUCH_LEASE, ignoreCase = true)) {
-                TransactionOutcome.NoSuchPermit
+                TransactionOutcome.NoSuchLease
             } else {
                 reportMalformed(problem)
                 TransactionOutcome.Refused
@@ -334,27 +334,27 @@
         return ChangesOutcome.Got(Stamp(ledger), changes.orEmpty())
     }
 
-    fun openHold(length: Duration, done: (HoldOutcome) -> Unit) {
+    fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) {
         val body = Json.write { obj { writeNumberField("ttlMs", length.inWholeMilliseconds) } }
         request(Request(Method.POST, "/holds", body), TIMEOUT) { reply ->
-            val permit = reply?.takeIf { it.status == OK }?.let { Json.read(it.body)?.long("permit") }
-            done(if (permit == null) HoldOutcome.Failed else HoldOutcome.Granted(Permit(permit)))
+            val leaseId = reply?.takeIf { it.status == OK }?.let { Json.read(it.body)?.long("permit") }
+            done(if (leaseId == null) LeaseOutcome.Failed else LeaseOutcome.Granted(LeaseId(leaseId)))
         }
     }
 
-    fun extendHold(permit: Permit, done: (HoldOutcome) -> Unit) {
-        request(Request(Method.POST, "/holds/$permit/extend"), TIMEOUT) { reply ->
+    fun extendLease(leaseId: LeaseId, done: (LeaseOutcome) -> Unit) {
+        request(Request(Method.POST, "/holds/$leaseId/extend"), TIMEOUT) { reply ->
             done(
                 when (reply?.status) {
-                    OK -> HoldOutcome.Extended
-                    NOT_FOUND -> HoldOutcome.Gone
-                    else -> HoldOutcome.Failed
+                    OK -> LeaseOutcome.Extended
+                    NOT_FOUND -> LeaseOutcome.Gone
+                    else -> LeaseOutcome.Failed
                 },
             )
         }
     }
 
-    fun endHold(permit: Permit) = request(Request(Method.DELETE, "/holds/$permit"), TIMEOUT) {}
+    fun endLease(leaseId: LeaseId) = request(Request(Method.DELETE, "/holds/$leaseId"), TIMEOUT) {}
 
     private fun request(request: Request, timeout: Duration, counted: Boolean = false, done: (Reply?) -> Unit) {
         if (!counted) requests.take(1, loop.now())
@@ -384,7 +384,7 @@
                                 writeStringField("set", write.key)
                                 writeFieldName("data")
                                 writeRawValue(write.value.decodeToString())
-                                write.permit?.let { writeNumberField("permit", it.number) }
+                                write.leaseId?.let { writeNumberField("permit", it.number) }
                             }
                         }
                     }
--- a/src/test/kotlin/copperglade/app/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/app/OperatorPropertiesTest.kt
@@ -14,7 +14,7 @@
     @Test
     fun `keys are read, and what is left out keeps its default`() {
         val tuning = parse("lead.hold.s" to "2.5", "fleet.headroom" to "1.5")
-        assertEquals(2.5.seconds, tuning.leaderHold)
+        assertEquals(2.5.seconds, tuning.leaderLease)
         assertEquals(1.5, tuning.headroom)
         assertEquals(8, tuning.nearestProfiles)
     }
--- a/src/test/kotlin/copperglade/coordination/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/coordination/StalenessTest.kt
@@ -17,7 +17,7 @@
         repeat(20_000) {
             val leaseS = 1.0 + random.nextDouble() * 60.0
             val cancelS = leaseS + 0.01 + random.nextDouble() * random.nextDouble() * 60.0
-            val tuning = Tuning(holdMargin = (500 + random.nextInt(8000)).milliseconds)
+            val tuning = Tuning(stalenessMargin = (500 + random.nextInt(8000)).milliseconds)
             val limit = try {
                 Controller.stalenessLimit(leaseS, cancelS, tuning).toDouble(DurationUnit.SECONDS)
             } catch (_: BadSetting) {
@@ -36,7 +36,7 @@
         val fault = assertThrows(BadSetting::class.java) { Controller.stalenessLimit(10.0, 11.0, Tuning()) }
         assertTrue("cancel_s" in fault.message!!)
         val margin =
-            assertThrows(BadSetting::class.java) { Controller.stalenessLimit(10.0, 30.0, Tuning(holdMargin = 19_500.milliseconds)) }
+            assertThrows(BadSetting::class.java) { Controller.stalenessLimit(10.0, 30.0, Tuning(stalenessMargin = 19_500.milliseconds)) }
         assertTrue("hold.margin.s" in margin.message!!)
     }
 }
--- a/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
@@ -216,7 +216,7 @@
 
     @Test
     fun `the referee sees an isolated controller whose clock lets it act for too long`() {
-        // Far beyond the drift that the protocol allows, so that the hold is reckoned to live on.
+        // Far beyond the drift that the protocol allows, so that the session lease is reckoned to live on.
         val site = SimSite(Simulation(64))
         services(site, 5)
         site.run(40.0)
@@ -399,7 +399,7 @@
         val kept = running.filterValues { site.ownerOf(it) % 2 == SimSite.ZONES.indexOf(site.zoneOf(it)) }
         assertTrue(kept.values.any { site.zoneOf(it) == SimSite.ZONES[1] }, "none in the zone: $kept")
         site.cutZone(SimSite.ZONES[1])
-        // Longer than a hold and a lease together.
+        // Longer than a session lease and a worker lease together.
         site.run(22.0)
         site.heal()
         site.run(15.0)
@@ -426,7 +426,7 @@
     }
 
     @Test
-    fun `the referee sees a taker-over that does not reckon with answers after the hold`() {
+    fun `the referee sees a taker-over that does not reckon with answers after the session lease`() {
         // The others are told a shorter staleness limit than the zone's controllers keep to.
         val site = SimSite(Simulation(119), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0), outsideLimitS = 6.0)
         // What may be stopped for the services leaves room for them at once.
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -170,7 +170,7 @@
     fun startController(node: Int) {
         if (controllers[node]?.second?.alive == true) return
         val loop = SimLoop(sim, drift = node * DRIFT)
-        val its = if (outsideLimitS != null && node % 2 == 0) Tuning(holdLimit = outsideLimitS.seconds) else tuning
+        val its = if (outsideLimitS != null && node % 2 == 0) Tuning(stalenessLimit = outsideLimitS.seconds) else tuning
         val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its)
         controllers[node] = controller to loop
         network.listen(client(node), name(node), loop, controller.clientHandler)
--- a/src/test/kotlin/copperglade/standin/StandInState.kt
+++ b/src/test/kotlin/copperglade/standin/StandInState.kt
@@ -36,20 +36,20 @@
 
 /** The state service, written from the protocol: plain and slow. */
 class StandInState(private val loop: EventLoop) : RequestHandler {
-    private class Value(val data: JsonNode, val stamp: Long, val permit: Long?)
+    private class Value(val data: JsonNode, val stamp: Long, val leaseId: Long?)
 
     private class Event(val key: String, val data: JsonNode?, val stamp: Long)
 
-    private class Hold(val ttlMs: Long, var until: Moment)
+    private class Lease(val ttlMs: Long, var until: Moment)
 
     private class Watcher(val prefix: String, val from: Long, val until: Moment, val responder: Responder)
 
     private val values = TreeMap<String, Value>()
     private val events = ArrayDeque<Event>()
-    private val holds = HashMap<Long, Hold>()
+    private val leases = HashMap<Long, Lease>()
     private val watchers = ArrayList<Watcher>()
     private var ledger = 1L
-    private var permits = 0L
+    private var lastLeaseId = 0L
     private var outageBegan: Moment? = null
 
     /** Null: there are none. May be changed at any time; what is stored stays. */
@@ -78,8 +78,8 @@
         set(on) {
             if (on == outage) return
             outageBegan = if (on) loop.now() else null
-            // After an outage every hold has its full time again.
-            if (!on) holds.values.forEach { it.until = loop.now() + it.ttlMs.milliseconds }
+            // After an outage every lease has its full time again.
+            if (!on) leases.values.forEach { it.until = loop.now() + it.ttlMs.milliseconds }
         }
 
     /** Puts a value there as from an earlier day. */
@@ -94,19 +94,19 @@
 
     private fun tick() {
         if (!outage) {
-            holds
+            leases
                 .filterValues { loop.now() > it.until }
                 .keys
                 .toList()
-                .forEach(::endHold)
+                .forEach(::endLease)
             answerWatchers()
         }
         loop.after(TICK) { tick() }
     }
 
-    private fun endHold(permit: Long) {
-        holds.remove(permit) ?: return
-        val attached = values.filterValues { it.permit == permit }.keys.toList()
+    private fun endLease(leaseId: Long) {
+        leases.remove(leaseId) ?: return
+        val attached = values.filterValues { it.leaseId == leaseId }.keys.toList()
         if (attached.isNotEmpty()) {
             ledger++
             attached.forEach(::drop)
@@ -141,7 +141,7 @@
             path == "/holds" -> responder.send(open(Json.read(request.body)))
             path.endsWith("/extend") -> responder.send(extend(path.split('/')[2].toLong()))
             path.startsWith("/holds/") && request.method == Method.DELETE -> {
-                endHold(path.split('/')[2].toLong())
+                endLease(path.split('/')[2].toLong())
                 responder.send(Reply(200))
             }
             else -> responder.send(Reply(400))
@@ -151,14 +151,14 @@
 
     private fun open(body: JsonNode?): Reply {
         val ttl = body?.long("ttlMs")?.takeIf { it in 100..600_000 } ?: return Reply(400)
-        val permit = ++permits
-        holds[permit] = Hold(ttl, loop.now() + ttl.milliseconds)
-        return Reply(200, Json.write { obj { writeNumberField("permit", permit) } })
+        val leaseId = ++lastLeaseId
+        leases[leaseId] = Lease(ttl, loop.now() + ttl.milliseconds)
+        return Reply(200, Json.write { obj { writeNumberField("permit", leaseId) } })
     }
 
-    private fun extend(permit: Long): Reply {
-        val hold = holds[permit] ?: return Reply(404)
-        hold.until = loop.now() + hold.ttlMs.milliseconds
+    private fun extend(leaseId: Long): Reply {
+        val lease = leases[leaseId] ?: return Reply(404)
+        lease.until = loop.now() + lease.ttlMs.milliseconds
         return Reply(200)
     }
 
@@ -198,7 +198,7 @@
         val writes = body?.get("writes")?.toList().orEmpty()
         val conditions = body?.get("if")?.toList().orEmpty()
         overLimits(writes, conditions)?.let { return it }
-        if (writes.any { write -> write.long("permit")?.let { it !in holds } == true }) {
+        if (writes.any { write -> write.long("permit")?.let { it !in leases } == true }) {
             return Reply(400, Json.write { obj { writeStringField("error", "no such lease") } })
         }
         val failed = conditions.filter { (values[it.text("k")]?.stamp ?: 0L) != it.long("stamp") }
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -70,7 +70,7 @@
 
         private fun put(key: String, value: ByteArray) {
             val transaction = Transaction(emptyList(), listOf(Write.Set(key, value)))
-            store.commit(Urgency.HOLD, transaction) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.stamp) }
+            store.commit(Urgency.LEASE, transaction) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.stamp) }
         }
 
         private val former = FormerRecordPacker(
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
 import copperglade.protocol.Endpoint
-import copperglade.protocol.Permit
+import copperglade.protocol.LeaseId
 import copperglade.protocol.Stamp
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
@@ -45,9 +45,9 @@
     }
 
     @Test
-    fun `a permit that is gone is told apart from that`() {
-        val write = Write.Set("key/1", "1".toByteArray(), Permit(7))
-        assertEquals(TransactionOutcome.NoSuchPermit, outcomeOf(0, listOf(write)))
+    fun `a lease that is gone is told apart from that`() {
+        val write = Write.Set("key/1", "1".toByteArray(), LeaseId(7))
+        assertEquals(TransactionOutcome.NoSuchLease, outcomeOf(0, listOf(write)))
     }
 
     /** Milliseconds until a user's change is answered, with [backlog] less urgent ones waiting for a small budget. */
