--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -1,6 +1,6 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
+import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.Moment
@@ -91,7 +91,7 @@
         val generation = present.lastGeneration + 1
         var frontier = present.frontier
         for ((block, chosen) in choices.groupBy { it.room.block }) {
-            val baton = Baton(
+            val fencingToken = FencingToken(
                 replica.blocks
                     .getValue(block)
                     .stamp.number,
@@ -101,16 +101,16 @@
             chosen.forEach { if (it.task < present.frontier) again.set(it.task) else first.set(it.task) }
             // A task that was never assigned can't have been given back, so it may share a group that stands already:
             // a group for every round would outgrow the value.
-            val joined = groups.indexOfFirst { it.block == block && it.baton == baton }
+            val joined = groups.indexOfFirst { it.block == block && it.fencingToken == fencingToken }
             if (!first.isEmpty && joined >= 0) {
                 val group = groups[joined]
                 val tasks = group.tasks.clone() as BitSet
                 tasks.or(first)
-                groups[joined] = AssignmentGroup(block, baton, group.generation, tasks)
+                groups[joined] = AssignmentGroup(block, fencingToken, group.generation, tasks)
             } else {
                 again.or(first)
             }
-            if (!again.isEmpty) groups += AssignmentGroup(block, baton, generation, again)
+            if (!again.isEmpty) groups += AssignmentGroup(block, fencingToken, generation, again)
             frontier = maxOf(frontier, chosen.maxOf { it.task } + 1)
         }
         val recalled = present.recalled.clone() as BitSet
@@ -129,7 +129,7 @@
                 ?.returned
                 ?.get(group.generation)
                 ?.let(tasks::andNot)
-            if (!tasks.isEmpty) groups += AssignmentGroup(group.block, group.baton, group.generation, tasks)
+            if (!tasks.isEmpty) groups += AssignmentGroup(group.block, group.fencingToken, group.generation, tasks)
         }
         return groups
     }
--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockOwner.kt
@@ -1,8 +1,8 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
+import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
@@ -28,7 +28,7 @@
     private val context: OwnerContext,
     store: StateClient,
     val name: BlockName,
-    first: Baton,
+    first: FencingToken,
 ) {
     private val state = BlockState(context, name, first)
     private val outcomes = OutcomeLog(context.loop, store, context.replica, this)
@@ -52,13 +52,13 @@
     val machines: Map<MachineName, Machine> get() = state.machines
 
     /** The fencing token under which workers are commanded now. */
-    val baton: Baton get() = state.token
+    val fencingToken: FencingToken get() = state.token
 
     /** Nothing is commanded until the records are known to be as new as the grant. */
     val open: Boolean get() = state.open
 
     /** Whether [stamp] is one of the fencing tokens that this owner has had. */
-    fun holds(stamp: Baton): Boolean = state.isOwnToken(stamp)
+    fun holds(stamp: FencingToken): Boolean = state.isOwnToken(stamp)
 
     /** The records are known to be as new as the grant: from now on workers are commanded. */
     fun open() {
@@ -74,7 +74,7 @@
     }
 
     /** The block's key was written anew by ourselves: workers that see the new token refuse late copies of older commands. */
-    fun renew(next: Baton) = state.raiseToken(next)
+    fun renew(next: FencingToken) = state.raiseToken(next)
 
     /** Brings the runs of a job in line with its records. */
     fun sync(job: Job) = reconciler.sync(job)
@@ -126,7 +126,7 @@
     fun deleted(machine: Machine) = tracker.deleted(machine)
 
     /** Whether a start of unknown outcome holds something up that only a higher fencing token can settle. */
-    fun needsNewBaton(): Boolean = unresolved.needHigherToken()
+    fun needsNewToken(): Boolean = unresolved.needHigherToken()
 
     /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
--- a/src/main/kotlin/copperglade/coordination/BlockState.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockState.kt
@@ -1,7 +1,7 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
@@ -17,7 +17,7 @@
     val context: OwnerContext,
     val name: BlockName,
     /** The fencing token of our grant. What a worker says after it has seen this one or a higher one is final. */
-    val firstToken: Baton,
+    val firstToken: FencingToken,
 ) {
     private val loop = context.loop
     private val ownTokens = hashSetOf(firstToken)
@@ -36,10 +36,10 @@
     var open = false
 
     /** Whether [token] is one of those that this owner has had: what bears it was assigned or commanded under our grant. */
-    fun isOwnToken(token: Baton): Boolean = token in ownTokens
+    fun isOwnToken(token: FencingToken): Boolean = token in ownTokens
 
     /** Takes up a higher token; late copies of commands under the old one are refused by workers that have seen the new one. */
-    fun raiseToken(next: Baton) {
+    fun raiseToken(next: FencingToken) {
         ownTokens += next
         token = next
         attempts = 0
@@ -52,7 +52,7 @@
      * Whether the machine's worker has seen a token of ours. Only what it says after that is final: earlier owners'
      * commands can't act any more.
      */
-    fun isFenced(machine: Machine): Boolean = machine.baton >= firstToken
+    fun isFenced(machine: Machine): Boolean = machine.fencingToken >= firstToken
 
     /** What a task takes, by our runs or by the records; null where neither knows it. */
     fun requestOf(task: TaskId): Resources? {
--- a/src/main/kotlin/copperglade/coordination/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/coordination/CapacityTable.kt
@@ -40,7 +40,7 @@
             val record = replica.blocks[block] ?: continue
             val note = noteOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
             val room =
-                note.blocks.firstOrNull { it.block == block && it.baton.number == record.stamp.number } ?: continue
+                note.blocks.firstOrNull { it.block == block && it.fencingToken.number == record.stamp.number } ?: continue
             for (machine in room.machines) {
                 val free = stillGiven(machine.name, note.cursor).fold(machine.free) { left, gift -> left - gift.request }
                 capacities += MachineCapacity(block, machine, free, machine.yielding.toTypedArray())
--- a/src/main/kotlin/copperglade/coordination/Machine.kt
+++ b/src/main/kotlin/copperglade/coordination/Machine.kt
@@ -1,9 +1,9 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
 import copperglade.protocol.Box
 import copperglade.protocol.BoxState
 import copperglade.protocol.Endpoint
+import copperglade.protocol.FencingToken
 import copperglade.protocol.Image
 import copperglade.protocol.ImageName
 import copperglade.protocol.JobId
@@ -17,14 +17,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A start whose outcome nobody told: a late copy of it may act as long as session and baton still match, or until
+ * A start whose outcome nobody told: a late copy of it may act as long as session and fencing token still match, or until
  * [actsUntil] where it went out with an answer.
  */
 class Taint(
     val task: TaskId,
     val trip: Trip,
     val session: Long,
-    val baton: Baton,
+    val fencingToken: FencingToken,
     val since: Moment,
     val actsUntil: Moment?,
 )
@@ -45,8 +45,8 @@
     var tally = -1L
         private set
 
-    /** The highest baton that the worker is known to have seen. */
-    var baton = Baton.NONE
+    /** The highest fencing token that the worker is known to have seen. */
+    var fencingToken = FencingToken.NONE
         private set
     var boxes: List<Box> = emptyList()
         private set
@@ -78,7 +78,7 @@
      */
     var answeredAt = now
 
-    /** Answers since the baton in them could have been taken up, had any arrived. */
+    /** Answers since the fencing token in them could have been taken up, had any arrived. */
     var answersInVain = 0
     var emptySince = now
     private val runsByTrip = LinkedHashMap<Trip, Run>()
@@ -147,7 +147,7 @@
         doubtUpTo(sentSession, sentTally)
         sentSession = 0
         sentTally = -1
-        baton = Baton.NONE
+        fencingToken = FencingToken.NONE
         take(report, now)
     }
 
@@ -157,12 +157,12 @@
         if (report.session != session) answeredAt = now
         session = report.session
         tally = report.tally
-        if (report.baton > baton) baton = report.baton
+        if (report.fencingToken > fencingToken) fencingToken = report.fencingToken
         boxes = report.boxes
         runChanged()
         noticed = report.noticeS != null
         endpoint = report.endpoint
-        taints.removeIf { it.session < session || it.baton < baton }
+        taints.removeIf { it.session < session || it.fencingToken < fencingToken }
         reapedAt.keys.removeIf { trip -> boxes.none { it.trip == trip } }
         if (boxes.any { it.state != BoxState.EXITED }) emptySince = now
     }
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -79,7 +79,7 @@
         packer.pack(changes).forEach(::write)
     }
 
-    private fun ownership() = Condition(Keys.block(owner.name), Stamp(owner.baton.number))
+    private fun ownership() = Condition(Keys.block(owner.name), Stamp(owner.fencingToken.number))
 
     private fun moreToCome(place: JobPage): Boolean = owner.runsOf(place.job).any {
         it.task.index / Keys.PAGE_TASKS == place.page && it.state != RunState.DONE && it.state != RunState.GONE
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/coordination/Owner.kt
@@ -1,10 +1,10 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
+import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
@@ -87,7 +87,7 @@
         val key = Keys.images(block.name)
         val transaction = Transaction(
             listOf(
-                Condition(Keys.block(block.name), Stamp(block.baton.number)),
+                Condition(Keys.block(block.name), Stamp(block.fencingToken.number)),
                 Condition(
                     key,
                     present?.stamp ?: Stamp.ABSENT,
@@ -103,7 +103,7 @@
     private fun tick() {
         owned.values.toList().forEach {
             it.tick()
-            if (it.needsNewBaton()) renew(it)
+            if (it.needsNewToken()) renew(it)
         }
     }
 
@@ -123,15 +123,15 @@
             val present = owned[name]
             val mine =
                 record != null && incarnation != null && record.value == BlockRecord(membership.self, incarnation)
-            val baton = record?.let { Baton(it.stamp.number) }
-            if (present != null && (!mine || !present.holds(baton!!)) && name !in keyInFlight) close(present)
-            if (mine && name !in owned && name !in keyInFlight) open(name, baton!!)
+            val fencingToken = record?.let { FencingToken(it.stamp.number) }
+            if (present != null && (!mine || !present.holds(fencingToken!!)) && name !in keyInFlight) close(present)
+            if (mine && name !in owned && name !in keyInFlight) open(name, fencingToken!!)
         }
     }
 
-    private fun open(name: BlockName, baton: Baton) {
-        log.info("block {} is ours with baton {}", name, baton)
-        val block = BlockOwner(context, store, name, baton)
+    private fun open(name: BlockName, fencingToken: FencingToken) {
+        log.info("block {} is ours with baton {}", name, fencingToken)
+        val block = BlockOwner(context, store, name, fencingToken)
         owned[name] = block
         openOnceFresh(block)
     }
@@ -150,18 +150,18 @@
         block.close()
     }
 
-    /** Writes the key anew to get a new baton, which ends whatever late copies of our own commands could do. */
+    /** Writes the key anew to get a new fencing token, which ends whatever late copies of our own commands could do. */
     private fun renew(block: BlockOwner) {
         val record = membership.incarnation?.let { BlockRecord(membership.self, it) } ?: return
         if (!keyInFlight.add(block.name)) return
-        rewrite(block.name, block.baton, Write.Set(Keys.block(block.name), RecordCodec.encode(record))) { outcome ->
+        rewrite(block.name, block.fencingToken, Write.Set(Keys.block(block.name), RecordCodec.encode(record))) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
                 log.info(
                     "block {} has a new baton {}: a start of unknown outcome was in the way",
                     block.name,
                     outcome.stamp,
                 )
-                block.renew(Baton(outcome.stamp.number))
+                block.renew(FencingToken(outcome.stamp.number))
             }
             settleKey(block.name)
         }
@@ -178,24 +178,24 @@
             close(block)
             val key = Keys.block(name)
             val write = if (unheard) Write.Set(key, RecordCodec.encode(BlockRecord.givenUpBy(membership.self))) else Write.Drop(key)
-            rewrite(name, block.baton, write) { outcome ->
-                if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, block.baton)
+            rewrite(name, block.fencingToken, write) { outcome ->
+                if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, block.fencingToken)
             }
         }
     }
 
-    private fun takeBack(name: BlockName, baton: Baton) {
+    private fun takeBack(name: BlockName, fencingToken: FencingToken) {
         val record = membership.incarnation?.let { BlockRecord(membership.self, it) } ?: return settleKey(name)
-        rewrite(name, baton, Write.Set(Keys.block(name), RecordCodec.encode(record))) { outcome ->
+        rewrite(name, fencingToken, Write.Set(Keys.block(name), RecordCodec.encode(record))) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied, is TransactionOutcome.Conflict -> settleKey(name)
-                else -> loop.after(RETRY) { takeBack(name, baton) }
+                else -> loop.after(RETRY) { takeBack(name, fencingToken) }
             }
         }
     }
 
-    private fun rewrite(name: BlockName, baton: Baton, write: Write, done: (TransactionOutcome) -> Unit) {
-        val transaction = Transaction(listOf(Condition(Keys.block(name), Stamp(baton.number))), listOf(write))
+    private fun rewrite(name: BlockName, fencingToken: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
+        val transaction = Transaction(listOf(Condition(Keys.block(name), Stamp(fencingToken.number))), listOf(write))
         store.commit(Urgency.LEASE, transaction) { outcome ->
             done(outcome)
             if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
--- a/src/main/kotlin/copperglade/coordination/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/coordination/ReportIntake.kt
@@ -63,7 +63,7 @@
      */
     fun keep(report: Report): ByteArray? {
         val known = state.machines[report.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
-        if (report.baton > state.token || known.isDoubtful(report) || known.isCopy(report)) return null
+        if (report.fencingToken > state.token || known.isDoubtful(report) || known.isCopy(report)) return null
         tracker.hear(report).sentBy(report, loop.now())
         known.answeredAt = loop.now()
         return answer(report)
--- a/src/main/kotlin/copperglade/coordination/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/coordination/RunReconciler.kt
@@ -53,7 +53,7 @@
         val known = runs[task]
         val assignedAnew = known != null && known.generation != assignment.generation && known.state == RunState.GONE
         if (known != null && !assignedAnew) return known
-        val first = if (state.isOwnToken(assignment.baton)) RunState.WAITING else RunState.MISSING
+        val first = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
         val fresh = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
         fresh.restarted = job.restarted(assignment.task)
         runs.add(fresh)
--- a/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
@@ -49,7 +49,7 @@
     }
 
     private fun blocks(start: Taint, machine: Machine, now: Moment): Boolean =
-        start.actsUntil == null && start.baton == state.token && now >= start.since + PATIENCE &&
+        start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
             (!machine.deaf || cancelledWork.isCancelled(start.task.job))
 
     private companion object {
--- a/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
@@ -103,8 +103,8 @@
         if (reply.status == OK || reply.status == CONFLICT) unresolved.resolve(machine, starts)
         val report = WorkerWire.parseReport(reply.body)
         if (report != null && report.machine == machine.name) {
-            if (report.baton > state.token) {
-                log.info("{} obeys a higher baton {} than ours, {}", machine.name, report.baton, state.token)
+            if (report.fencingToken > state.token) {
+                log.info("{} obeys a higher baton {} than ours, {}", machine.name, report.fencingToken, state.token)
             }
             reportReceived(machine, report, sentAt)
         } else {
--- a/src/main/kotlin/copperglade/protocol/Ids.kt
+++ b/src/main/kotlin/copperglade/protocol/Ids.kt
@@ -73,17 +73,17 @@
 
 /** The right to command a block's workers: the stamp of the block's key. */
 @JvmInline
-value class Baton(val number: Long) : Comparable<Baton> {
-    override fun compareTo(other: Baton) = number.compareTo(other.number)
+value class FencingToken(val number: Long) : Comparable<FencingToken> {
+    override fun compareTo(other: FencingToken) = number.compareTo(other.number)
 
     override fun toString() = number.toString()
 
     companion object {
-        val NONE = Baton(0)
+        val NONE = FencingToken(0)
     }
 }
 
-/** An attempt at a task. Drawn from the baton, so that no two owners ever choose the same. */
+/** An attempt at a task. Drawn from the fencing token, so that no two owners ever choose the same. */
 @JvmInline
 value class Trip(val number: Long) {
     override fun toString() = number.toString()
@@ -91,7 +91,7 @@
     companion object {
         private const val COUNTER_BITS = 20
 
-        fun of(baton: Baton, counter: Int): Trip = Trip((baton.number shl COUNTER_BITS) or counter.toLong())
+        fun of(fencingToken: FencingToken, counter: Int): Trip = Trip((fencingToken.number shl COUNTER_BITS) or counter.toLong())
     }
 }
 
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -22,7 +22,7 @@
     fun withoutImages() = MachineRoom(name, type, zone, spot, usable, worthKeeping, idleMs, free, yielding, emptyList())
 }
 
-class BlockRoom(val block: BlockName, val baton: Baton, val machines: List<MachineRoom>)
+class BlockRoom(val block: BlockName, val fencingToken: FencingToken, val machines: List<MachineRoom>)
 
 /**
  * What a controller tells the others several times a second. Only hints: whoever acts on one checks it against the
@@ -53,7 +53,7 @@
             .take(most.coerceAtLeast(0))
             .toSet()
         val left = blocks.map { block ->
-            BlockRoom(block.block, block.baton, block.machines.filter { it in chosen }.map { it.withoutImages() })
+            BlockRoom(block.block, block.fencingToken, block.machines.filter { it in chosen }.map { it.withoutImages() })
         }
         return PeerNote(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
@@ -95,7 +95,7 @@
         val rooms = Buffer()
         rooms.items(note.blocks) { block ->
             text(block.block.text)
-            writeLong(block.baton.number)
+            writeLong(block.fencingToken.number)
             items(block.machines) { machine(it, words) }
         }
         out.items(words.all) { text(it) }
@@ -121,7 +121,7 @@
                 isLeader = source.flag(),
                 blocks = source.let {
                     words = it.items { text() }
-                    it.items { BlockRoom(BlockName(text()), Baton(readLong()), items { machine(words) }) }
+                    it.items { BlockRoom(BlockName(text()), FencingToken(readLong()), items { machine(words) }) }
                 },
                 release = source.items { BlockName(text()) },
                 retire = source.items { MachineName(text()) },
--- a/src/main/kotlin/copperglade/protocol/WorkerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/WorkerWire.kt
@@ -37,7 +37,7 @@
     val spot: Boolean,
     val session: Long,
     val tally: Long,
-    val baton: Baton,
+    val fencingToken: FencingToken,
     val noticeS: Double?,
     val boxes: List<Box>,
 ) {
@@ -79,7 +79,7 @@
         private var spot: Boolean? = null
         private var session: Long? = null
         private var tally: Long? = null
-        private var baton = 0L
+        private var fencingToken = 0L
         private var noticeS: Double? = null
         private var boxes: List<Box>? = emptyList()
 
@@ -95,7 +95,7 @@
                     "borrowed" -> spot = parser.flag()
                     "shift" -> session = parser.whole()
                     "tally" -> tally = parser.whole()
-                    "baton" -> baton = parser.whole() ?: 0
+                    "baton" -> fencingToken = parser.whole() ?: 0
                     "recallS" -> noticeS = parser.amount()
                     "boxes" -> boxes = readBoxes(parser)
                     else -> parser.skipChildren()
@@ -113,7 +113,7 @@
                 spot = spot ?: return null,
                 session = session ?: return null,
                 tally = tally ?: return null,
-                baton = Baton(baton),
+                fencingToken = FencingToken(fencingToken),
                 noticeS = noticeS,
                 boxes = boxes ?: return null,
             )
@@ -170,16 +170,16 @@
         }
     }
 
-    fun answer(baton: Baton, commands: List<Command>): ByteArray = Json.write {
+    fun answer(fencingToken: FencingToken, commands: List<Command>): ByteArray = Json.write {
         obj {
-            writeNumberField("baton", baton.number)
+            writeNumberField("baton", fencingToken.number)
             commands(commands)
         }
     }
 
-    fun order(baton: Baton, session: Long, commands: List<Command>): ByteArray = Json.write {
+    fun order(fencingToken: FencingToken, session: Long, commands: List<Command>): ByteArray = Json.write {
         obj {
-            writeNumberField("baton", baton.number)
+            writeNumberField("baton", fencingToken.number)
             writeNumberField("shift", session)
             commands(commands)
         }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
@@ -10,7 +10,7 @@
 import java.util.BitSet
 
 /** One task's standing assignment. */
-class Assignment(val task: Int, val block: BlockName, val baton: Baton, val generation: Int, val recalled: Boolean)
+class Assignment(val task: Int, val block: BlockName, val fencingToken: FencingToken, val generation: Int, val recalled: Boolean)
 
 /** A part of a packed record, and which record that is. */
 class PackedPart<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
@@ -123,7 +123,7 @@
                 var task = group.tasks.nextSetBit(0)
                 while (task >= 0) {
                     if (!done.get(task) && returned?.get(task) != true) {
-                        found += Assignment(task, group.block, group.baton, group.generation, page.value.recalled.get(task))
+                        found += Assignment(task, group.block, group.fencingToken, group.generation, page.value.recalled.get(task))
                     }
                     task = group.tasks.nextSetBit(task + 1)
                 }
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
 import copperglade.protocol.JobId
@@ -40,11 +40,11 @@
 /**
  * Tasks that the leader gave to a block.
  *
- * @property baton the block's stamp at that time: an owner that still holds it knows that nobody before it can have
+ * @property fencingToken the block's stamp at that time: an owner that still holds it knows that nobody before it can have
  * started these tasks.
  * @property generation tells apart repeated assignments of a task to the same block.
  */
-class AssignmentGroup(val block: BlockName, val baton: Baton, val generation: Int, val tasks: BitSet)
+class AssignmentGroup(val block: BlockName, val fencingToken: FencingToken, val generation: Int, val tasks: BitSet)
 
 /** A part of a packed record that says how often it was changed: what has the same number is the same. */
 interface Versioned {
@@ -88,7 +88,7 @@
 
 class EndRecord(val status: JobStatus, val tasksDone: Int)
 
-/** Who owns a block; the stamp of the record is the baton of the block's workers. */
+/** Who owns a block; the stamp of the record is the fencing token of the block's workers. */
 data class BlockRecord(val member: MemberId, val incarnation: Incarnation) {
     /** Nobody owns it: [member] gave it up and had better not get it back at once. */
     val givenUp: Boolean get() = incarnation == NO_LIFE
@@ -250,7 +250,7 @@
                 for (group in record.groups) {
                     writeStartArray()
                     writeString(group.block.text)
-                    writeNumber(group.baton.number)
+                    writeNumber(group.fencingToken.number)
                     writeNumber(group.generation)
                     writeString(Ranges.format(group.tasks))
                     writeEndArray()
@@ -267,7 +267,7 @@
         val groups = node.get("g").map {
             AssignmentGroup(
                 BlockName(it[0].asText()),
-                Baton(it[1].asLong()),
+                FencingToken(it[1].asLong()),
                 it[2].asInt(),
                 Ranges.parse(it[3].asText()),
             )
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -194,7 +194,7 @@
     }
 
     private fun groups(page: AssignmentPage) =
-        page.groups.map { "${it.block} baton ${it.baton} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
+        page.groups.map { "${it.block} baton ${it.fencingToken} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
 
     @Test
     fun `packed records of work with done, returned and restarted tasks`() {
@@ -273,7 +273,7 @@
         assertEquals(458, note.stateSilentMs)
         assertFalse(note.isLeader)
         assertEquals(0.10845220000923077, note.writesWanted)
-        assertEquals(listOf("north.1 6 1", "south.2 7 0"), note.blocks.map { "${it.block} ${it.baton} ${it.machines.size}" })
+        assertEquals(listOf("north.1 6 1", "south.2 7 0"), note.blocks.map { "${it.block} ${it.fencingToken} ${it.machines.size}" })
         with(
             note.blocks
                 .first()
@@ -432,7 +432,7 @@
         replica.jobs
             .getValue(JobId(job))
             .assignments()
-            .groupBy { "${it.block} ${it.baton} ${it.generation}" }
+            .groupBy { "${it.block} ${it.fencingToken} ${it.generation}" }
             .map { (group, its) ->
                 "$group: ${its.first().task}-${its.last().task}".also { assertEquals(its.size, span(its.map { it.task })) }
             }
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -1,11 +1,11 @@
 package copperglade.compat
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
 import copperglade.protocol.BoxState
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Command
 import copperglade.protocol.ExitCause
+import copperglade.protocol.FencingToken
 import copperglade.protocol.JobAnswer
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -115,8 +115,8 @@
         val commands = listOf(Command.Start(task, Trip(9)), Command.Halt(task, Trip(8), graceS = 2.5), Command.Reap(task, Trip(7)))
         val dispatches = """"dispatches":[{"order":"start","box":"job-7/3","trip":9},""" +
             """{"order":"halt","box":"job-7/3","trip":8,"leewayS":2.5},{"order":"reap","box":"job-7/3","trip":7}]"""
-        assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(Baton(4), commands).decodeToString())
-        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(Baton(4), session = 2, commands).decodeToString())
+        assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(FencingToken(4), commands).decodeToString())
+        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(FencingToken(4), session = 2, commands).decodeToString())
         assertEquals("""{"dispatcher":"lorry-1"}""", WorkerWire.sendOn(MemberId("lorry-1")).decodeToString())
         assertEquals("{}", WorkerWire.sendOn(null).decodeToString())
     }
@@ -129,7 +129,7 @@
             "baton":4,"recallS":2.5,"boxes":[{"box":"job-1/3","trip":2,"status":"ended","cause":"halted"}]}"""
         val report = WorkerWire.parseReport(text.toByteArray())!!
         assertEquals(listOf("i-1", "10.0.0.1:9000", "g", "a"), listOf(report.machine.text, "${report.endpoint}", report.type, report.zone))
-        assertEquals(listOf(1L, 8L, 4L), listOf(report.session, report.tally, report.baton.number))
+        assertEquals(listOf(1L, 8L, 4L), listOf(report.session, report.tally, report.fencingToken.number))
         assertEquals(true to 2.5, report.spot to report.noticeS)
         val box = report.boxes.single()
         assertEquals("job-1/3" to 2L, "${box.task}" to box.trip.number)
@@ -138,7 +138,7 @@
 
     /** An attempt's number must tell whose it is, whichever version chose it. */
     @Test
-    fun `the number of an attempt begins with the baton`() = assertEquals(5L * 1_048_576 + 3, Trip.of(Baton(5), 3).number)
+    fun `the number of an attempt begins with the fencing token`() = assertEquals(5L * 1_048_576 + 3, Trip.of(FencingToken(5), 3).number)
 
     @Test
     fun `requests to the cloud`() {
--- a/src/test/kotlin/copperglade/coordination/NotesTest.kt
+++ b/src/test/kotlin/copperglade/coordination/NotesTest.kt
@@ -1,9 +1,9 @@
 package copperglade.coordination
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
 import copperglade.protocol.Endpoint
+import copperglade.protocol.FencingToken
 import copperglade.protocol.Incarnation
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
@@ -53,7 +53,7 @@
         Stamp(9),
         12,
         isLeader = false,
-        listOf(BlockRoom(BlockName("z.0"), Baton(4), List(40, ::room))),
+        listOf(BlockRoom(BlockName("z.0"), FencingToken(4), List(40, ::room))),
         emptyList(),
         emptyList(),
         writesWanted = 1.0,
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -97,7 +97,7 @@
     }
 
     private fun asText(report: Report) = with(report) {
-        listOf(machine, endpoint, type, zone, spot, session, tally, baton, noticeS, boxes).toString()
+        listOf(machine, endpoint, type, zone, spot, session, tally, fencingToken, noticeS, boxes).toString()
     }
 
     @ParameterizedTest
@@ -147,7 +147,7 @@
             Stamp(9),
             12,
             isLeader = true,
-            listOf(BlockRoom(BlockName("z.0"), Baton(4), listOf(room))),
+            listOf(BlockRoom(BlockName("z.0"), FencingToken(4), listOf(room))),
             listOf(BlockName("z.1")),
             listOf(MachineName("i-2")),
             writesWanted = 12.5,
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -64,7 +64,7 @@
     private var sessionBegan = loop.now()
     private var answeredSentAt: Moment? = null
     private var tally = 0L
-    private var baton = 0L
+    private var fencingToken = 0L
     private var target = 0
     val reportsTo: Int get() = target
     private var reporting = false
@@ -136,7 +136,7 @@
             when (reply?.status) {
                 200 -> if (sentSession == session) {
                     val token = node?.long("baton") ?: -1
-                    if (token >= baton) {
+                    if (token >= fencingToken) {
                         answeredSentAt = sent
                         see(token)
                         node?.get("dispatches")?.forEach(::execute)
@@ -162,8 +162,8 @@
     }
 
     private fun see(token: Long) {
-        if (token <= baton) return
-        baton = token
+        if (token <= fencingToken) return
+        fencingToken = token
         changed = true
     }
 
@@ -181,7 +181,7 @@
         val token = node?.long("baton")
         val wanted = node?.long("shift")
         if (token == null || wanted == null) return responder.send(Reply(400))
-        val taken = token >= baton && wanted == session
+        val taken = token >= fencingToken && wanted == session
         if (taken) {
             see(token)
             node.get("dispatches").forEach(::execute)
@@ -249,7 +249,7 @@
             writeBooleanField("borrowed", spot)
             writeNumberField("shift", session)
             writeNumberField("tally", tally)
-            writeNumberField("baton", baton)
+            writeNumberField("baton", fencingToken)
             writeNullField("recallS")
             array("boxes") {
                 for (box in held) {
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
-import copperglade.protocol.Baton
 import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
@@ -36,7 +36,7 @@
     fun `the most scattered page stays far below the smallest value limit`() {
         val odd = BitSet().apply { for (task in 99_744 until 100_000 step 2) set(task) }
         val page =
-            AssignmentPage(listOf(AssignmentGroup(BlockName("saskatoon-rack.2"), Baton(1L shl 40), 9, odd)), odd, 9, 256, 1)
+            AssignmentPage(listOf(AssignmentGroup(BlockName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
         assertTrue(RecordCodec.encode(page).size < 3000)
     }
 
@@ -58,7 +58,7 @@
         job.setPage(
             0,
             PackedPart(
-                AssignmentPage(listOf(AssignmentGroup(block, Baton(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
+                AssignmentPage(listOf(AssignmentGroup(block, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
                 "sheet",
                 RecordCodec::encode,
             ),
