--- a/src/main/kotlin/copperglade/coordination/BlockState.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockState.kt
@@ -1,11 +1,11 @@
 package copperglade.coordination
 
+import copperglade.protocol.Attempt
 import copperglade.protocol.BlockName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
-import copperglade.protocol.Trip
 
 /**
  * What the parts of one block's owner share: the block's fencing tokens, its runs and its machines.
@@ -46,7 +46,7 @@
     }
 
     /** A new attempt, never used before. */
-    fun nextAttempt(): Trip = Trip.of(token, ++attempts)
+    fun nextAttempt(): Attempt = Attempt.of(token, ++attempts)
 
     /**
      * Whether the machine's worker has seen a token of ours. Only what it says after that is final: earlier owners'
--- a/src/main/kotlin/copperglade/coordination/BlockSummary.kt
+++ b/src/main/kotlin/copperglade/coordination/BlockSummary.kt
@@ -31,7 +31,7 @@
 
     private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: Moment): MachineRoom {
         val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
-        val empty = machine.runs.isEmpty() && machine.boxes.isEmpty()
+        val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineRoom(
             name = machine.name,
             type = machine.typeName,
--- a/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
@@ -1,9 +1,9 @@
 package copperglade.coordination
 
-import copperglade.protocol.Box
-import copperglade.protocol.BoxState
 import copperglade.protocol.Command
 import copperglade.protocol.Moment
+import copperglade.protocol.ReportedTask
+import copperglade.protocol.ReportedTaskState
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
@@ -20,7 +20,7 @@
     fun dueFor(machine: Machine): List<Command> {
         val now = loop.now()
         val commands = ArrayList<Command>()
-        for (reported in machine.boxes) {
+        for (reported in machine.reportedTasks) {
             if (machine.runOf(reported) == null) unknownTaskCommand(machine, reported, now)?.let(commands::add)
         }
         for (run in machine.runs) runCommand(run, now)?.let(commands::add)
@@ -28,22 +28,22 @@
     }
 
     /** An unknown task is stopped while it lives, and removed once it has ended. */
-    private fun unknownTaskCommand(machine: Machine, reported: Box, now: Moment): Command? {
-        if (reported.state != BoxState.EXITED) return Command.Halt(reported.task, reported.trip, 0.0)
+    private fun unknownTaskCommand(machine: Machine, reported: ReportedTask, now: Moment): Command? {
+        if (reported.state != ReportedTaskState.EXITED) return Command.Stop(reported.task, reported.attempt, 0.0)
         // Not before its outcome is on record, and never while a late copy of its start could start it once more.
-        val removalSentAt = machine.reapedAt[reported.trip] ?: Moment.NEVER
-        val removable = !machine.tainted(reported.task, reported.trip) && now >= removalSentAt + RESEND_PAUSE
-        return if (removable) Command.Reap(reported.task, reported.trip) else null
+        val removalSentAt = machine.removalSentAt[reported.attempt] ?: Moment.NEVER
+        val removable = !machine.tainted(reported.task, reported.attempt) && now >= removalSentAt + RESEND_PAUSE
+        return if (removable) Command.Remove(reported.task, reported.attempt) else null
     }
 
     private fun runCommand(run: Run, now: Moment): Command? = when (run.state) {
-        RunState.STOPPING -> if (now >= run.haltSentAt + RESEND_PAUSE) {
-            Command.Halt(run.task, run.trip, graceFor(run))
+        RunState.STOPPING -> if (now >= run.stopSentAt + RESEND_PAUSE) {
+            Command.Stop(run.task, run.attempt, graceFor(run))
         } else {
             null
         }
         RunState.STARTING -> if (!run.seen && now >= run.startSentAt + RESEND_PAUSE && state.context.membership.mayStart) {
-            Command.Start(run.task, run.trip)
+            Command.Start(run.task, run.attempt)
         } else {
             null
         }
@@ -57,13 +57,13 @@
     fun markSent(machine: Machine, commands: List<Command>) {
         val now = loop.now()
         for (command in commands) {
-            val run = state.runs[command.task]?.takeIf { it.trip == command.trip && it.machine === machine }
+            val run = state.runs[command.task]?.takeIf { it.attempt == command.attempt && it.machine === machine }
             when (command) {
                 is Command.Start -> run?.startSentAt = now
-                is Command.Halt -> run?.haltSentAt = now
-                is Command.Reap -> {
-                    machine.reapedAt[command.trip] = now
-                    machine.reapedLast = now
+                is Command.Stop -> run?.stopSentAt = now
+                is Command.Remove -> {
+                    machine.removalSentAt[command.attempt] = now
+                    machine.lastRemovalSentAt = now
                 }
             }
         }
@@ -73,6 +73,6 @@
         /** How long a command has to take effect before it is sent again. */
         val RESEND_PAUSE = 1000.milliseconds
         private const val MOST_COMMANDS = 200
-        private val COMMAND_ORDER = listOf(Command.Reap::class, Command.Halt::class, Command.Start::class)
+        private val COMMAND_ORDER = listOf(Command.Remove::class, Command.Stop::class, Command.Start::class)
     }
 }
--- a/src/main/kotlin/copperglade/coordination/Machine.kt
+++ b/src/main/kotlin/copperglade/coordination/Machine.kt
@@ -1,7 +1,6 @@
 package copperglade.coordination
 
-import copperglade.protocol.Box
-import copperglade.protocol.BoxState
+import copperglade.protocol.Attempt
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Image
@@ -11,9 +10,10 @@
 import copperglade.protocol.MachineType
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
+import copperglade.protocol.ReportedTask
+import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
-import copperglade.protocol.Trip
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
@@ -22,7 +22,7 @@
  */
 class Taint(
     val task: TaskId,
-    val trip: Trip,
+    val attempt: Attempt,
     val session: Long,
     val fencingToken: FencingToken,
     val since: Moment,
@@ -48,7 +48,7 @@
     /** The highest fencing token that the worker is known to have seen. */
     var fencingToken = FencingToken.NONE
         private set
-    var boxes: List<Box> = emptyList()
+    var reportedTasks: List<ReportedTask> = emptyList()
         private set
     var noticed = false
         private set
@@ -81,13 +81,13 @@
     /** Answers since the fencing token in them could have been taken up, had any arrived. */
     var answersInVain = 0
     var emptySince = now
-    private val runsByTrip = LinkedHashMap<Trip, Run>()
+    private val runsByAttempt = LinkedHashMap<Attempt, Run>()
 
     /** The runs bound to this machine. */
-    val runs: Collection<Run> get() = runsByTrip.values
+    val runs: Collection<Run> get() = runsByAttempt.values
     val taints = ArrayList<Taint>()
-    val reapedAt = HashMap<Trip, Moment>()
-    var reapedLast = Moment.NEVER
+    val removalSentAt = HashMap<Attempt, Moment>()
+    var lastRemovalSentAt = Moment.NEVER
     var commandInFlight = false
     var commandSentAt = Moment.NEVER
 
@@ -158,22 +158,22 @@
         session = report.session
         tally = report.tally
         if (report.fencingToken > fencingToken) fencingToken = report.fencingToken
-        boxes = report.boxes
+        reportedTasks = report.reportedTasks
         runChanged()
         noticed = report.noticeS != null
         endpoint = report.endpoint
         taints.removeIf { it.session < session || it.fencingToken < fencingToken }
-        reapedAt.keys.removeIf { trip -> boxes.none { it.trip == trip } }
-        if (boxes.any { it.state != BoxState.EXITED }) emptySince = now
+        removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
+        if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) emptySince = now
     }
 
     fun attach(run: Run) {
-        runsByTrip[run.trip] = run
+        runsByAttempt[run.attempt] = run
         runChanged()
     }
 
     fun detach(run: Run) {
-        runsByTrip.remove(run.trip)
+        runsByAttempt.remove(run.attempt)
         runChanged()
     }
 
@@ -182,11 +182,11 @@
         freeAsOf = Moment.NEVER
     }
 
-    fun runOf(box: Box): Run? = runsByTrip[box.trip]?.takeIf { it.task == box.task }
+    fun runOf(reportedTask: ReportedTask): Run? = runsByAttempt[reportedTask.attempt]?.takeIf { it.task == reportedTask.task }
 
-    fun box(task: TaskId, trip: Trip): Box? = boxes.firstOrNull { it.trip == trip && it.task == task }
+    fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? = reportedTasks.firstOrNull { it.attempt == attempt && it.task == task }
 
-    fun tainted(task: TaskId, trip: Trip): Boolean = taints.any { it.trip == trip && it.task == task }
+    fun tainted(task: TaskId, attempt: Attempt): Boolean = taints.any { it.attempt == attempt && it.task == task }
 
     fun hasImage(image: Image): Boolean = image.name in images
 
@@ -220,10 +220,10 @@
     private fun workOutFree(type: MachineType, requestOf: (TaskId) -> Resources?): Resources {
         var free = type.capacity
         for (run in runs) if (run.onMachine) free -= run.spec.request
-        for (box in boxes) {
-            if (box.state == BoxState.EXITED || runOf(box) != null) continue
+        for (reportedTask in reportedTasks) {
+            if (reportedTask.state == ReportedTaskState.EXITED || runOf(reportedTask) != null) continue
             // A stray of a job that is over: nobody knows its size, so nothing fits beside it.
-            free -= requestOf(box.task) ?: type.capacity
+            free -= requestOf(reportedTask.task) ?: type.capacity
         }
         return free
     }
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -25,7 +25,7 @@
 /**
  * Writes down what became of a block's tasks. Outcomes of many jobs share a packed record, and are gathered first: for
  * longer the scarcer the write budget, and for longest while the page has more tasks to come here. Until it is written
- * down that a task is done, its box stays on its machine, so that a new owner finds it.
+ * down that a task is done, its entry stays on its machine, so that a new owner finds it.
  */
 class OutcomeLog(
     private val loop: EventLoop,
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/coordination/Owner.kt
@@ -240,7 +240,7 @@
                 }
             }.filter { (_, machine) ->
                 // A question may be under way to it, but no start: that would have bound a run.
-                machine.runs.isEmpty() && machine.boxes.isEmpty() && !machine.deleting
+                machine.runs.isEmpty() && machine.reportedTasks.isEmpty() && !machine.deleting
             }.take(CloudWire.MOST_DELETED)
         if (empty.isEmpty() || !cloudBudget.tryTake(1, loop.now())) return
         empty.forEach { (_, machine) ->
--- a/src/main/kotlin/copperglade/coordination/Placer.kt
+++ b/src/main/kotlin/copperglade/coordination/Placer.kt
@@ -47,7 +47,7 @@
     private fun choose(run: Run, rooms: List<Candidate>): Candidate? = rooms
         .filter {
             run.spec.request.fitsIn(it.free) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
-                it.machine.boxes.none { box -> box.task == run.task }
+                it.machine.reportedTasks.none { reportedTask -> reportedTask.task == run.task }
         }.minWithOrNull(
             compareBy<Candidate> { if (it.machine.name == run.target) 0 else 1 }
                 .thenBy { cost(run.spec, it, preempts = false) }
--- a/src/main/kotlin/copperglade/coordination/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/coordination/ReportIntake.kt
@@ -90,10 +90,10 @@
 
     /** Every answer of 200 is made here: see [CancelledWork] for what none of them may lack. */
     private fun answer(report: Report, commands: List<Command> = emptyList()): ByteArray {
-        val cancelledStops = cancelledWork.haltsFor(report)
+        val cancelledStops = cancelledWork.stopsFor(report)
         if (cancelledStops.isEmpty()) return WorkerWire.answer(state.token, commands)
         val others = commands.filterNot { command ->
-            command is Command.Halt && cancelledStops.any { it.trip == command.trip && it.task == command.task }
+            command is Command.Stop && cancelledStops.any { it.attempt == command.attempt && it.task == command.task }
         }
         return WorkerWire.answer(state.token, cancelledStops + others)
     }
--- a/src/main/kotlin/copperglade/coordination/Run.kt
+++ b/src/main/kotlin/copperglade/coordination/Run.kt
@@ -1,10 +1,10 @@
 package copperglade.coordination
 
+import copperglade.protocol.Attempt
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.TaskId
-import copperglade.protocol.Trip
 import org.slf4j.LoggerFactory
 
 enum class RunState {
@@ -19,7 +19,7 @@
     FETCHING,
     RUNNING,
 
-    /** A halt is on its way, or the task is saving. */
+    /** A stop command is on its way, or the task is saving. */
     STOPPING,
 
     /** Completed; to be recorded. */
@@ -50,7 +50,7 @@
         private set
     var machine: Machine? = null
         private set
-    var trip = Trip(0)
+    var attempt = Attempt(0)
         private set
 
     /** Whether a report has shown this attempt on its machine. */
@@ -60,7 +60,7 @@
     var stopReason: StopReason? = null
         private set
     var startSentAt = Moment.NEVER
-    var haltSentAt = Moment.NEVER
+    var stopSentAt = Moment.NEVER
 
     /** Not to be started before; set after failures. */
     var notBefore = Moment.NEVER
@@ -90,14 +90,14 @@
         moved(this)
     }
 
-    fun bind(to: Machine, attempt: Trip) {
+    fun bind(to: Machine, nextAttempt: Attempt) {
         machine = to
-        trip = attempt
+        attempt = nextAttempt
         to.attach(this)
         seen = false
         runningSince = null
         startSentAt = Moment.NEVER
-        haltSentAt = Moment.NEVER
+        stopSentAt = Moment.NEVER
     }
 
     /** Bound as it is, it has to be started once more under the same attempt. */
--- a/src/main/kotlin/copperglade/coordination/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/coordination/TaskObserver.kt
@@ -2,10 +2,10 @@
 
 import copperglade.bookkeeping.Factors
 import copperglade.bookkeeping.Profile
-import copperglade.protocol.Box
-import copperglade.protocol.BoxState
 import copperglade.protocol.ExitCause
 import copperglade.protocol.JobKind
+import copperglade.protocol.ReportedTask
+import copperglade.protocol.ReportedTaskState
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -29,36 +29,36 @@
 
     /** Brings the runs in line with what a fenced machine reports, and sends it what follows from that. */
     fun match(machine: Machine) {
-        for (reported in machine.boxes) adopt(machine, reported)
+        for (reported in machine.reportedTasks) adopt(machine, reported)
         for (run in machine.runs.toList()) {
-            val reported = machine.box(run.task, run.trip)
+            val reported = machine.reportedTask(run.task, run.attempt)
             if (reported != null) observe(run, machine, reported) else absent(run, machine)
         }
         commands.settle(machine)
     }
 
     /** Binds a missing run to the machine on which a former owner started it. */
-    private fun adopt(machine: Machine, reported: Box) {
+    private fun adopt(machine: Machine, reported: ReportedTask) {
         val run = state.runs[reported.task] ?: return
         if (run.state != RunState.MISSING) return
-        if (reported.state == BoxState.EXITED && reported.cause != ExitCause.DONE) return
-        run.bind(machine, reported.trip)
+        if (reported.state == ReportedTaskState.EXITED && reported.cause != ExitCause.DONE) return
+        run.bind(machine, reported.attempt)
         run.seen = true
         run.moveTo(RunState.STARTING, "found on ${machine.name}", loop.now())
         if (cancelledWork.isCancelled(reported.task.job)) stopper.stop(run, StopReason.CANCELLED)
     }
 
-    private fun observe(run: Run, machine: Machine, reported: Box) {
+    private fun observe(run: Run, machine: Machine, reported: ReportedTask) {
         run.seen = true
         val stopping = run.state == RunState.STOPPING
         when (reported.state) {
-            BoxState.FETCHING, BoxState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
-            BoxState.RUNNING -> {
+            ReportedTaskState.FETCHING, ReportedTaskState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
+            ReportedTaskState.RUNNING -> {
                 context.types[machine.typeName]?.let { machine.usedImage(run.spec.image, it.cacheGb) }
                 if (!stopping) run.moveTo(RunState.RUNNING, "reported", loop.now())
             }
-            BoxState.SAVING -> Unit
-            BoxState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
+            ReportedTaskState.SAVING -> Unit
+            ReportedTaskState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
         }
     }
 
@@ -109,7 +109,7 @@
             run.seen -> lifecycle.lost(run, "no longer reported")
             run.state != RunState.STOPPING -> Unit
             // The start was answered or never sent, and the worker does not have it.
-            !machine.commandInFlight && !machine.tainted(run.task, run.trip) -> lifecycle.lost(run, "never arrived")
+            !machine.commandInFlight && !machine.tainted(run.task, run.attempt) -> lifecycle.lost(run, "never arrived")
         }
     }
 
--- a/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
@@ -20,7 +20,7 @@
     fun begin(machine: Machine, commands: List<Command>, actsUntil: Moment?): List<Taint> {
         val starts = commands
             .filterIsInstance<Command.Start>()
-            .map { Taint(it.task, it.trip, machine.session, state.token, context.loop.now(), actsUntil) }
+            .map { Taint(it.task, it.attempt, machine.session, state.token, context.loop.now(), actsUntil) }
         machine.taints += starts
         return starts
     }
--- a/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
@@ -39,7 +39,7 @@
             if (run.state == RunState.STOPPING && !run.seen && run.startSentAt == Moment.NEVER) lifecycle.lost(run, "never sent")
         }
         val commands = planner.dueFor(machine)
-        if (commands.any { it !is Command.Reap }) send(machine, commands)
+        if (commands.any { it !is Command.Remove }) send(machine, commands)
     }
 
     /** Shows a machine our fencing token, and asks it for a report, by a message without commands. */
@@ -65,7 +65,7 @@
         val due = planner.dueFor(machine)
         val commands = when {
             machine.deaf && !machine.commandInFlight -> due
-            removalsAreDue(machine) -> due.filterIsInstance<Command.Reap>()
+            removalsAreDue(machine) -> due.filterIsInstance<Command.Remove>()
             else -> emptyList()
         }
         if (commands.isNotEmpty()) {
@@ -80,7 +80,7 @@
      * but not where nothing else is left: a machine is idle only once it is empty.
      */
     private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.onMachine } ||
-        loop.now() >= machine.reapedLast + context.reportIntervals(REPORTS_PER_REMOVAL)
+        loop.now() >= machine.lastRemovalSentAt + context.reportIntervals(REPORTS_PER_REMOVAL)
 
     private fun send(machine: Machine, commands: List<Command>) {
         if (!context.membership.mayAct) return
--- a/src/main/kotlin/copperglade/protocol/Ids.kt
+++ b/src/main/kotlin/copperglade/protocol/Ids.kt
@@ -85,13 +85,13 @@
 
 /** An attempt at a task. Drawn from the fencing token, so that no two owners ever choose the same. */
 @JvmInline
-value class Trip(val number: Long) {
+value class Attempt(val number: Long) {
     override fun toString() = number.toString()
 
     companion object {
         private const val COUNTER_BITS = 20
 
-        fun of(fencingToken: FencingToken, counter: Int): Trip = Trip((fencingToken.number shl COUNTER_BITS) or counter.toLong())
+        fun of(fencingToken: FencingToken, counter: Int): Attempt = Attempt((fencingToken.number shl COUNTER_BITS) or counter.toLong())
     }
 }
 
--- a/src/main/kotlin/copperglade/protocol/WorkerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/WorkerWire.kt
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.core.JsonToken
 
-enum class BoxState(val wire: String) {
+enum class ReportedTaskState(val wire: String) {
     FETCHING("pulling"),
 
     /** Only gangs wait for their mates; read so that a newer worker is understood. */
@@ -26,7 +26,7 @@
 }
 
 /** A task on a machine, as its worker reports it. */
-data class Box(val task: TaskId, val trip: Trip, val state: BoxState, val cause: ExitCause?)
+data class ReportedTask(val task: TaskId, val attempt: Attempt, val state: ReportedTaskState, val cause: ExitCause?)
 
 /** A worker's report. */
 class Report(
@@ -39,7 +39,7 @@
     val tally: Long,
     val fencingToken: FencingToken,
     val noticeS: Double?,
-    val boxes: List<Box>,
+    val reportedTasks: List<ReportedTask>,
 ) {
     fun newerThan(otherSession: Long, otherTally: Long): Boolean =
         session > otherSession || (session == otherSession && tally > otherTally)
@@ -47,13 +47,13 @@
 
 sealed interface Command {
     val task: TaskId
-    val trip: Trip
+    val attempt: Attempt
 
-    data class Start(override val task: TaskId, override val trip: Trip) : Command
+    data class Start(override val task: TaskId, override val attempt: Attempt) : Command
 
-    data class Halt(override val task: TaskId, override val trip: Trip, val graceS: Double) : Command
+    data class Stop(override val task: TaskId, override val attempt: Attempt, val graceS: Double) : Command
 
-    data class Reap(override val task: TaskId, override val trip: Trip) : Command
+    data class Remove(override val task: TaskId, override val attempt: Attempt) : Command
 }
 
 object WorkerWire {
@@ -81,7 +81,7 @@
         private var tally: Long? = null
         private var fencingToken = 0L
         private var noticeS: Double? = null
-        private var boxes: List<Box>? = emptyList()
+        private var reportedTasks: List<ReportedTask>? = emptyList()
 
         fun read(parser: JsonParser): Report? {
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -97,7 +97,7 @@
                     "tally" -> tally = parser.whole()
                     "baton" -> fencingToken = parser.whole() ?: 0
                     "recallS" -> noticeS = parser.amount()
-                    "boxes" -> boxes = readBoxes(parser)
+                    "boxes" -> reportedTasks = readReportedTasks(parser)
                     else -> parser.skipChildren()
                 }
             }
@@ -115,25 +115,26 @@
                 tally = tally ?: return null,
                 fencingToken = FencingToken(fencingToken),
                 noticeS = noticeS,
-                boxes = boxes ?: return null,
+                reportedTasks = reportedTasks ?: return null,
             )
         }
 
-        private fun readBoxes(parser: JsonParser): List<Box>? {
+        private fun readReportedTasks(parser: JsonParser): List<ReportedTask>? {
             if (parser.currentToken() == JsonToken.VALUE_NULL) return emptyList()
             if (parser.currentToken() != JsonToken.START_ARRAY) return null.also { parser.skipChildren() }
-            val read = ArrayList<Box>()
+            val read = ArrayList<ReportedTask>()
             var sound = true
             while (parser.nextToken() != JsonToken.END_ARRAY) {
-                val box = if (parser.currentToken() == JsonToken.START_OBJECT) readBox(parser) else null.also { parser.skipChildren() }
-                if (box == null) sound = false else read += box
+                val isObject = parser.currentToken() == JsonToken.START_OBJECT
+                val reportedTask = if (isObject) readReportedTask(parser) else null.also { parser.skipChildren() }
+                if (reportedTask == null) sound = false else read += reportedTask
             }
             return read.takeIf { sound }
         }
 
-        private fun readBox(parser: JsonParser): Box? {
+        private fun readReportedTask(parser: JsonParser): ReportedTask? {
             var task: TaskId? = null
-            var trip: Long? = null
+            var attempt: Long? = null
             var status: String? = null
             var cause: String? = null
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -141,16 +142,16 @@
                 parser.nextToken()
                 when (name) {
                     "box" -> task = parser.words()?.let { TaskId.parse(it) }
-                    "trip" -> trip = parser.whole()
+                    "trip" -> attempt = parser.whole()
                     "status" -> status = parser.words()
                     "cause" -> cause = parser.words()
                     else -> parser.skipChildren()
                 }
             }
-            return Box(
+            return ReportedTask(
                 task = task ?: return null,
-                trip = Trip(trip ?: return null),
-                state = BoxState.entries.firstOrNull { it.wire == status } ?: return null,
+                attempt = Attempt(attempt ?: return null),
+                state = ReportedTaskState.entries.firstOrNull { it.wire == status } ?: return null,
                 cause = cause?.let { ExitCause.entries.firstOrNull { known -> known.wire == cause } ?: ExitCause.OTHER },
             )
         }
@@ -195,15 +196,15 @@
             obj {
                 writeStringField("order", command.word())
                 writeStringField("box", command.task.toString())
-                writeNumberField("trip", command.trip.number)
-                if (command is Command.Halt) writeNumberField("leewayS", command.graceS)
+                writeNumberField("trip", command.attempt.number)
+                if (command is Command.Stop) writeNumberField("leewayS", command.graceS)
             }
         }
     }
 
     private fun Command.word(): String = when (this) {
         is Command.Start -> "start"
-        is Command.Halt -> "halt"
-        is Command.Reap -> "reap"
+        is Command.Stop -> "halt"
+        is Command.Remove -> "reap"
     }
 }
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -1,7 +1,7 @@
 package copperglade.compat
 
+import copperglade.protocol.Attempt
 import copperglade.protocol.BlockName
-import copperglade.protocol.BoxState
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Command
 import copperglade.protocol.ExitCause
@@ -14,8 +14,8 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Priority
+import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.TaskId
-import copperglade.protocol.Trip
 import copperglade.protocol.UserWire
 import copperglade.protocol.WorkerWire
 import copperglade.storage.Keys
@@ -112,7 +112,8 @@
     @Test
     fun `answers and commands to workers`() {
         val task = TaskId(JobId("job-7"), 3)
-        val commands = listOf(Command.Start(task, Trip(9)), Command.Halt(task, Trip(8), graceS = 2.5), Command.Reap(task, Trip(7)))
+        val commands =
+            listOf(Command.Start(task, Attempt(9)), Command.Stop(task, Attempt(8), graceS = 2.5), Command.Remove(task, Attempt(7)))
         val dispatches = """"dispatches":[{"order":"start","box":"job-7/3","trip":9},""" +
             """{"order":"halt","box":"job-7/3","trip":8,"leewayS":2.5},{"order":"reap","box":"job-7/3","trip":7}]"""
         assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(FencingToken(4), commands).decodeToString())
@@ -123,7 +124,7 @@
 
     @Test
     fun `reports of workers`() {
-        assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), BoxState.entries.map { it.wire })
+        assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), ReportedTaskState.entries.map { it.wire })
         assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wire })
         val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
             "baton":4,"recallS":2.5,"boxes":[{"box":"job-1/3","trip":2,"status":"ended","cause":"halted"}]}"""
@@ -131,14 +132,14 @@
         assertEquals(listOf("i-1", "10.0.0.1:9000", "g", "a"), listOf(report.machine.text, "${report.endpoint}", report.type, report.zone))
         assertEquals(listOf(1L, 8L, 4L), listOf(report.session, report.tally, report.fencingToken.number))
         assertEquals(true to 2.5, report.spot to report.noticeS)
-        val box = report.boxes.single()
-        assertEquals("job-1/3" to 2L, "${box.task}" to box.trip.number)
-        assertEquals(BoxState.EXITED to ExitCause.STOPPED, box.state to box.cause)
+        val reportedTask = report.reportedTasks.single()
+        assertEquals("job-1/3" to 2L, "${reportedTask.task}" to reportedTask.attempt.number)
+        assertEquals(ReportedTaskState.EXITED to ExitCause.STOPPED, reportedTask.state to reportedTask.cause)
     }
 
     /** An attempt's number must tell whose it is, whichever version chose it. */
     @Test
-    fun `the number of an attempt begins with the fencing token`() = assertEquals(5L * 1_048_576 + 3, Trip.of(FencingToken(5), 3).number)
+    fun `the number of an attempt begins with the fencing token`() = assertEquals(5L * 1_048_576 + 3, Attempt.of(FencingToken(5), 3).number)
 
     @Test
     fun `requests to the cloud`() {
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -74,13 +74,13 @@
     /** The plain way to read a report, by a tree: what the streaming one must agree with. */
     private fun plainReport(bytes: ByteArray): String? {
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
-        val boxes = root.present("boxes")
-        if (boxes != null && !boxes.isArray) return null
-        val read = boxes?.map { node ->
+        val reportedTasks = root.present("boxes")
+        if (reportedTasks != null && !reportedTasks.isArray) return null
+        val read = reportedTasks?.map { node ->
             val task = node.text("box")?.let { TaskId.parse(it) } ?: return null
-            val state = BoxState.entries.firstOrNull { it.wire == node.text("status") } ?: return null
+            val state = ReportedTaskState.entries.firstOrNull { it.wire == node.text("status") } ?: return null
             val cause = node.text("cause")?.let { word -> ExitCause.entries.firstOrNull { it.wire == word } ?: ExitCause.OTHER }
-            Box(task, Trip(node.long("trip") ?: return null), state, cause)
+            ReportedTask(task, Attempt(node.long("trip") ?: return null), state, cause)
         }
         return listOf(
             root.text("truck") ?: return null,
@@ -97,7 +97,7 @@
     }
 
     private fun asText(report: Report) = with(report) {
-        listOf(machine, endpoint, type, zone, spot, session, tally, fencingToken, noticeS, boxes).toString()
+        listOf(machine, endpoint, type, zone, spot, session, tally, fencingToken, noticeS, reportedTasks).toString()
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -52,12 +52,12 @@
 ) : RequestHandler {
     enum class State(val wire: String) { FETCHING("pulling"), RUNNING("running"), EXITED("ended") }
 
-    inner class Held(val task: TaskId, val trip: Long, val spec: JobSpec) {
+    inner class HeldTask(val task: TaskId, val attempt: Long, val spec: JobSpec) {
         var state = State.FETCHING
         var cause: String? = null
     }
 
-    private val held = ArrayList<Held>()
+    private val held = ArrayList<HeldTask>()
     private val images = HashSet<String>()
     var session = 1L
         private set
@@ -192,10 +192,10 @@
 
     private fun execute(command: com.fasterxml.jackson.databind.JsonNode) {
         val task = TaskId.parse(command.text("box")!!)!!
-        val trip = command.long("trip")!!
-        val present = held.firstOrNull { it.task == task && it.trip == trip }
+        val attempt = command.long("trip")!!
+        val present = held.firstOrNull { it.task == task && it.attempt == attempt }
         when (command.text("order")) {
-            "start" -> if (present == null) begin(task, trip)
+            "start" -> if (present == null) begin(task, attempt)
             "halt" -> {
                 checkNotNull(command.number("leewayS"))
                 if (present != null && present.state != State.EXITED) exit(present, "halted")
@@ -205,9 +205,9 @@
         changed = true
     }
 
-    private fun begin(task: TaskId, trip: Long) {
+    private fun begin(task: TaskId, attempt: Long) {
         val spec = world.spec(task) ?: return
-        val fresh = Held(task, trip, spec)
+        val fresh = HeldTask(task, attempt, spec)
         val busy = held.any { it.task == task && it.state != State.EXITED }
         val used = held.filter { it.state != State.EXITED }.sumOf { it.spec.request.cpus }
         held += fresh
@@ -224,20 +224,20 @@
         }
     }
 
-    private fun run(box: Held) {
-        box.state = State.RUNNING
+    private fun run(heldTask: HeldTask) {
+        heldTask.state = State.RUNNING
         changed = true
-        world.started(this, box.task)
-        val work = world.workS(box.task) ?: return
-        loop.after((work / speed).seconds) { if (box in held && box.state == State.RUNNING && alive) exit(box, "done") }
+        world.started(this, heldTask.task)
+        val work = world.workS(heldTask.task) ?: return
+        loop.after((work / speed).seconds) { if (heldTask in held && heldTask.state == State.RUNNING && alive) exit(heldTask, "done") }
     }
 
-    private fun exit(box: Held, cause: String) {
-        val ran = box.state == State.RUNNING
-        box.state = State.EXITED
-        box.cause = cause
+    private fun exit(heldTask: HeldTask, cause: String) {
+        val ran = heldTask.state == State.RUNNING
+        heldTask.state = State.EXITED
+        heldTask.cause = cause
         changed = true
-        if (ran) world.ended(this, box.task, cause == "done")
+        if (ran) world.ended(this, heldTask.task, cause == "done")
     }
 
     private fun body(): ByteArray = Json.write {
@@ -252,12 +252,12 @@
             writeNumberField("baton", fencingToken)
             writeNullField("recallS")
             array("boxes") {
-                for (box in held) {
+                for (heldTask in held) {
                     obj {
-                        writeStringField("box", box.task.toString())
-                        writeNumberField("trip", box.trip)
-                        writeStringField("status", box.state.wire)
-                        box.cause?.let { writeStringField("cause", it) }
+                        writeStringField("box", heldTask.task.toString())
+                        writeNumberField("trip", heldTask.attempt)
+                        writeStringField("status", heldTask.state.wire)
+                        heldTask.cause?.let { writeStringField("cause", it) }
                     }
                 }
             }
