--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/coordination/Assigner.kt
@@ -7,7 +7,7 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.Objectives
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
 import copperglade.protocol.Team
@@ -47,7 +47,7 @@
     private val teams: Map<TeamName, Team>,
     private val objectives: Objectives,
     private val fairShare: FairShare,
-    private val noteOf: (MemberId) -> PeerNote?,
+    private val statusOf: (MemberId) -> PeerStatus?,
 ) {
     private val writer = AssignmentWriter(loop, store, replica, leadership, capacityTable)
     private val guaranteePreemption = GuaranteePreemption(teams)
@@ -77,7 +77,7 @@
         // for each new service took the whole budget of a grown day's burst, and for 90 s no array was assigned.
         hurriedFrom = now + HURRIED_GATHERING * (1.0 - store.writeLevel())
         if (unhurried) unhurriedFrom = now + SHORTEST_GATHERING + LONGEST_GATHERING * (1.0 - store.writeLevel())
-        val capacities = RoundCapacity(capacityTable.capacities(noteOf).filter { it.machine.usable })
+        val capacities = RoundCapacity(capacityTable.capacities(statusOf).filter { it.machine.usable })
         if (capacities.all.isEmpty()) return
         val decisions = Decisions()
         val poolCpus = capacities.all.sumOf { room -> room.machine.free.cpus + room.machine.yielding.sumOf { it.cpus } }.coerceAtLeast(1.0)
--- a/src/main/kotlin/copperglade/coordination/Blocks.kt
+++ b/src/main/kotlin/copperglade/coordination/Blocks.kt
@@ -51,7 +51,7 @@
     private val leadership: Leadership,
     private val blocks: BlockMap,
     private val zoneOfMember: Map<MemberId, String>,
-    private val vouching: Vouching,
+    private val leaseEndorsement: LeaseEndorsement,
 ) {
     private val inFlight = HashSet<BlockName>()
 
@@ -80,7 +80,7 @@
             if (block in inFlight) continue
             val holder = replica.blocks[block]?.value?.member
             val left = replica.blocks[block]?.value?.givenUp ?: false
-            if (!left && holder != null && holder !in replica.members && !vouching.mayGrantAway(holder)) continue
+            if (!left && holder != null && holder !in replica.members && !leaseEndorsement.mayGrantAway(holder)) continue
             val chosen = choose(block, load) ?: continue
             load.merge(chosen, 1, Int::plus)
             grant(block, chosen)
--- a/src/main/kotlin/copperglade/coordination/CancellationNews.kt
+++ b/src/main/kotlin/copperglade/coordination/CancellationNotices.kt
@@ -18,7 +18,7 @@
  * state service refuses ends the tasks at once then, and not only with its knowledge; it starts none of them any more. It
  * only helps: who hears nothing keeps to the age of what it knows.
  */
-class CancellationNews(
+class CancellationNotices(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val peers: List<Peer>,
@@ -43,9 +43,9 @@
         }
         if (left == 0) return finish()
         loop.after(PATIENCE, ::finish)
-        val news = Untold(cancellation, loop.now()) { if (--left == 0) finish() }
+        val notice = Untold(cancellation, loop.now()) { if (--left == 0) finish() }
         for (peer in peers) {
-            untold.getValue(peer) += news
+            untold.getValue(peer) += notice
             send(peer)
         }
     }
--- a/src/main/kotlin/copperglade/coordination/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/coordination/CapacityTable.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MachineRoom
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.Resources
 import copperglade.protocol.Stamp
 import copperglade.storage.Replica
@@ -34,22 +34,22 @@
     private val given = HashMap<MachineName, MutableList<Given>>()
 
     /** The capacity of the machines of all blocks whose owners have been heard lately. */
-    fun capacities(noteOf: (MemberId) -> PeerNote?): List<MachineCapacity> {
+    fun capacities(statusOf: (MemberId) -> PeerStatus?): List<MachineCapacity> {
         val capacities = ArrayList<MachineCapacity>()
         for (block in blockMap.all) {
             val record = replica.blocks[block] ?: continue
-            val note = noteOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
+            val status = statusOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
             val room =
-                note.blocks.firstOrNull { it.block == block && it.fencingToken.number == record.stamp.number } ?: continue
+                status.blocks.firstOrNull { it.block == block && it.fencingToken.number == record.stamp.number } ?: continue
             for (machine in room.machines) {
-                val free = stillGiven(machine.name, note.cursor).fold(machine.free) { left, gift -> left - gift.request }
+                val free = stillGiven(machine.name, status.cursor).fold(machine.free) { left, gift -> left - gift.request }
                 capacities += MachineCapacity(block, machine, free, machine.yielding.toTypedArray())
             }
         }
         return capacities
     }
 
-    /** What the owner didn't know of yet when it wrote its note. */
+    /** What the owner didn't know of yet when it wrote its status. */
     private fun stillGiven(machine: MachineName, cursor: Stamp): List<Given> {
         val gifts = given[machine] ?: return emptyList()
         gifts.removeIf { it.stamp <= cursor }
--- a/src/main/kotlin/copperglade/coordination/Controller.kt
+++ b/src/main/kotlin/copperglade/coordination/Controller.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.BadSetting
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.PlatformSettings
 import copperglade.protocol.UserWire
@@ -51,12 +51,12 @@
     private val replica = Replica(loop, store, readers = settings.peers.size + 1, quiet) { spec ->
         profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
     }
-    private val vouching = Vouching(loop, http, store, settings.member, settings.peers)
+    private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val membership = Membership(
         loop,
         store,
         replica,
-        vouching,
+        leaseEndorsement,
         settings.member,
         leaseLength = minOf(staleness, (settings.leaseS * tuning.sessionLeasePart).seconds),
         stalenessLimit = staleness,
@@ -66,7 +66,7 @@
     private val leadership = Leadership(loop, store, replica, membership, tuning.leaderLease)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
-    private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, vouching)
+    private val granter = BlockGranter(loop, store, replica, leadership, blockMap, zoneOfMember, leaseEndorsement)
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
     private val owner: Owner = Owner(
@@ -77,21 +77,21 @@
         cloudBudget,
         ::othersHearState,
     )
-    private val notes = Notes(
+    private val peerMessenger = PeerMessenger(
         loop,
         http,
         store,
         settings.member,
         settings.peers,
         { owner.machineCount },
-        { composeNote() },
+        { composeStatus() },
         { replica.leader?.value?.member },
-        ::heardNote,
+        ::onPeerStatus,
     )
     private val capacityTable = CapacityTable(replica, blockMap)
     private val fairShare = FairShare(tuning.turnAfterS, tuning.turnShare)
     private val assigner =
-        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::roomNoteOf)
+        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
     private val jobFinalizer = JobFinalizer(store, replica, leadership)
     private val fleet = Fleet(
         loop,
@@ -106,10 +106,10 @@
         blockMap,
         tuning,
         settings.listLagS,
-        ::noteOf,
+        ::statusOf,
     )
-    private val cancellationNews = CancellationNews(loop, http, settings.peers, replica, worthTelling = staleness)
-    private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationNews)
+    private val cancellationNotices = CancellationNotices(loop, http, settings.peers, replica, worthTelling = staleness)
+    private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationNotices)
 
     private val submissions = Latencies(loop, "submissions")
     private val polls = Latencies(loop, "polls")
@@ -124,15 +124,15 @@
         replica.listen(absentOwners)
         replica.listen(owner)
         replica.listen(jobFinalizer)
-        replica.listen { touched -> touched.notes.mapNotNull(PeerWire::decode).forEach(notes::receiveRoundabout) }
+        replica.listen { touched -> touched.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerMessenger::receiveIndirect) }
         membership.onChange = owner::reconcile
         types.start()
         replica.start()
         membership.start()
-        vouching.start()
+        leaseEndorsement.start()
         leadership.start()
         owner.start()
-        notes.start()
+        peerMessenger.start()
         fleet.start()
         submissions.start()
         workload.start()
@@ -158,17 +158,17 @@
 
     /** All controllers together must stay within the state service's budgets; whoever has more to write gets more. */
     private fun shareBudget() {
-        val others = (replica.members.keys - settings.member).map { noteOf(it)?.writesWanted }
+        val others = (replica.members.keys - settings.member).map { statusOf(it)?.writesWanted }
         // The leader rents and lists, the others only return what is idle.
         val cloudShare = if (leadership.leading) LEADS_PART_OF_CLOUD else (1.0 - LEADS_PART_OF_CLOUD) / others.size.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
         store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
     }
 
-    private fun composeNote(): PeerNote? {
+    private fun composeStatus(): PeerStatus? {
         val incarnation = membership.incarnation ?: return null
         val leading = leadership.leading
-        return PeerNote(
+        return PeerStatus(
             member = settings.member,
             incarnation = incarnation,
             cursor = replica.cursor,
@@ -181,20 +181,20 @@
         )
     }
 
-    private var ownNote: PeerNote? = null
+    private var ownStatus: PeerStatus? = null
 
-    private fun heardNote(note: PeerNote) {
-        if (note.member == settings.member) ownNote = note
-        if (!note.isLeader) return
-        owner.release(note.release)
-        owner.retire(note.retire)
+    private fun onPeerStatus(status: PeerStatus) {
+        if (status.member == settings.member) ownStatus = status
+        if (!status.isLeader) return
+        owner.release(status.release)
+        owner.retire(status.retire)
     }
 
-    private fun noteOf(member: MemberId): PeerNote? =
-        if (member == settings.member) ownNote else notes.of(member)
+    private fun statusOf(member: MemberId): PeerStatus? =
+        if (member == settings.member) ownStatus else peerMessenger.of(member)
 
-    private fun roomNoteOf(member: MemberId): PeerNote? =
-        if (member == settings.member) ownNote else notes.roomOf(member)
+    private fun capacityStatusOf(member: MemberId): PeerStatus? =
+        if (member == settings.member) ownStatus else peerMessenger.capacityStatusOf(member)
 
     // ---- requests ----
 
@@ -253,30 +253,30 @@
     private fun health(): Reply {
         val silent = loop.now().secondsSince(store.lastGood)
         val alone = othersHearState()
-        val lonely = settings.peers.isNotEmpty() && settings.peers.none { notes.of(it.member) != null } && silent >= LONELY_S
+        val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerMessenger.of(it.member) != null } && silent >= LONELY_S
         val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
         return if (healthy) Reply(OK) else Reply(UNAVAILABLE, UserWire.error("not ready"))
     }
 
     private fun othersHearState(): Boolean = settings.peers.any { peer ->
-        notes.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
+        peerMessenger.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
             ?: false
     }
 
     private fun handlePeer(request: Request, responder: Responder) {
-        if (request.path == PeerWire.VOUCH_PATH) {
-            val vouched = vouching.vouch(MemberId(request.body.decodeToString()))
-            return responder.send(Reply(if (vouched) OK else CONFLICT))
+        if (request.path == PeerWire.ENDORSEMENT_PATH) {
+            val endorsed = leaseEndorsement.endorse(MemberId(request.body.decodeToString()))
+            return responder.send(Reply(if (endorsed) OK else CONFLICT))
         }
         if (request.path == PeerWire.CANCELLED_PATH) {
             val cancellations = PeerWire.decodeCancelled(request.body)
-            cancellations?.let(cancellationNews::receive)
+            cancellations?.let(cancellationNotices::receive)
             return responder.send(Reply(if (cancellations == null) BAD_REQUEST else OK))
         }
         if (request.path != PeerWire.PATH) return responder.send(Reply(NOT_FOUND))
-        val note = PeerWire.decode(request.body)
-        if (note != null) notes.receive(note)
-        responder.send(Reply(if (note == null) BAD_REQUEST else OK))
+        val status = PeerWire.decode(request.body)
+        if (status != null) peerMessenger.receive(status)
+        responder.send(Reply(if (status == null) BAD_REQUEST else OK))
     }
 
     companion object {
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -13,7 +13,7 @@
 import copperglade.protocol.MachineType
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
@@ -98,7 +98,7 @@
     private val blockMap: BlockMap,
     private val tuning: Tuning,
     private val listLagS: Double,
-    private val noteOf: (MemberId) -> PeerNote?,
+    private val statusOf: (MemberId) -> PeerStatus?,
 ) {
     private data class Kind(val type: String, val zone: String, val spot: Boolean)
 
@@ -150,8 +150,8 @@
     private fun rooms(): Map<MachineName, MachineRoom> {
         val rooms = HashMap<MachineName, MachineRoom>()
         for (record in replica.blocks.values) {
-            val note = noteOf(record.value.member) ?: continue
-            for (block in note.blocks) block.machines.forEach { rooms[it.name] = it }
+            val status = statusOf(record.value.member) ?: continue
+            for (block in status.blocks) block.machines.forEach { rooms[it.name] = it }
         }
         return rooms
     }
@@ -209,7 +209,7 @@
             MachineStatus.RUNNING -> {
                 val block: BlockName = blockMap.of(machine.name, machine.zone)
                 val ownerHeard = replica.blocks[block]
-                    ?.let { noteOf(it.value.member) }
+                    ?.let { statusOf(it.value.member) }
                     ?.blocks
                     ?.any { it.block == block } ?: false
                 val heard = heardAt.getOrPut(machine.name) { now }
--- a/src/main/kotlin/copperglade/coordination/JobService.kt
+++ b/src/main/kotlin/copperglade/coordination/JobService.kt
@@ -43,7 +43,7 @@
     private val replica: Replica,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
-    private val news: CancellationNews,
+    private val cancellationNotices: CancellationNotices,
 ) {
     private val resolver = DependencyResolver(replica)
 
@@ -152,7 +152,7 @@
                     when (outcome) {
                         is TransactionOutcome.Applied -> {
                             replica.applied(transaction, outcome.stamp)
-                            news.tell(Cancellation(id, outcome.stamp)) { cancel(id, responder, tries - 1) }
+                            cancellationNotices.tell(Cancellation(id, outcome.stamp)) { cancel(id, responder, tries - 1) }
                         }
                         TransactionOutcome.Refused -> responder.send(later())
                         else -> cancel(id, responder, tries - 1)
--- a/src/main/kotlin/copperglade/coordination/Vouching.kt
+++ b/src/main/kotlin/copperglade/coordination/LeaseEndorsement.kt
@@ -14,17 +14,17 @@
 
 /**
  * How short session leases outlive an outage of the state service. A member that the service has stopped answering asks
- * every other controller to vouch: not to grant its blocks away for the next [PROMISE]. A controller vouches only while
- * the service is silent to itself as well. With a promise from all of them, asked for while the member's right was
- * still intact, nobody can have granted or will grant its blocks, whatever the service does with its session lease
- * meanwhile.
+ * every other controller for an endorsement: not to grant its blocks away for the next [ENDORSEMENT_LENGTH]. A
+ * controller endorses only while the service is silent to itself as well. With an endorsement from all of them, asked
+ * for while the member's right was still intact, nobody can have granted or will grant its blocks, whatever the service
+ * does with its session lease meanwhile.
  *
  * Why that is enough: a grant needs that the holder's incarnation was seen to be gone. As long as the right is intact
  * it has not gone, so no grant against it can be on its way either, not even a late one. A controller that restarts
- * forgets its promises, hence grants nothing of others for one [PROMISE] after its start. Without the peer link there
- * are no promises, and the session lease alone decides.
+ * forgets its endorsements, hence grants nothing of others for one [ENDORSEMENT_LENGTH] after its start. Without the
+ * peer link there are no endorsements, and the session lease alone decides.
  */
-class Vouching(
+class LeaseEndorsement(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val store: StateClient,
@@ -32,16 +32,16 @@
     private val peers: List<Peer>,
 ) {
     private val startedAt = loop.now()
-    private val promisedBy = HashMap<MemberId, Moment>()
-    private val promisedTo = HashMap<MemberId, Moment>()
+    private val endorsedBy = HashMap<MemberId, Moment>()
+    private val endorsedMembers = HashMap<MemberId, Moment>()
     private val asking = HashSet<MemberId>()
 
-    /** Whether our right was intact up to now; else a promise would come too late to mean anything. */
+    /** Whether our right was intact up to now; else an endorsement would come too late to mean anything. */
     var intact: () -> Boolean = { false }
 
-    /** Until when all others have promised not to grant our blocks away. */
-    val vouchedUntil: Moment
-        get() = peers.minOfOrNull { promisedBy[it.member]?.ms ?: Moment.NEVER.ms }?.let { Moment(it) } ?: Moment.NEVER
+    /** Until when all others have endorsed our blocks. */
+    val endorsedUntil: Moment
+        get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: Moment.NEVER.ms }?.let { Moment(it) } ?: Moment.NEVER
 
     fun start() = loop.again({ PACE }) {
         if (store.isSilent() && intact()) peers.filter { it.member !in asking }.forEach(::ask)
@@ -50,29 +50,29 @@
     private fun ask(peer: Peer) {
         val sent = loop.now()
         asking += peer.member
-        val request = Request(Method.POST, PeerWire.VOUCH_PATH, self.text.encodeToByteArray())
+        val request = Request(Method.POST, PeerWire.ENDORSEMENT_PATH, self.text.encodeToByteArray())
         http.call(peer.endpoint, request, TIMEOUT) { reply ->
             asking -= peer.member
-            if (reply?.status == OK && intact()) promisedBy[peer.member] = sent + PROMISE * (1.0 - SessionLease.DRIFT) - MARGIN
+            if (reply?.status == OK && intact()) endorsedBy[peer.member] = sent + ENDORSEMENT_LENGTH * (1.0 - SessionLease.DRIFT) - MARGIN
         }
     }
 
-    /** Whether we vouch for [member]; if so, we keep to it. */
-    fun vouch(member: MemberId): Boolean {
+    /** Whether we endorse [member]; if so, we keep to it. */
+    fun endorse(member: MemberId): Boolean {
         if (!store.isSilent()) return false
-        promisedTo[member] = loop.now() + PROMISE
+        endorsedMembers[member] = loop.now() + ENDORSEMENT_LENGTH
         return true
     }
 
     /** Whether blocks of [holder] may be granted to somebody else. */
     fun mayGrantAway(holder: MemberId): Boolean {
         val now = loop.now()
-        return now >= startedAt + PROMISE && now >= (promisedTo[holder] ?: Moment.NEVER)
+        return now >= startedAt + ENDORSEMENT_LENGTH && now >= (endorsedMembers[holder] ?: Moment.NEVER)
     }
 
     private companion object {
         const val OK = 200
-        val PROMISE = 3.seconds
+        val ENDORSEMENT_LENGTH = 3.seconds
         val MARGIN = 100.milliseconds
         val PACE = 400.milliseconds
         val TIMEOUT = 1.seconds
--- a/src/main/kotlin/copperglade/coordination/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/coordination/MachineTracker.kt
@@ -27,7 +27,7 @@
     /** Dropped machines that have just been asked whether they live. */
     private val probed = HashSet<MachineName>()
 
-    /** Takes in a report if it is news; the machine that it is of. */
+    /** Takes in a report if it is new; the machine that it is of. */
     fun hear(report: Report): Machine {
         val machine = machines.getOrPut(report.machine) { discover(report) }
         val sessionBefore = machine.session
--- a/src/main/kotlin/copperglade/coordination/Membership.kt
+++ b/src/main/kotlin/copperglade/coordination/Membership.kt
@@ -89,7 +89,7 @@
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val vouching: Vouching,
+    private val leaseEndorsement: LeaseEndorsement,
     val self: MemberId,
     private val leaseLength: Duration,
     private val stalenessLimit: Duration,
@@ -109,20 +109,20 @@
         }?.let { Incarnation(it.number) }
 
     /**
-     * Whether this process may act at this very moment: on its session lease, or on what its peers promised in an outage. In
+     * Whether this process may act at this very moment: on its session lease, or on what its peers endorsed in an outage. In
      * either case its knowledge must be recent enough for a cancellation it has not heard of to be met in time.
      */
     val mayAct: Boolean
-        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < vouching.vouchedUntil) &&
+        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) &&
             loop.now() < replica.asOf + stalenessLimit
 
     /**
-     * Whether tasks may be started. For that, what is known must be newer than for keeping what runs, since no task may start
-     * after its user was told that it is cancelled: either the state service has answered a moment ago, or all others
-     * promise that it answers nobody, and nothing can be confirmed then that they haven't told us before.
+     * Whether tasks may be started. For that, what is known must be newer than for keeping what runs, since no task may
+     * start after its user was told that it is cancelled: either the state service has answered a moment ago, or all
+     * others state that it answers nobody, and nothing can be confirmed then that they haven't told us before.
      */
     val mayStart: Boolean
-        get() = mayAct && (loop.now() < replica.asOf + startLimit || loop.now() < vouching.vouchedUntil)
+        get() = mayAct && (loop.now() < replica.asOf + startLimit || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the session
@@ -139,7 +139,7 @@
     var onChange: () -> Unit = {}
 
     fun start() {
-        vouching.intact = { state == MemberState.MEMBER && (lease.alive || loop.now() < vouching.vouchedUntil) }
+        leaseEndorsement.intact = { state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) }
         join()
         loop.again({ if (lease.alive) leaseLength / EXTENSIONS_PER_LEASE else RETRY }) {
             if (state == MemberState.MEMBER) lease.extend { kept -> if (!kept) lost() }
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
@@ -49,7 +49,7 @@
     /** A transaction's conditions are the block, the packed record and a job for each page. */
     private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
 
-    fun note(run: Run) {
+    fun record(run: Run) {
         val place = JobPage(run.task.job, run.task.index / Keys.PAGE_TASKS)
         dirtySince.putIfAbsent(place, loop.now())
         if (run.state == RunState.GONE) hasty += place
@@ -69,7 +69,7 @@
         for (place in dirtySince.keys.toList()) {
             if (changes.size == mostPages) break
             val job = replica.jobs[place.job]?.takeIf { it.live != null }
-            val record = job?.let { news(it, place.page) }
+            val record = job?.let { updatedRecord(it, place.page) }
             if (job == null || record == null) {
                 dirtySince.remove(place)
             } else if (packer.ready(job, place.page)) {
@@ -100,7 +100,7 @@
                 replica.applied(transaction, outcome.stamp)
                 return@commit
             }
-            // Whatever stood in the way, or became of the write: read first, then try what is still news.
+            // Whatever stood in the way, or became of the write: read first, then try what is still new.
             val again = {
                 packer.end(packedWrite)
                 since.forEach { (place, first) -> dirtySince.merge(place, first) { a, b -> minOf(a, b) } }
@@ -114,7 +114,7 @@
     }
 
     /** The record that says all that is known, or null where it says nothing new. */
-    private fun news(job: Job, page: Int): WorkRecord? {
+    private fun updatedRecord(job: Job, page: Int): WorkRecord? {
         val present = job.works[WorkPlace(page, owner.name)]?.value ?: WorkRecord.EMPTY
         val done = present.done.clone() as BitSet
         val restarted = present.restarted.clone() as BitSet
--- a/src/main/kotlin/copperglade/coordination/Notes.kt
+++ b/src/main/kotlin/copperglade/coordination/PeerMessenger.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.Peer
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -20,24 +20,24 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Sends this controller's note to its peers and keeps the latest of theirs. Where the leader can't be reached, because
- * controllers refuse each other, a member's room goes to it through the state service: less of it, and less often.
+ * Sends this controller's status to its peers and keeps the latest of theirs. Where the leader can't be reached, because
+ * controllers refuse each other, a member's free capacity goes to it through the state service: less of it, and less often.
  */
-class Notes(
+class PeerMessenger(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val store: StateClient,
     private val self: MemberId,
     private val peers: List<Peer>,
     private val machines: () -> Int,
-    private val compose: () -> PeerNote?,
+    private val compose: () -> PeerStatus?,
     private val currentLeader: () -> MemberId?,
-    private val heard: (PeerNote) -> Unit,
+    private val heard: (PeerStatus) -> Unit,
 ) {
-    private class Received(val note: PeerNote, val at: Moment)
+    private class Received(val status: PeerStatus, val at: Moment)
 
     private val latest = HashMap<MemberId, Received>()
-    private val roundabout = HashMap<MemberId, Received>()
+    private val indirect = HashMap<MemberId, Received>()
     private val busy = HashSet<MemberId>()
     private val deliveredAt = HashMap<MemberId, Moment>()
     private var recordedAt = Moment.NEVER
@@ -45,26 +45,26 @@
 
     fun start() = loop.again({ pace() }) { compose()?.let(::tell) }
 
-    /** The more machines a note tells of, the rarer: five times the machines must not cost five times the processor. */
+    /** The more machines a status tells of, the rarer: five times the machines must not cost five times the processor. */
     private fun pace(): Duration = minOf(PACE + PACE_A_MACHINE * machines(), LONGEST_PACE)
 
-    private fun tell(note: PeerNote) {
-        heard(note)
+    private fun tell(status: PeerStatus) {
+        heard(status)
         val leader = currentLeader()
-        // Only the leader works with the rooms; for hundreds of machines they are most of a note.
-        val brief = lazy { PeerWire.encode(note.brief()) }
+        // Only the leader works with the rooms; for hundreds of machines they are most of a status message.
+        val brief = lazy { PeerWire.encode(status.brief()) }
         val now = loop.now()
         val briefDue = now >= briefAt + BRIEF_PACE
         if (briefDue) briefAt = now
         for (peer in peers) {
             if (peer.member in busy) continue
             if (peer.member == leader) {
-                send(peer, PeerWire.encode(note))
+                send(peer, PeerWire.encode(status))
             } else if (briefDue) {
                 send(peer, brief.value)
             }
         }
-        if (leader != null && leader != self) recordIfCutOff(leader, note)
+        if (leader != null && leader != self) recordIfCutOff(leader, status)
     }
 
     private fun send(peer: Peer, body: ByteArray) {
@@ -75,41 +75,42 @@
         }
     }
 
-    private fun recordIfCutOff(leader: MemberId, note: PeerNote) {
+    private fun recordIfCutOff(leader: MemberId, status: PeerStatus) {
         val now = loop.now()
         val reached = deliveredAt.getOrPut(leader) { now }
         if (now < reached + UNREACHED || now < recordedAt + RECORD_PACE) return
         recordedAt = now
-        val value = fittingValue(note) ?: return
+        val value = fittingValue(status) ?: return
         val write = Write.Set(Keys.room(self), value)
         // A hint only, and of use only while it is new: no condition, and what comes late is told by its incarnation.
         store.commit(Urgency.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
 
-    /** As many machines of [note] as a value can hold; how much a machine takes is an estimate, so it is measured. */
-    private fun fittingValue(note: PeerNote): ByteArray? {
+    /** As many machines of [status] as a value can hold; how much a machine takes is an estimate, so it is measured. */
+    private fun fittingValue(status: PeerStatus): ByteArray? {
         var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
         repeat(MOST_SHORTENINGS) {
-            val value = RecordCodec.encodeNote(PeerWire.encode(note.shortened(bytes)))
+            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.shortened(bytes)))
             if (value.size <= store.limits.valueBytes) return value
             bytes = (bytes * SHORTENING).toInt()
         }
         return null
     }
 
-    fun receive(note: PeerNote) {
-        latest[note.member] = Received(note, loop.now())
-        heard(note)
+    fun receive(status: PeerStatus) {
+        latest[status.member] = Received(status, loop.now())
+        heard(status)
     }
 
-    fun receiveRoundabout(note: PeerNote) {
-        if (note.member != self) roundabout[note.member] = Received(note, loop.now())
+    fun receiveIndirect(status: PeerStatus) {
+        if (status.member != self) indirect[status.member] = Received(status, loop.now())
     }
 
-    fun of(member: MemberId): PeerNote? = latest[member]?.takeIf { loop.now() < it.at + FRESH }?.note
+    fun of(member: MemberId): PeerStatus? = latest[member]?.takeIf { loop.now() < it.at + FRESH }?.status
 
     /** What is known of a member's room, by whichever way; it may be only a part. */
-    fun roomOf(member: MemberId): PeerNote? = of(member) ?: roundabout[member]?.takeIf { loop.now() < it.at + FRESH_ROUNDABOUT }?.note
+    fun capacityStatusOf(member: MemberId): PeerStatus? =
+        of(member) ?: indirect[member]?.takeIf { loop.now() < it.at + FRESH_INDIRECT }?.status
 
     companion object {
         private const val OK = 200
@@ -128,6 +129,6 @@
         private val FRESH = 2.seconds
         private val UNREACHED = 1500.milliseconds
         private val RECORD_PACE = 1500.milliseconds
-        private val FRESH_ROUNDABOUT = 4.seconds
+        private val FRESH_INDIRECT = 4.seconds
     }
 }
--- a/src/main/kotlin/copperglade/coordination/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/coordination/ReportIntake.kt
@@ -10,7 +10,7 @@
  * An answer of 200 renews the worker's lease, so it must be reckoned with whether it arrives or not. Invariants: a late copy
  * of a report gets no answer and changes nothing; no 200 lacks the stops of the cancelled tasks that the report shows
  * ([CancelledWork]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
- * taken for news.
+ * taken for new.
  */
 class ReportIntake(
     private val state: BlockState,
--- a/src/main/kotlin/copperglade/coordination/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/coordination/RunLifecycle.kt
@@ -13,7 +13,7 @@
     fun finish(run: Run, outcome: RunState, why: String) {
         run.moveTo(outcome, why, loop.now())
         if (outcome == RunState.GONE) run.unbind()
-        outcomes.note(run)
+        outcomes.record(run)
     }
 
     /**
--- a/src/main/kotlin/copperglade/coordination/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/coordination/StragglerRestarts.kt
@@ -22,7 +22,7 @@
                 .now()
                 .secondsSince(it)
         }
-        outcomes.note(run)
+        outcomes.record(run)
         stopper.stop(run, StopReason.RESTARTED)
     }
 }
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -28,10 +28,10 @@
  * What a controller tells the others several times a second. Only hints: whoever acts on one checks it against the
  * state service, and whoever gets none goes without.
  */
-class PeerNote(
+class PeerStatus(
     val member: MemberId,
     val incarnation: Incarnation,
-    /** Everything up to this revision of the state service is in the note. */
+    /** Everything up to this revision of the state service is in the status. */
     val cursor: Stamp,
     val stateSilentMs: Long,
     val isLeader: Boolean,
@@ -44,7 +44,7 @@
     val writesWanted: Double,
 ) {
     /** The machines with most room, without their images, as many as fit into about [bytes]. */
-    fun shortened(bytes: Int): PeerNote {
+    fun shortened(bytes: Int): PeerStatus {
         val most = (bytes - BYTES_BESIDE) / BYTES_A_MACHINE
         val chosen = blocks
             .flatMap { it.machines }
@@ -55,10 +55,10 @@
         val left = blocks.map { block ->
             BlockRoom(block.block, block.fencingToken, block.machines.filter { it in chosen }.map { it.withoutImages() })
         }
-        return PeerNote(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
+        return PeerStatus(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
 
-    fun brief() = PeerNote(member, incarnation, cursor, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
+    fun brief() = PeerStatus(member, incarnation, cursor, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
 
     private companion object {
         const val BYTES_BESIDE = 400
@@ -69,12 +69,12 @@
 /** That a job's cancelled mark was written, with [stamp]. */
 class Cancellation(val job: JobId, val stamp: Stamp)
 
-/** Notes in binary, through Okio buffers. */
+/** Messages between controllers in binary, through Okio buffers. */
 object PeerWire {
     const val PATH = "/note"
 
-    /** Body: the name of the member that asks to be vouched for. */
-    const val VOUCH_PATH = "/vouch"
+    /** Body: the name of the member that asks to be endorsed. */
+    const val ENDORSEMENT_PATH = "/vouch"
 
     /** Body: cancellations that have just been written down. A version that does not know it answers 404, and reads them itself. */
     const val CANCELLED_PATH = "/cancelled"
@@ -82,38 +82,38 @@
     private const val CANCELLED_VERSION = 1
     private const val MOST_ITEMS = 100_000
 
-    fun encode(note: PeerNote): ByteArray {
+    fun encode(status: PeerStatus): ByteArray {
         val out = Buffer()
         out.writeByte(VERSION)
-        out.text(note.member.text)
-        out.writeLong(note.incarnation.number)
-        out.writeLong(note.cursor.number)
-        out.writeLong(note.stateSilentMs)
-        out.flag(note.isLeader)
+        out.text(status.member.text)
+        out.writeLong(status.incarnation.number)
+        out.writeLong(status.cursor.number)
+        out.writeLong(status.stateSilentMs)
+        out.flag(status.isLeader)
         // Types, zones and images recur on hundreds of machines: they are written once and then by number.
         val words = Words()
         val rooms = Buffer()
-        rooms.items(note.blocks) { block ->
+        rooms.items(status.blocks) { block ->
             text(block.block.text)
             writeLong(block.fencingToken.number)
             items(block.machines) { machine(it, words) }
         }
         out.items(words.all) { text(it) }
         out.writeAll(rooms)
-        out.items(note.release) { text(it.text) }
-        out.items(note.retire) { text(it.text) }
-        out.writeLong(note.writesWanted.toRawBits())
+        out.items(status.release) { text(it.text) }
+        out.items(status.retire) { text(it.text) }
+        out.writeLong(status.writesWanted.toRawBits())
         return out.readByteArray()
     }
 
-    /** The note, or null where the bytes are not one of this version. */
-    fun decode(bytes: ByteArray): PeerNote? = reading {
+    /** The status, or null where the bytes are not one of this version. */
+    fun decode(bytes: ByteArray): PeerStatus? = reading {
         val source = Buffer().write(bytes)
         if (source.readByte().toInt() != VERSION) {
             null
         } else {
             var words = emptyList<String>()
-            PeerNote(
+            PeerStatus(
                 member = MemberId(source.text()),
                 incarnation = Incarnation(source.readLong()),
                 cursor = Stamp(source.readLong()),
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -352,10 +352,10 @@
 
     fun decodeMember(node: JsonNode): MemberRecord? = node.long("inc")?.let { MemberRecord(Incarnation(it)) }
 
-    /** A note between controllers, as it would have been sent. */
-    fun encodeNote(note: ByteArray): ByteArray = Json.write { obj { writeBinaryField("note", note) } }
+    /** A status message between controllers, as it would have been sent. */
+    fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { obj { writeBinaryField("note", status) } }
 
-    fun decodeNote(node: JsonNode): ByteArray? = try {
+    fun decodePeerStatus(node: JsonNode): ByteArray? = try {
         node.get("note")?.binaryValue()
     } catch (_: IOException) {
         null
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -19,8 +19,8 @@
     val jobs = HashSet<JobId>()
     var standing = false
 
-    /** Notes that came through the state service. */
-    val notes = ArrayList<ByteArray>()
+    /** Peer statuses that came through the state service. */
+    val peerStatuses = ArrayList<ByteArray>()
 }
 
 /** A packed record: its stamp, and which pages it tells of. */
@@ -257,7 +257,7 @@
     }
 
     private fun announce(touched: Touched) {
-        if (touched.jobs.isEmpty() && !touched.standing && touched.notes.isEmpty()) return
+        if (touched.jobs.isEmpty() && !touched.standing && touched.peerStatuses.isEmpty()) return
         touched.jobs += dependencies.update(touched.jobs)
         listeners.forEach { it.changed(touched) }
     }
@@ -284,7 +284,7 @@
             is ParsedKey.Images -> if (newer(stamp, images[parsed.block])) {
                 images[parsed.block] = Stamped(RecordCodec.decodeImages(value), stamp)
             }
-            is ParsedKey.Room -> RecordCodec.decodeNote(value)?.let { touched.notes += it }
+            is ParsedKey.Room -> RecordCodec.decodePeerStatus(value)?.let { touched.peerStatuses += it }
             ParsedKey.Leader -> if (newer(stamp, leader)) {
                 touched.standing = true
                 RecordCodec.decodeLeader(value)?.let { leader = Stamped(it, stamp) }
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -11,7 +11,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
@@ -93,7 +93,7 @@
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
         "lead" -> RecordCodec.encode(RecordCodec.decodeLeader(value)!!)
         "images" -> RecordCodec.encode(RecordCodec.decodeImages(value))
-        "room" -> RecordCodec.encodeNote(PeerWire.encode(PeerWire.decode(RecordCodec.decodeNote(value)!!)!!))
+        "room" -> RecordCodec.encodePeerStatus(PeerWire.encode(PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!))
         else -> error("no such records: $directory")
     }
 
@@ -242,12 +242,12 @@
     }
 
     @Test
-    fun `a note that went through the state service`() {
+    fun `a peer status that went through the state service`() {
         val sample = ProductionFiles.writes.first { it.directory == "room" }
         assertEquals("cg/now/room/lorry-0", sample.key)
-        val note = PeerWire.decode(RecordCodec.decodeNote(sample.value)!!)!!
-        assertEquals(MemberId("lorry-0"), note.member)
-        val machine = note.blocks.flatMap { it.machines }.single()
+        val status = PeerWire.decode(RecordCodec.decodePeerStatus(sample.value)!!)!!
+        assertEquals(MemberId("lorry-0"), status.member)
+        val machine = status.blocks.flatMap { it.machines }.single()
         assertEquals(MachineName("i-000004"), machine.name)
         assertEquals(Resources(10.0, 0.0, 125.0), machine.free)
         assertEquals(Resources(6.0, 0.0, 3.0), machine.yielding[Priority.NORMAL.ordinal])
@@ -258,24 +258,24 @@
     // ---- messages between controllers ----
 
     @Test
-    fun `every note is written again with the same bytes`() {
-        val notes = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
-        assertEquals(KINDS_OF_NOTES, notes.size, "${notes.keys}")
-        notes.forEach { (kind, bytes) -> assertArrayEquals(bytes, PeerWire.encode(PeerWire.decode(bytes)!!), kind) }
+    fun `every peer status is written again with the same bytes`() {
+        val statuses = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
+        assertEquals(KINDS_OF_STATUS, statuses.size, "${statuses.keys}")
+        statuses.forEach { (kind, bytes) -> assertArrayEquals(bytes, PeerWire.encode(PeerWire.decode(bytes)!!), kind) }
     }
 
     @Test
-    fun `a full note`() {
-        val note = note("note full machines to replace images yielding")
-        assertEquals(MemberId("lorry-2"), note.member)
-        assertEquals(Incarnation(2), note.incarnation)
-        assertEquals(Stamp(51), note.cursor)
-        assertEquals(458, note.stateSilentMs)
-        assertFalse(note.isLeader)
-        assertEquals(0.10845220000923077, note.writesWanted)
-        assertEquals(listOf("north.1 6 1", "south.2 7 0"), note.blocks.map { "${it.block} ${it.fencingToken} ${it.machines.size}" })
+    fun `a full status`() {
+        val status = peerStatus("note full machines to replace images yielding")
+        assertEquals(MemberId("lorry-2"), status.member)
+        assertEquals(Incarnation(2), status.incarnation)
+        assertEquals(Stamp(51), status.cursor)
+        assertEquals(458, status.stateSilentMs)
+        assertFalse(status.isLeader)
+        assertEquals(0.10845220000923077, status.writesWanted)
+        assertEquals(listOf("north.1 6 1", "south.2 7 0"), status.blocks.map { "${it.block} ${it.fencingToken} ${it.machines.size}" })
         with(
-            note.blocks
+            status.blocks
                 .first()
                 .machines
                 .single(),
@@ -291,26 +291,26 @@
 
     @Test
     fun `a machine on loan that stands idle`() {
-        val machine = note("note full machines usable").blocks.flatMap { it.machines }.single()
+        val machine = peerStatus("note full machines usable").blocks.flatMap { it.machines }.single()
         assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
         assertEquals(142, machine.idleMs)
     }
 
     @Test
-    fun `brief notes, and what the leader adds`() {
-        val brief = note("note brief")
+    fun `brief statuses, and what the leader adds`() {
+        val brief = peerStatus("note brief")
         assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.cursor.toString()))
         assertEquals(emptyList<Any>(), brief.blocks)
         assertFalse(brief.isLeader)
-        assertTrue(note("note brief lead").isLeader)
-        assertEquals(listOf("south.1"), note("note brief lead release").release.map { it.text })
-        assertEquals(listOf("i-000006"), note("note brief lead retire").retire.map { it.text })
+        assertTrue(peerStatus("note brief lead").isLeader)
+        assertEquals(listOf("south.1"), peerStatus("note brief lead release").release.map { it.text })
+        assertEquals(listOf("i-000006"), peerStatus("note brief lead retire").retire.map { it.text })
     }
 
-    private fun note(kind: String): PeerNote = PeerWire.decode(ProductionFiles.message(kind))!!
+    private fun peerStatus(kind: String): PeerStatus = PeerWire.decode(ProductionFiles.message(kind))!!
 
     @Test
-    fun `a question for a promise and the news of a cancellation`() {
+    fun `a request for an endorsement and the notice of a cancellation`() {
         assertEquals("lorry-2", ProductionFiles.message("vouch").decodeToString())
         val bytes = ProductionFiles.message("cancelled")
         val cancellation = PeerWire.decodeCancelled(bytes)!!.single()
@@ -320,7 +320,7 @@
 
     /** Written field by field in the order of the wire, with values that occur nowhere else in it. */
     @Test
-    fun `each field of a note has its own place`() {
+    fun `each field of a peer status has its own place`() {
         val bytes = ByteArrayOutputStream()
         with(DataOutputStream(bytes)) {
             writeByte(2)
@@ -345,13 +345,13 @@
             texts("i-2")
             writeDouble(12.5)
         }
-        val note = PeerWire.decode(bytes.toByteArray())!!
-        assertArrayEquals(bytes.toByteArray(), PeerWire.encode(note))
-        assertEquals(listOf(3L, 9L, 12L), listOf(note.incarnation.number, note.cursor.number, note.stateSilentMs))
-        assertEquals(listOf("z.1"), note.release.map { it.text })
-        assertEquals(listOf("i-2"), note.retire.map { it.text })
-        assertEquals(12.5, note.writesWanted)
-        val machine = note.blocks
+        val status = PeerWire.decode(bytes.toByteArray())!!
+        assertArrayEquals(bytes.toByteArray(), PeerWire.encode(status))
+        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.cursor.number, status.stateSilentMs))
+        assertEquals(listOf("z.1"), status.release.map { it.text })
+        assertEquals(listOf("i-2"), status.retire.map { it.text })
+        assertEquals(12.5, status.writesWanted)
+        val machine = status.blocks
             .single()
             .machines
             .single()
@@ -470,7 +470,7 @@
     private companion object {
         const val UNKNOWN = "fieldOfALaterVersion"
         val LATER_VALUE: JsonNode = Json.read("""{"any":["thing",1]}""".toByteArray())!!
-        const val KINDS_OF_NOTES = 10
+        const val KINDS_OF_STATUS = 10
 
         @JvmStatic
         fun records(): List<RecordSample> = ProductionFiles.all
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.Json
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Team
 import copperglade.protocol.TeamName
@@ -138,8 +138,8 @@
 
     private fun heard(request: Request) = when (request.path) {
         "/multi" -> heardTransaction(request.body)
-        PeerWire.PATH -> keepShortest(noteKind(PeerWire.decode(request.body)!!), request.body)
-        PeerWire.VOUCH_PATH -> keepShortest("vouch", request.body)
+        PeerWire.PATH -> keepShortest(statusKind(PeerWire.decode(request.body)!!), request.body)
+        PeerWire.ENDORSEMENT_PATH -> keepShortest("vouch", request.body)
         PeerWire.CANCELLED_PATH -> keepShortest("cancelled", request.body)
         else -> Unit
     }
@@ -164,7 +164,7 @@
     /** Keeps the whole contents of the state service at the moment at which they are the most varied. */
     fun look(site: SimSite) {
         val all = site.state.keys(Keys.ROOT).map { Record(it, Json.read(site.state.text(it)!!.toByteArray())!!) }
-        // A room note stays where it is once it was written, so it says nothing about the moment.
+        // A capacity status stays where it is once it was written, so it says nothing about the moment.
         val kinds = all
             .filter { "/room/" !in it.key }
             .map { recordKind(it.key, it.value) }
@@ -199,7 +199,7 @@
         "task" -> listOf(key.split('/')[3]) + packedRecordFeatures(value) + groupFeatures(value)
         "work" -> packedRecordFeatures(value)
         "block" -> listOf(if (value.get("inc").asLong() == 0L) "given up" else "owned")
-        "room" -> listOf(noteKind(PeerWire.decode(value.get("note").binaryValue())!!))
+        "room" -> listOf(statusKind(PeerWire.decode(value.get("note").binaryValue())!!))
         "images" -> listOf(if (value.isEmpty) "empty" else "filled")
         "cg" -> listOf(value.get("status").asText())
         else -> emptyList()
@@ -228,13 +228,13 @@
     )
 }
 
-private fun noteKind(note: PeerNote): String {
-    val machines = note.blocks.flatMap { it.machines }
+private fun statusKind(status: PeerStatus): String {
+    val machines = status.blocks.flatMap { it.machines }
     val parts = listOfNotNull(
-        if (note.blocks.isEmpty()) "brief" else "full",
-        "lead".takeIf { note.isLeader },
-        "release".takeIf { note.release.isNotEmpty() },
-        "retire".takeIf { note.retire.isNotEmpty() },
+        if (status.blocks.isEmpty()) "brief" else "full",
+        "lead".takeIf { status.isLeader },
+        "release".takeIf { status.release.isNotEmpty() },
+        "retire".takeIf { status.retire.isNotEmpty() },
         "machines".takeIf { machines.isNotEmpty() },
         "usable".takeIf { machines.any { it.usable } },
         "to replace".takeIf { machines.any { !it.worthKeeping } },
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -81,7 +81,7 @@
 
     @Test
     fun `paths between controllers`() {
-        assertEquals(listOf("/note", "/vouch", "/cancelled"), listOf(PeerWire.PATH, PeerWire.VOUCH_PATH, PeerWire.CANCELLED_PATH))
+        assertEquals(listOf("/note", "/vouch", "/cancelled"), listOf(PeerWire.PATH, PeerWire.ENDORSEMENT_PATH, PeerWire.CANCELLED_PATH))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/coordination/NotesTest.kt
+++ b/src/test/kotlin/copperglade/coordination/PeerMessengerTest.kt
@@ -9,7 +9,7 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MachineRoom
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerNote
+import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
 import copperglade.protocol.Stamp
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class NotesTest {
+class PeerMessengerTest {
     private val sim = Simulation(1)
     private val network = SimNetwork(sim)
     private val loop = SimLoop(sim)
@@ -47,7 +47,7 @@
         images = emptyList(),
     )
 
-    private fun note() = PeerNote(
+    private fun status() = PeerStatus(
         SELF,
         Incarnation(3),
         Stamp(9),
@@ -63,21 +63,21 @@
     fun `a room record holds as many machines as fit into a value`() {
         service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerS)
         val caller = network.callerOf("member", loop)
-        Notes(
+        PeerMessenger(
             loop,
             caller,
             store,
             SELF,
             emptyList(),
             machines = { 40 },
-            compose = ::note,
+            compose = ::status,
             currentLeader = { MemberId("lead") },
             heard = {},
         ).start()
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
         val value = Json.read(service.text(Keys.room(SELF))!!.toByteArray())!!
-        val told = PeerWire.decode(RecordCodec.decodeNote(value)!!)!!
+        val told = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
             told.blocks
                 .single()
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -128,7 +128,7 @@
     }
 
     @Test
-    fun `a note survives its buffer, and a torn one is refused`() {
+    fun `a peer status survives its buffer, and a torn one is refused`() {
         val room = MachineRoom(
             MachineName("i-1"),
             "a",
@@ -141,7 +141,7 @@
             yielding = listOf(Resources.ZERO, Resources(4.0, 0.0, 1.0)),
             images = listOf(ImageName("img-1")),
         )
-        val note = PeerNote(
+        val status = PeerStatus(
             MemberId("m"),
             Incarnation(3),
             Stamp(9),
@@ -152,11 +152,11 @@
             listOf(MachineName("i-2")),
             writesWanted = 12.5,
         )
-        val bytes = PeerWire.encode(note)
+        val bytes = PeerWire.encode(status)
         val again = PeerWire.decode(bytes)!!
-        assertEquals(note.cursor, again.cursor)
+        assertEquals(status.cursor, again.cursor)
         assertEquals(room.yielding, again.blocks[0].machines[0].yielding)
-        assertEquals(note.retire, again.retire)
+        assertEquals(status.retire, again.retire)
         for (cut in 0 until bytes.size) assertNull(PeerWire.decode(bytes.copyOf(cut)))
     }
 
--- a/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
@@ -354,7 +354,7 @@
         arrays(site, 16)
         repeat(3) { number ->
             site.sim.after(14_000.0 + number * 22_000 + random.nextInt(9_000)) {
-                // Whoever it is: leader, owner, amid a transaction or with a promise given.
+                // Whoever it is: leader, owner, amid a transaction or with an endorsement given.
                 if (random.nextInt(3) == 0) {
                     site.state.outage = true
                     site.sim.after(2_500.0) { site.state.outage = false }
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MeetingsTest.kt
@@ -92,7 +92,7 @@
         val owner = (0 until site.nodes).filter { it != site.leader() }.maxBy { onMachinesOf(site, it).size }
         val cancelled = onMachinesOf(site, owner)
         assertTrue(cancelled.isNotEmpty())
-        // It ends before it hears of the cancellations, and is back in time to promise the others their blocks.
+        // It ends before it hears of the cancellations, and is back in time to endorse the others' blocks.
         site.crash(owner, 8_000.0)
         val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.4)
         var granted = false
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/RulesTest.kt
@@ -103,7 +103,7 @@
         site.run(30.0)
         val running = site.runningTasks().toMap()
         assertEquals(6, running.size)
-        // Session leases are far shorter than this outage: it takes the peers' promises to outlive it.
+        // Session leases are far shorter than this outage: it takes the peers' endorsements to outlive it.
         site.state.outage = true
         site.run(14.0)
         site.state.outage = false
