--- a/src/main/kotlin/copperglade/coordination/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/coordination/AbsentOwners.kt
@@ -20,19 +20,19 @@
     private val others: List<MemberId>,
     private val grace: Duration,
 ) : ReplicaListener {
-    private class Seen(val incarnation: Incarnation?, val since: Moment)
+    private class ObservedIncarnation(val incarnation: Incarnation?, val since: Moment)
 
-    private val seen = others.associateWithTo(HashMap()) { Seen(null, loop.now()) }
+    private val observed = others.associateWithTo(HashMap()) { ObservedIncarnation(null, loop.now()) }
 
     override fun changed(touched: Touched) {
         if (!touched.standing) return
         for (other in others) {
             val present = replica.members[other]?.value?.incarnation
-            if (seen.getValue(other).incarnation != present) seen[other] = Seen(present, loop.now())
+            if (observed.getValue(other).incarnation != present) observed[other] = ObservedIncarnation(present, loop.now())
         }
     }
 
     /** When the last of them has surely stopped answering under an earlier incarnation. */
     val over: Moment
-        get() = seen.values.maxOfOrNull { if (it.incarnation == null) it.since + grace else it.since } ?: Moment.NEVER
+        get() = observed.values.maxOfOrNull { if (it.incarnation == null) it.since + grace else it.since } ?: Moment.NEVER
 }
--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
@@ -206,7 +206,7 @@
                     log.debug("{} assigned", counts)
                     for ((place, chosen) in choices) {
                         val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
-                        chosen.forEach { capacityTable.gave(it.room, outcome.stamp, request) }
+                        chosen.forEach { capacityTable.reserve(it.room, outcome.stamp, request) }
                     }
                     replica.applied(transaction, outcome.stamp)
                     settled(packedWrite, counts)
--- a/src/main/kotlin/copperglade/coordination/CancellationNotices.kt
+++ b/src/main/kotlin/copperglade/coordination/CancellationNotices.kt
@@ -26,9 +26,9 @@
     /** For so long it is tried to tell a controller that does not answer. */
     private val worthTelling: Duration,
 ) {
-    private class Untold(val cancellation: Cancellation, val since: Moment, val told: () -> Unit)
+    private class PendingNotice(val cancellation: Cancellation, val since: Moment, val told: () -> Unit)
 
-    private val untold = peers.associateWith { ArrayList<Untold>() }
+    private val pendingNotices = peers.associateWith { ArrayList<PendingNotice>() }
     private val busy = HashSet<Peer>()
 
     /** Calls [done] once all others have heard of it, or after a short while. */
@@ -43,16 +43,16 @@
         }
         if (left == 0) return finish()
         loop.after(PATIENCE, ::finish)
-        val notice = Untold(cancellation, loop.now()) { if (--left == 0) finish() }
+        val notice = PendingNotice(cancellation, loop.now()) { if (--left == 0) finish() }
         for (peer in peers) {
-            untold.getValue(peer) += notice
+            pendingNotices.getValue(peer) += notice
             send(peer)
         }
     }
 
     /** One message at a time to each; what comes meanwhile goes together with the next one. */
     private fun send(peer: Peer) {
-        val waiting = untold.getValue(peer)
+        val waiting = pendingNotices.getValue(peer)
         waiting.removeIf { loop.now() >= it.since + worthTelling }
         if (waiting.isEmpty() || !busy.add(peer)) return
         val sent = waiting.take(MOST_AT_ONCE)
--- a/src/main/kotlin/copperglade/coordination/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/coordination/CapacityTable.kt
@@ -12,7 +12,7 @@
 
 /** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
 class CapacityTable(private val replica: Replica, private val blockMap: BlockMap) {
-    private class Given(val stamp: Stamp, val request: Resources)
+    private class Reservation(val stamp: Stamp, val request: Resources)
 
     class MachineCapacity(val block: BlockName, val machine: MachineRoom, var free: Resources, val yielding: Array<Resources>) {
         /** The lowest priority of which something could be stopped here; -1: nothing could. */
@@ -31,7 +31,7 @@
         var kept = false
     }
 
-    private val given = HashMap<MachineName, MutableList<Given>>()
+    private val reservations = HashMap<MachineName, MutableList<Reservation>>()
 
     /** The capacity of the machines of all blocks whose owners have been heard lately. */
     fun capacities(statusOf: (MemberId) -> PeerStatus?): List<MachineCapacity> {
@@ -42,7 +42,8 @@
             val room =
                 status.blocks.firstOrNull { it.block == block && it.fencingToken.number == record.stamp.number } ?: continue
             for (machine in room.machines) {
-                val free = stillGiven(machine.name, status.cursor).fold(machine.free) { left, gift -> left - gift.request }
+                val unconfirmed = unconfirmedReservations(machine.name, status.cursor)
+                val free = unconfirmed.fold(machine.free) { left, reservation -> left - reservation.request }
                 capacities += MachineCapacity(block, machine, free, machine.yielding.toTypedArray())
             }
         }
@@ -50,14 +51,14 @@
     }
 
     /** What the owner didn't know of yet when it wrote its status. */
-    private fun stillGiven(machine: MachineName, cursor: Stamp): List<Given> {
-        val gifts = given[machine] ?: return emptyList()
-        gifts.removeIf { it.stamp <= cursor }
-        if (gifts.isEmpty()) given.remove(machine)
-        return gifts
+    private fun unconfirmedReservations(machine: MachineName, cursor: Stamp): List<Reservation> {
+        val machineReservations = reservations[machine] ?: return emptyList()
+        machineReservations.removeIf { it.stamp <= cursor }
+        if (machineReservations.isEmpty()) reservations.remove(machine)
+        return machineReservations
     }
 
-    fun gave(room: MachineCapacity, stamp: Stamp, request: Resources) {
-        given.getOrPut(room.machine.name) { ArrayList() } += Given(stamp, request)
+    fun reserve(room: MachineCapacity, stamp: Stamp, request: Resources) {
+        reservations.getOrPut(room.machine.name) { ArrayList() } += Reservation(stamp, request)
     }
 }
--- a/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
@@ -32,7 +32,7 @@
         if (reported.state != ReportedTaskState.EXITED) return Command.Stop(reported.task, reported.attempt, 0.0)
         // Not before its outcome is on record, and never while a late copy of its start could start it once more.
         val removalSentAt = machine.removalSentAt[reported.attempt] ?: Moment.NEVER
-        val removable = !machine.tainted(reported.task, reported.attempt) && now >= removalSentAt + RESEND_PAUSE
+        val removable = !machine.hasUnresolvedStart(reported.task, reported.attempt) && now >= removalSentAt + RESEND_PAUSE
         return if (removable) Command.Remove(reported.task, reported.attempt) else null
     }
 
@@ -42,7 +42,7 @@
         } else {
             null
         }
-        RunState.STARTING -> if (!run.seen && now >= run.startSentAt + RESEND_PAUSE && state.context.membership.mayStart) {
+        RunState.STARTING -> if (!run.wasReported && now >= run.startSentAt + RESEND_PAUSE && state.context.membership.mayStart) {
             Command.Start(run.task, run.attempt)
         } else {
             null
--- a/src/main/kotlin/copperglade/coordination/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/coordination/DependencyResolver.kt
@@ -42,7 +42,7 @@
         for (id in missing) {
             replica.readEnd(id) { outcome ->
                 when (outcome) {
-                    is ReadOutcome.Found -> {}
+                    is ReadOutcome.Present -> {}
                     ReadOutcome.Absent -> neverAccepted = id
                     ReadOutcome.Failed -> unavailable = true
                 }
--- a/src/main/kotlin/copperglade/coordination/Machine.kt
+++ b/src/main/kotlin/copperglade/coordination/Machine.kt
@@ -20,7 +20,7 @@
  * A start whose outcome nobody told: a late copy of it may act as long as session and fencing token still match, or until
  * [actsUntil] where it went out with an answer.
  */
-class Taint(
+class UnresolvedStart(
     val task: TaskId,
     val attempt: Attempt,
     val session: Long,
@@ -85,15 +85,15 @@
 
     /** The runs bound to this machine. */
     val runs: Collection<Run> get() = runsByAttempt.values
-    val taints = ArrayList<Taint>()
+    val unresolvedStarts = ArrayList<UnresolvedStart>()
     val removalSentAt = HashMap<Attempt, Moment>()
     var lastRemovalSentAt = Moment.NEVER
     var commandInFlight = false
     var commandSentAt = Moment.NEVER
 
     /** Since when direct commands have gone unanswered; then commands go out with the answers to reports. */
-    var deafSince: Moment? = null
-    val deaf: Boolean get() = deafSince != null
+    var unresponsiveSince: Moment? = null
+    val unresponsive: Boolean get() = unresponsiveSince != null
     var draining = false
     var deleting = false
     val failedJobs = HashSet<JobId>()
@@ -162,7 +162,7 @@
         runChanged()
         noticed = report.noticeS != null
         endpoint = report.endpoint
-        taints.removeIf { it.session < session || it.fencingToken < fencingToken }
+        unresolvedStarts.removeIf { it.session < session || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
         if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) emptySince = now
     }
@@ -186,7 +186,7 @@
 
     fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? = reportedTasks.firstOrNull { it.attempt == attempt && it.task == task }
 
-    fun tainted(task: TaskId, attempt: Attempt): Boolean = taints.any { it.attempt == attempt && it.task == task }
+    fun hasUnresolvedStart(task: TaskId, attempt: Attempt): Boolean = unresolvedStarts.any { it.attempt == attempt && it.task == task }
 
     fun hasImage(image: Image): Boolean = image.name in images
 
--- a/src/main/kotlin/copperglade/coordination/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/coordination/MachineHealth.kt
@@ -13,11 +13,11 @@
      * is running out.
      */
     fun isUsable(machine: Machine, now: Moment): Boolean =
-        isSound(machine, now) && !machine.deaf && now < machine.reportedAt + context.silenceLimit
+        isSound(machine, now) && !machine.unresponsive && now < machine.reportedAt + context.silenceLimit
 
     /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
     fun isWorthKeeping(machine: Machine, now: Moment): Boolean =
-        isSound(machine, now) && machine.deafSince?.let { now < it + context.leaseS.seconds } ?: true
+        isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseS.seconds } ?: true
 
     /**
      * How many of the block's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
--- a/src/main/kotlin/copperglade/coordination/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/coordination/MachineTracker.kt
@@ -100,7 +100,7 @@
         log.info("{} began anew, {} tasks lost", machine.name, machine.runs.size)
         machine.beginAnew(report, loop.now())
         for (run in machine.runs.toList()) {
-            val unresolvedStart = machine.tainted(run.task, run.attempt)
+            val unresolvedStart = machine.hasUnresolvedStart(run.task, run.attempt)
             if (unresolvedStart) run.startAgain(loop.now()) else lifecycle.lost(run, "${machine.name} began anew")
         }
         if (state.isFenced(machine)) observer.match(machine)
--- a/src/main/kotlin/copperglade/coordination/Run.kt
+++ b/src/main/kotlin/copperglade/coordination/Run.kt
@@ -54,7 +54,7 @@
         private set
 
     /** Whether a report has shown this attempt on its machine. */
-    var seen = false
+    var wasReported = false
     var runningSince: Moment? = null
         private set
     var stopReason: StopReason? = null
@@ -94,7 +94,7 @@
         machine = to
         attempt = nextAttempt
         to.attach(this)
-        seen = false
+        wasReported = false
         runningSince = null
         startSentAt = Moment.NEVER
         stopSentAt = Moment.NEVER
@@ -102,7 +102,7 @@
 
     /** Bound as it is, it has to be started once more under the same attempt. */
     fun startAgain(now: Moment) {
-        seen = false
+        wasReported = false
         runningSince = null
         startSentAt = Moment.NEVER
         if (state != RunState.STOPPING) moveTo(RunState.STARTING, "its machine began anew", now)
--- a/src/main/kotlin/copperglade/coordination/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/coordination/TaskObserver.kt
@@ -43,13 +43,13 @@
         if (run.state != RunState.MISSING) return
         if (reported.state == ReportedTaskState.EXITED && reported.cause != ExitCause.DONE) return
         run.bind(machine, reported.attempt)
-        run.seen = true
+        run.wasReported = true
         run.moveTo(RunState.STARTING, "found on ${machine.name}", loop.now())
         if (cancelledWork.isCancelled(reported.task.job)) stopper.stop(run, StopReason.CANCELLED)
     }
 
     private fun observe(run: Run, machine: Machine, reported: ReportedTask) {
-        run.seen = true
+        run.wasReported = true
         val stopping = run.state == RunState.STOPPING
         when (reported.state) {
             ReportedTaskState.FETCHING, ReportedTaskState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
@@ -106,10 +106,10 @@
     /** A run that a newer report does not show. */
     private fun absent(run: Run, machine: Machine) {
         when {
-            run.seen -> lifecycle.lost(run, "no longer reported")
+            run.wasReported -> lifecycle.lost(run, "no longer reported")
             run.state != RunState.STOPPING -> Unit
             // The start was answered or never sent, and the worker does not have it.
-            !machine.commandInFlight && !machine.tainted(run.task, run.attempt) -> lifecycle.lost(run, "never arrived")
+            !machine.commandInFlight && !machine.hasUnresolvedStart(run.task, run.attempt) -> lifecycle.lost(run, "never arrived")
         }
     }
 
--- a/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
@@ -17,22 +17,22 @@
      * Takes note that the starts among [commands] are on their way to [machine]; [actsUntil] is null where a copy may
      * arrive at any later time.
      */
-    fun begin(machine: Machine, commands: List<Command>, actsUntil: Moment?): List<Taint> {
+    fun begin(machine: Machine, commands: List<Command>, actsUntil: Moment?): List<UnresolvedStart> {
         val starts = commands
             .filterIsInstance<Command.Start>()
-            .map { Taint(it.task, it.attempt, machine.session, state.token, context.loop.now(), actsUntil) }
-        machine.taints += starts
+            .map { UnresolvedStart(it.task, it.attempt, machine.session, state.token, context.loop.now(), actsUntil) }
+        machine.unresolvedStarts += starts
         return starts
     }
 
     /** The worker has answered the message that carried [starts]: that copy was executed or never will be. */
-    fun resolve(machine: Machine, starts: List<Taint>) {
-        machine.taints.removeAll(starts.toSet())
+    fun resolve(machine: Machine, starts: List<UnresolvedStart>) {
+        machine.unresolvedStarts.removeAll(starts.toSet())
     }
 
     /** Forgets starts that went out with an answer which its worker would drop by now. */
     fun forgetExpired(machine: Machine, now: Moment) {
-        machine.taints.removeIf { it.actsUntil != null && now >= it.actsUntil }
+        machine.unresolvedStarts.removeIf { it.actsUntil != null && now >= it.actsUntil }
     }
 
     /**
@@ -44,13 +44,13 @@
     fun needHigherToken(): Boolean {
         val now = context.loop.now()
         return state.machines.values.any { machine ->
-            now < machine.heardAt + context.silenceLimit && machine.taints.any { blocks(it, machine, now) }
+            now < machine.heardAt + context.silenceLimit && machine.unresolvedStarts.any { blocks(it, machine, now) }
         }
     }
 
-    private fun blocks(start: Taint, machine: Machine, now: Moment): Boolean =
+    private fun blocks(start: UnresolvedStart, machine: Machine, now: Moment): Boolean =
         start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
-            (!machine.deaf || cancelledWork.isCancelled(start.task.job))
+            (!machine.unresponsive || cancelledWork.isCancelled(start.task.job))
 
     private companion object {
         /** How long a start may stay unresolved before the token is raised. */
--- a/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
@@ -34,9 +34,9 @@
     fun settle(machine: Machine) {
         if (!state.open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
         if (!state.isFenced(machine)) return fence(machine)
-        if (machine.deaf) fence(machine)
+        if (machine.unresponsive) fence(machine)
         for (run in machine.runs.toList()) {
-            if (run.state == RunState.STOPPING && !run.seen && run.startSentAt == Moment.NEVER) lifecycle.lost(run, "never sent")
+            if (run.state == RunState.STOPPING && !run.wasReported && run.startSentAt == Moment.NEVER) lifecycle.lost(run, "never sent")
         }
         val commands = planner.dueFor(machine)
         if (commands.any { it !is Command.Remove }) send(machine, commands)
@@ -64,7 +64,7 @@
     fun withAnswer(machine: Machine): List<Command> {
         val due = planner.dueFor(machine)
         val commands = when {
-            machine.deaf && !machine.commandInFlight -> due
+            machine.unresponsive && !machine.commandInFlight -> due
             removalsAreDue(machine) -> due.filterIsInstance<Command.Remove>()
             else -> emptyList()
         }
@@ -93,12 +93,12 @@
         val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
         context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
             machine.commandInFlight = false
-            machine.deafSince = if (reply == null) machine.deafSince ?: loop.now() else null
+            machine.unresponsiveSince = if (reply == null) machine.unresponsiveSince ?: loop.now() else null
             if (state.machines[machine.name] === machine) replied(machine, reply, starts, sentAt)
         }
     }
 
-    private fun replied(machine: Machine, reply: Reply?, starts: List<Taint>, sentAt: Moment) {
+    private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: Moment) {
         if (reply == null) return
         if (reply.status == OK || reply.status == CONFLICT) unresolved.resolve(machine, starts)
         val report = WorkerWire.parseReport(reply.body)
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -160,7 +160,7 @@
         read(asked, if (asked.isEmpty()) WATCH_WAIT else 0.seconds) { outcome ->
             watching = false
             when (outcome) {
-                is ChangesOutcome.Got -> loop.after(pause()) { watch() }
+                is ChangesOutcome.Received -> loop.after(pause()) { watch() }
                 ChangesOutcome.Failed -> loop.after(RETRY) { watch() }
                 ChangesOutcome.TooOld -> reload()
             }
@@ -177,9 +177,9 @@
             take(outcome)
             takingTook = (loop.now().ms - began.ms).milliseconds
             // What comes amid a new loading is not taken in, so it must not make what is known look newer than it is.
-            if (outcome is ChangesOutcome.Got && sent > asOf && state == ReplicaState.CURRENT) asOf = sent
+            if (outcome is ChangesOutcome.Received && sent > asOf && state == ReplicaState.CURRENT) asOf = sent
             after(outcome)
-            asked.forEach { it(outcome is ChangesOutcome.Got && state == ReplicaState.CURRENT) }
+            asked.forEach { it(outcome is ChangesOutcome.Received && state == ReplicaState.CURRENT) }
         }
     }
 
@@ -216,7 +216,7 @@
     }
 
     private fun take(outcome: ChangesOutcome) {
-        if (outcome !is ChangesOutcome.Got || state != ReplicaState.CURRENT) return
+        if (outcome !is ChangesOutcome.Received || state != ReplicaState.CURRENT) return
         val touched = Touched()
         for (change in outcome.changes) {
             // Known already: an answer that comes after a new loading must not bring back what has been dropped since.
@@ -270,8 +270,8 @@
                 val job = job(parsed.job, touched)
                 if (stamp > job.liveStamp()) RecordCodec.decodeLive(value)?.let { job.live = Stamped(it, stamp) }
             }
-            ParsedKey.Assignments -> putPackedRecord(key, value, stamp, Pages, touched)
-            is ParsedKey.Outcomes -> putPackedRecord(key, value, stamp, Works(parsed.block), touched)
+            ParsedKey.Assignments -> putPackedRecord(key, value, stamp, AssignmentParts, touched)
+            is ParsedKey.Outcomes -> putPackedRecord(key, value, stamp, OutcomeParts(parsed.block), touched)
             is ParsedKey.Over -> rememberEnd(parsed.job, value, touched)
             is ParsedKey.Block -> if (newer(stamp, blocks[parsed.name])) {
                 touched.standing = true
@@ -302,8 +302,8 @@
         when (val parsed = Keys.parse(key)) {
             null, is ParsedKey.Over, is ParsedKey.Room -> return
             is ParsedKey.Live -> editJob(parsed.job, touched) { if (older(it.live, stamp)) it.live = null }
-            ParsedKey.Assignments -> dropPackedRecord(key, stamp, Pages, touched)
-            is ParsedKey.Outcomes -> dropPackedRecord(key, stamp, Works(parsed.block), touched)
+            ParsedKey.Assignments -> dropPackedRecord(key, stamp, AssignmentParts, touched)
+            is ParsedKey.Outcomes -> dropPackedRecord(key, stamp, OutcomeParts(parsed.block), touched)
             is ParsedKey.Block -> if (older(blocks[parsed.name], stamp)) {
                 touched.standing = true
                 blocks.remove(parsed.name)
@@ -329,7 +329,7 @@
         fun remove(job: Job, page: Int)
     }
 
-    private object Pages : Parts {
+    private object AssignmentParts : Parts {
         override fun present(job: Job, page: Int) = job.pages[page]
 
         override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
@@ -338,7 +338,7 @@
         override fun remove(job: Job, page: Int) = job.setPage(page, null)
     }
 
-    private class Works(private val block: BlockName) : Parts {
+    private class OutcomeParts(private val block: BlockName) : Parts {
         override fun present(job: Job, page: Int) = job.works[WorkPlace(page, block)]
 
         override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
@@ -417,7 +417,7 @@
             // Whoever asks from now on is not served by this reading: it may be older than the question.
             endsAsked.remove(id)
             store.read(Keys.over(id)) { outcome ->
-                if (outcome is ReadOutcome.Found) announce(Touched().also { rememberEnd(id, outcome.value, it) })
+                if (outcome is ReadOutcome.Present) announce(Touched().also { rememberEnd(id, outcome.value, it) })
                 waiting.forEach { it(outcome) }
             }
         }
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -70,7 +70,7 @@
 }
 
 sealed interface ChangesOutcome {
-    class Got(val ledger: Stamp, val changes: List<Change>) : ChangesOutcome
+    class Received(val ledger: Stamp, val changes: List<Change>) : ChangesOutcome
 
     /** The service no longer knows what happened since: read all keys again. */
     data object TooOld : ChangesOutcome
@@ -79,7 +79,7 @@
 }
 
 sealed interface ReadOutcome {
-    class Found(val value: JsonNode, val stamp: Stamp) : ReadOutcome
+    class Present(val value: JsonNode, val stamp: Stamp) : ReadOutcome
 
     data object Absent : ReadOutcome
 
@@ -277,7 +277,7 @@
             val stamp = node?.long("stamp")
             done(
                 when {
-                    value != null && stamp != null -> ReadOutcome.Found(value, Stamp(stamp))
+                    value != null && stamp != null -> ReadOutcome.Present(value, Stamp(stamp))
                     reply?.status == NOT_FOUND -> ReadOutcome.Absent
                     else -> ReadOutcome.Failed
                 },
@@ -331,7 +331,7 @@
             val key = event.text("set") ?: return@mapNotNull null
             Change.Set(key, event.get("data") ?: return@mapNotNull null, stamp)
         }
-        return ChangesOutcome.Got(Stamp(ledger), changes.orEmpty())
+        return ChangesOutcome.Received(Stamp(ledger), changes.orEmpty())
     }
 
     fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) {
--- a/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
@@ -121,20 +121,20 @@
         arrays(site, 10)
         site.run(30.0)
         val before = site.machinesRented
-        val deaf = site.muffleMachine(seed.toInt() % 3)!!
+        val unresponsive = site.muffleMachine(seed.toInt() % 3)!!
         site.run(SimSite.LEASE_S + 12.0)
         // Its tasks run elsewhere by now, and nothing new was put there.
         assertEquals(
             emptyList<Any>(),
             site
                 .runningTasks()
-                .filterValues { it.name == deaf }
+                .filterValues { it.name == unresponsive }
                 .keys
                 .toList(),
         )
         assertEquals(24, site.runningTasks().keys.count { it.job.text.length == 7 })
         site.run(60.0)
-        assertTrue(deaf !in site.workerNames(), "$deaf was not returned")
+        assertTrue(unresponsive !in site.workerNames(), "$unresponsive was not returned")
         assertTrue(site.machinesRented - before <= 8, "${site.machinesRented - before} machines rented for one")
         assertKept(site)
     }
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MeetingsTest.kt
@@ -405,14 +405,14 @@
         longArrays(site, jobs = 8, tasks = 3)
         site.run(30.0)
         val cancelled = (1..5).map(::id)
-        val deaf = site
+        val unresponsive = site
             .runningTasks()
             .filterKeys { it.job in cancelled }
             .values
             .map { it.name }
             .toSet()
-        assertTrue(deaf.isNotEmpty())
-        site.deafen(deaf)
+        assertTrue(unresponsive.isNotEmpty())
+        site.loseCommandsTo(unresponsive)
         val confirmed = cancelAndConfirm(site, cancelled, withinS = 4.0)
         site.run(SimSite.CANCEL_S)
         assertTrue(site.network.lost > 10)
@@ -495,7 +495,7 @@
             .distinct()
         assertTrue(busy.size >= 2, "$busy")
         site.cutMachine(site.workerNames().indexOf(busy[0]))
-        site.deafen(busy.drop(1).take(1))
+        site.loseCommandsTo(busy.drop(1).take(1))
         site.crash(site.leader()!!, 2000.0)
         site.run(0.5)
         site.cancel(id(2))
--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
@@ -22,7 +22,7 @@
         { _ -> crash(leader() ?: 0, 150.0 + sim.random.nextInt(5000)) },
         { _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } },
         { seconds -> freezeController(anyNode(), seconds * 1000) },
-        { seconds -> deafen(someWorkers()).also { after(seconds) { loseNothing() } } },
+        { seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } },
         { seconds -> mute(someWorkers()).also { after(seconds) { loseNothing() } } },
         { seconds -> holdReports(someWorkers()).also { after(seconds) { heal() } } },
         { seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } },
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -217,7 +217,7 @@
     fun leader(): Int? = state.text(Keys.LEADER)?.let { leader -> (0 until nodes).firstOrNull { "\"${name(it)}\"" in leader } }
 
     /** Machines whose reports arrive, while answers and direct commands to them are lost. */
-    fun deafen(workers: Collection<String>) {
+    fun loseCommandsTo(workers: Collection<String>) {
         network.loses = { it.to in workers && (if (it.answer) it.path == "/checkin" else it.path == "/do") }
     }
 
