--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -291,6 +291,10 @@
     /** Sessions that workers have begun because a lease of theirs ran out, and machines that are gone. */
     val leasesOrMachinesLost: Long get() = workers.values.sumOf { it.session - 1 } + cloudMachines.count { it.gone }
 
+    /** Tasks that save, and the machines that they are on. */
+    fun savingTasks(): Map<TaskId, StandInWorker> =
+        workers.values.flatMap { worker -> worker.saving().map { it to worker } }.toMap()
+
     fun killWorker(name: String) {
         cloudMachines.firstOrNull { it.name == name && !it.gone }?.let(cloud::take)
     }
@@ -611,6 +615,7 @@
         const val LEFT_S = 90.0
         const val BEGUN_S = 240.0
         const val LARGEST_OF = 5
+        const val CHECKPOINT_S = 20.0
 
         /** Who neither reads the state service nor hears the others stops starting tasks this soon, and a little for the clocks. */
         const val START_KNOWN_S = 3.2
@@ -633,6 +638,7 @@
             etaS: Double = 8.0,
             priority: String = if (service) "urgent" else "normal",
             dueS: Double? = if (service) null else 60.0,
+            saveS: Double = 0.0,
         ): JobSpec {
             val text = """{"nameId":"job-$number","load":"${if (service) "web" else "batch"}","crew":"$team",
                 "haul":"${if (service) "daemon" else "array"}","urgency":"$priority",
@@ -640,7 +646,7 @@
                 "depot":${zone?.let {
                 "\"$it\""
             }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else etaS},
-                "waypointS":0.0,"unloadS":0.0,"dueS":$dueS}"""
+                "waypointS":${if (saveS > 0.0) CHECKPOINT_S else 0.0},"unloadS":$saveS,"dueS":$dueS}"""
             return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedJob.Good).spec
         }
     }
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -50,11 +50,15 @@
     private val fetchGbPerS: Double,
     private val speed: Double = 1.0,
 ) : RequestHandler {
-    enum class State(val wire: String) { FETCHING("pulling"), RUNNING("running"), EXITED("ended") }
+    enum class State(val wire: String) { FETCHING("pulling"), RUNNING("running"), SAVING("saving"), EXITED("ended") }
 
     inner class HeldTask(val task: TaskId, val attempt: Long, val spec: JobSpec) {
         var state = State.FETCHING
         var cause: String? = null
+
+        /** Whether its progress was saved when it was stopped. */
+        var kept = false
+        val onMachine get() = state == State.RUNNING || state == State.SAVING
     }
 
     private val held = ArrayList<HeldTask>()
@@ -78,7 +82,10 @@
     private val heldBack = ArrayList<() -> Unit>()
 
     /** Tasks that have their image and have not ended. */
-    fun running(): List<TaskId> = held.filter { it.state == State.RUNNING }.map { it.task }
+    fun running(): List<TaskId> = held.filter { it.onMachine }.map { it.task }
+
+    /** Tasks that were told to stop and are saving their progress. */
+    fun saving(): List<TaskId> = held.filter { it.state == State.SAVING }.map { it.task }
 
     /** CPUs that no task takes or waits for here. */
     fun freeCpus(): Double = cpus - held.filter { it.state != State.EXITED }.sumOf { it.spec.request.cpus }
@@ -118,7 +125,7 @@
     }
 
     private fun wipe() {
-        held.filter { it.state == State.RUNNING }.forEach { world.ended(this, it.task, done = false) }
+        held.filter { it.onMachine }.forEach { world.ended(this, it.task, done = false) }
         held.clear()
     }
 
@@ -197,14 +204,32 @@
         when (command.text("order")) {
             "start" -> if (present == null) begin(task, attempt)
             "halt" -> {
-                checkNotNull(command.number("leewayS"))
-                if (present != null && present.state != State.EXITED) exit(present, "halted")
+                val leewayS = checkNotNull(command.number("leewayS"))
+                if (present != null && present.state != State.EXITED) halt(present, leewayS)
             }
             "reap" -> if (present?.state == State.EXITED) held.remove(present)
         }
         changed = true
     }
 
+    /** A running task with checkpoints saves if it is given the time; a second halt without any ends the saving. */
+    private fun halt(heldTask: HeldTask, leewayS: Double) {
+        val saves = heldTask.spec.checkpointS > 0.0 && leewayS >= heldTask.spec.saveS
+        when {
+            heldTask.state == State.SAVING -> if (leewayS == 0.0) exit(heldTask, "halted")
+            heldTask.state == State.RUNNING && saves -> {
+                heldTask.state = State.SAVING
+                loop.after(heldTask.spec.saveS.seconds) {
+                    if (heldTask in held && heldTask.state == State.SAVING && alive) {
+                        heldTask.kept = true
+                        exit(heldTask, "halted")
+                    }
+                }
+            }
+            else -> exit(heldTask, "halted")
+        }
+    }
+
     private fun begin(task: TaskId, attempt: Long) {
         val spec = world.spec(task) ?: return
         val fresh = HeldTask(task, attempt, spec)
@@ -233,7 +258,7 @@
     }
 
     private fun exit(heldTask: HeldTask, cause: String) {
-        val ran = heldTask.state == State.RUNNING
+        val ran = heldTask.onMachine
         heldTask.state = State.EXITED
         heldTask.cause = cause
         changed = true
@@ -258,6 +283,7 @@
                         writeNumberField("trip", heldTask.attempt)
                         writeStringField("status", heldTask.state.wire)
                         heldTask.cause?.let { writeStringField("cause", it) }
+                        if (heldTask.kept) writeBooleanField("kept", true)
                     }
                 }
             }
