--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/coordination/Fleet.kt
@@ -32,58 +32,6 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** CPUs wanted now: by work that needs ordinary machines, and by work that may use spot machines as well. */
-class Demand(val ordinary: Double, val flexible: Double)
-
-/** How many CPUs the unfinished jobs could use now, within their teams' limits. */
-object DemandEstimate {
-    private const val SHARE_OF_DEADLINE = 0.8
-
-    fun of(jobs: Collection<Job>, teams: Map<TeamName, Team>): Demand {
-        val used = HashMap<TeamName, Double>()
-        var ordinary = 0.0
-        var flexible = 0.0
-        for (job in jobs.filter { it.live != null }.sortedBy { it.live!!.value.acceptedAtMs }) {
-            val spec = job.spec ?: continue
-            if (job.cancelled || job.complete || job.blocked) continue
-            val limit = teams[spec.team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
-            val before = used[spec.team] ?: 0.0
-            val cpus = min((spec.tasks - job.done.cardinality()) * spec.request.cpus * atOnce(job, spec), max(0.0, limit - before))
-            used[spec.team] = before + cpus
-            if (spec.spotAllowed) flexible += cpus else ordinary += cpus
-        }
-        return Demand(ordinary, flexible)
-    }
-
-    /** CPUs of tasks that could start at once, were there room: not yet assigned, and within their teams' limits. */
-    fun backlogCpus(jobs: Collection<Job>, teams: Map<TeamName, Team>): Double {
-        val used = HashMap<TeamName, Double>()
-        val waiting = HashMap<TeamName, Double>()
-        for (job in jobs) {
-            val spec = job.spec ?: continue
-            val standing = job.assignments().size
-            used.merge(spec.team, standing * spec.request.cpus, Double::plus)
-            if (job.cancelled || job.complete || job.blocked) continue
-            waiting.merge(spec.team, (spec.tasks - job.done.cardinality() - standing) * spec.request.cpus, Double::plus)
-        }
-        return waiting.entries.sumOf { (team, cpus) ->
-            val limit = teams[team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
-            min(cpus, max(0.0, limit - (used[team] ?: 0.0)))
-        }
-    }
-
-    /**
-     * The part of a job's tasks that must run at the same time for a job that starts at once to be in time. A job
-     * that has waited gets no more than that: by the time that further machines are up, others have finished.
-     */
-    fun atOnce(job: Job, spec: JobSpec): Double {
-        if (spec.kind != JobKind.ARRAY) return 1.0
-        val dueInS = job.deadline?.dueInS(1.0, job.startableSinceMs)
-        val time = (dueInS ?: (spec.estimateS * 2)) * SHARE_OF_DEADLINE
-        return if (time <= spec.estimateS) 1.0 else spec.estimateS / time
-    }
-}
-
 /** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
 class Fleet(
     private val loop: EventLoop,
--- /dev/null
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -0,0 +1,108 @@
+package copperglade.storage
+
+import com.fasterxml.jackson.core.JsonGenerator
+import com.fasterxml.jackson.databind.JsonNode
+import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
+import copperglade.protocol.ImageName
+import copperglade.protocol.Incarnation
+import copperglade.protocol.JobId
+import copperglade.protocol.JobKind
+import copperglade.protocol.JobSpec
+import copperglade.protocol.JobSpecCodec
+import copperglade.protocol.JobStatus
+import copperglade.protocol.Json
+import copperglade.protocol.MachineName
+import copperglade.protocol.MemberId
+import copperglade.protocol.ParsedJob
+import copperglade.protocol.Stamp
+import copperglade.protocol.TaskId
+import copperglade.protocol.array
+import copperglade.protocol.flag
+import copperglade.protocol.long
+import copperglade.protocol.obj
+import copperglade.protocol.text
+import java.io.IOException
+import java.util.BitSet
+
+/** The names of the records' keys. */
+object Keys {
+    const val ROOT = "cg/"
+
+    /** All that a starting controller has to read. */
+    const val NOW = "cg/now/"
+    const val OVER = "cg/over/"
+    const val LEADER = "cg/now/lead"
+
+    /** Tasks a page: a page of the most scattered ranges stays far below the smallest value limit. */
+    const val PAGE_TASKS = 256
+
+    fun live(job: JobId) = "${NOW}live/$job"
+
+    /** The leader's packed records: each holds the assignments of several jobs' pages. */
+    fun assignmentRecords(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
+
+    /** A block's packed records: each holds what became of several jobs' pages in that block. */
+    fun outcomeRecords(block: BlockName) = "${NOW}work/$block/"
+
+    fun block(name: BlockName) = "${NOW}block/$name"
+
+    fun member(id: MemberId) = "${NOW}member/$id"
+
+    /** What a member would tell the leader of its room, while it can't reach it. */
+    fun room(id: MemberId) = "${NOW}room/$id"
+
+    fun images(block: BlockName) = "${NOW}images/$block"
+
+    fun over(job: JobId) = "$OVER$job"
+
+    fun parse(key: String): ParsedKey? {
+        if (key == LEADER) return ParsedKey.Leader
+        if (key.startsWith(OVER)) return JobId.parse(key.substring(OVER.length))?.let { ParsedKey.Over(it) }
+        if (!key.startsWith(NOW)) return null
+        val parts = key.substring(NOW.length).split('/')
+        return when (parts[0]) {
+            "live" -> JobId.parse(parts[1])?.let { ParsedKey.Live(it) }
+            "task" -> ParsedKey.Assignments
+            "work" -> ParsedKey.Outcomes(BlockName(parts[1]))
+            "block" -> ParsedKey.Block(BlockName(parts[1]))
+            "images" -> ParsedKey.Images(BlockName(parts[1]))
+            "room" -> ParsedKey.Room(MemberId(parts[1]))
+            "member" -> ParsedKey.Member(MemberId(parts[1]))
+            else -> null
+        }
+    }
+}
+
+/** A page's tasks in a block. */
+data class WorkPlace(val page: Int, val block: BlockName)
+
+/** A page of a job, as a packed record names it: `job-000412/0`. */
+data class JobPage(val job: JobId, val page: Int) {
+    override fun toString() = "$job/$page"
+
+    companion object {
+        // A page is named like a task: job and number.
+        fun parse(text: String): JobPage? = TaskId.parse(text)?.let { JobPage(it.job, it.index) }
+    }
+}
+
+sealed interface ParsedKey {
+    data object Leader : ParsedKey
+
+    class Live(val job: JobId) : ParsedKey
+
+    data object Assignments : ParsedKey
+
+    class Outcomes(val block: BlockName) : ParsedKey
+
+    class Over(val job: JobId) : ParsedKey
+
+    class Block(val name: BlockName) : ParsedKey
+
+    class Member(val id: MemberId) : ParsedKey
+
+    class Images(val block: BlockName) : ParsedKey
+
+    class Room(val id: MemberId) : ParsedKey
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -0,0 +1,178 @@
+package copperglade.storage
+
+import com.fasterxml.jackson.core.JsonGenerator
+import com.fasterxml.jackson.databind.JsonNode
+import copperglade.protocol.BlockName
+import copperglade.protocol.FencingToken
+import copperglade.protocol.ImageName
+import copperglade.protocol.Incarnation
+import copperglade.protocol.JobId
+import copperglade.protocol.JobKind
+import copperglade.protocol.JobSpec
+import copperglade.protocol.JobSpecCodec
+import copperglade.protocol.JobStatus
+import copperglade.protocol.Json
+import copperglade.protocol.MachineName
+import copperglade.protocol.MemberId
+import copperglade.protocol.ParsedJob
+import copperglade.protocol.Stamp
+import copperglade.protocol.TaskId
+import copperglade.protocol.array
+import copperglade.protocol.flag
+import copperglade.protocol.long
+import copperglade.protocol.obj
+import copperglade.protocol.text
+import java.io.IOException
+import java.util.BitSet
+
+/** Records as JSON values. Short names: small values, many of them. */
+object RecordCodec {
+    fun encode(record: LiveRecord): ByteArray = Json.write {
+        obj {
+            writeFieldName("spec")
+            JobSpecCodec.write(this, record.spec)
+            writeNumberField("at", record.acceptedAtMs)
+            if (record.cancelled) writeBooleanField("cancelled", true)
+            // Left out where empty: earlier versions write and read records without it.
+            if (record.dependencies.isNotEmpty()) {
+                array(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
+            }
+        }
+    }
+
+    fun decodeLive(node: JsonNode): LiveRecord? {
+        val spec = (JobSpecCodec.parse(node.get("spec")) as? ParsedJob.Good)?.spec ?: return null
+        val dependencies = node.get(JobSpecCodec.DEPENDENCIES)?.mapNotNull { JobId.parse(it.asText()) }.orEmpty()
+        return LiveRecord(spec, node.long("at") ?: 0, node.flag("cancelled") ?: false, dependencies)
+    }
+
+    fun encode(record: AssignmentPage): ByteArray = Json.write {
+        obj {
+            array("g") {
+                for (group in record.groups) {
+                    writeStartArray()
+                    writeString(group.block.text)
+                    writeNumber(group.fencingToken.number)
+                    writeNumber(group.generation)
+                    writeString(Ranges.format(group.tasks))
+                    writeEndArray()
+                }
+            }
+            ranges("r", record.recalled)
+            writeNumberField("n", record.lastGeneration)
+            writeNumberField("f", record.frontier)
+            version(record)
+        }
+    }
+
+    fun decodePage(node: JsonNode): AssignmentPage {
+        val groups = node.get("g").map {
+            AssignmentGroup(
+                BlockName(it[0].asText()),
+                FencingToken(it[1].asLong()),
+                it[2].asInt(),
+                Ranges.parse(it[3].asText()),
+            )
+        }
+        return AssignmentPage(groups, node.ranges("r"), node.get("n").asInt(), node.get("f").asInt(), versionOf(node))
+    }
+
+    fun encode(record: WorkRecord): ByteArray = Json.write {
+        obj {
+            ranges("d", record.done)
+            if (record.returned.isNotEmpty()) {
+                obj("b") { record.returned.forEach { (generation, tasks) -> ranges(generation.toString(), tasks) } }
+            }
+            ranges("x", record.restarted)
+            version(record)
+        }
+    }
+
+    fun decodeWork(node: JsonNode): WorkRecord {
+        val returned = HashMap<Int, BitSet>()
+        node.get("b")?.properties()?.forEach { (generation, tasks) ->
+            returned[generation.toInt()] =
+                Ranges.parse(tasks.asText())
+        }
+        return WorkRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node))
+    }
+
+    /** A packed record: its parts under the pages' names, as they were encoded. */
+    fun encodePackedRecord(parts: Map<JobPage, ByteArray>): ByteArray = Json.write {
+        obj {
+            for ((place, part) in parts) {
+                writeFieldName(place.toString())
+                writeRawValue(part.decodeToString())
+            }
+        }
+    }
+
+    fun versionOf(node: JsonNode): Int = node.get("v").asInt()
+
+    private fun JsonGenerator.version(record: Versioned) = writeNumberField("v", record.version)
+
+    fun encode(record: EndRecord): ByteArray = Json.write {
+        obj {
+            writeStringField("status", record.status.name)
+            writeNumberField("done", record.tasksDone)
+        }
+    }
+
+    fun decodeEnd(node: JsonNode): EndRecord? {
+        val status = JobStatus.entries.firstOrNull { it.name == node.text("status") } ?: return null
+        return EndRecord(status, (node.long("done") ?: 0).toInt())
+    }
+
+    fun encode(record: BlockRecord): ByteArray = holder(record.member, record.incarnation)
+
+    fun decodeBlock(node: JsonNode): BlockRecord? {
+        val member = MemberId(node.text("member") ?: return null)
+        return BlockRecord(member, Incarnation(node.long("inc") ?: return null))
+    }
+
+    fun encode(record: LeaderRecord): ByteArray = holder(record.member, record.incarnation)
+
+    fun decodeLeader(node: JsonNode): LeaderRecord? = decodeBlock(node)?.let { LeaderRecord(it.member, it.incarnation) }
+
+    fun encode(record: ImageRecord): ByteArray = Json.write {
+        obj {
+            for ((machine, images) in record.byMachine) array(machine.text) { images.forEach { writeString(it.text) } }
+        }
+    }
+
+    fun decodeImages(node: JsonNode): ImageRecord =
+        ImageRecord(
+            node.properties().associate { (machine, images) ->
+                MachineName(machine) to
+                    images.map { ImageName(it.asText()) }
+            },
+        )
+
+    fun encode(record: MemberRecord): ByteArray = Json.write {
+        obj { writeNumberField("inc", record.incarnation.number) }
+    }
+
+    fun decodeMember(node: JsonNode): MemberRecord? = node.long("inc")?.let { MemberRecord(Incarnation(it)) }
+
+    /** A status message between controllers, as it would have been sent. */
+    fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { obj { writeBinaryField("note", status) } }
+
+    fun decodePeerStatus(node: JsonNode): ByteArray? = try {
+        node.get("note")?.binaryValue()
+    } catch (_: IOException) {
+        null
+    }
+
+    private fun holder(member: MemberId, incarnation: Incarnation): ByteArray = Json.write {
+        obj {
+            writeStringField("member", member.text)
+            writeNumberField("inc", incarnation.number)
+        }
+    }
+
+    private fun JsonGenerator.ranges(name: String, set: BitSet) {
+        if (!set.isEmpty) writeStringField(name, Ranges.format(set))
+    }
+
+    private fun JsonNode.ranges(name: String): BitSet = Ranges.parse(text(name).orEmpty())
+}
