--- a/src/main/kotlin/copperglade/coordination/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -1,9 +1,14 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.Command
 import copperglade.protocol.Moment
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.Run
+import copperglade.tasks.RunState
+import copperglade.tasks.StopReason
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
--- a/src/main/kotlin/copperglade/coordination/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -1,6 +1,8 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.Moment
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
 import kotlin.time.Duration.Companion.seconds
 
 /** Judges which machines of a block may be given tasks, and which had better be replaced. */
--- a/src/main/kotlin/copperglade/coordination/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -1,8 +1,11 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.RunLifecycle
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/copperglade/coordination/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
--- a/src/main/kotlin/copperglade/coordination/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/agents/ReportIntake.kt
@@ -1,8 +1,11 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.Command
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
+import copperglade.safety.ActionGuard
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
 
 /**
  * Decides which of the workers' own reports are believed, and how each is answered.
--- a/src/main/kotlin/copperglade/coordination/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
@@ -6,6 +6,11 @@
 import copperglade.protocol.TaskId
 import copperglade.storage.Assignment
 import copperglade.storage.Job
+import copperglade.tasks.BlockState
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunState
+import copperglade.tasks.StopReason
 
 /**
  * Keeps a block's runs in line with the records: a run for each of the block's assignments, and none beside them.
--- a/src/main/kotlin/copperglade/coordination/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -1,4 +1,10 @@
-package copperglade.coordination
+package copperglade.agents
+
+import copperglade.tasks.BlockState
+import copperglade.tasks.Run
+import copperglade.tasks.RunLifecycle
+import copperglade.tasks.RunState
+import copperglade.tasks.StopReason
 
 /**
  * Stops runs. A run that may be on a machine counts as there until its worker has confirmed that it has ended, so that its
--- a/src/main/kotlin/copperglade/coordination/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -1,13 +1,21 @@
-package copperglade.coordination
+package copperglade.agents
 
-import copperglade.bookkeeping.Factors
-import copperglade.bookkeeping.Profile
+import copperglade.prediction.Factors
+import copperglade.prediction.Profile
 import copperglade.protocol.ExitCause
 import copperglade.protocol.JobKind
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
-import org.slf4j.LoggerFactory
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.OutcomeLog
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunLifecycle
+import copperglade.tasks.RunState
+import copperglade.tasks.StopReason
 import kotlin.time.Duration
+import org.slf4j.LoggerFactory
 
 /**
  * Follows from reports what becomes of the tasks on a machine.
--- a/src/main/kotlin/copperglade/coordination/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -1,7 +1,10 @@
-package copperglade.coordination
+package copperglade.agents
 
 import copperglade.protocol.Command
 import copperglade.protocol.Moment
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.UnresolvedStart
 import kotlin.time.Duration.Companion.seconds
 
 /**
--- a/src/main/kotlin/copperglade/coordination/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -1,17 +1,23 @@
-package copperglade.coordination
+package copperglade.agents
 
+import copperglade.membership.Membership
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.RunLifecycle
+import copperglade.tasks.RunState
+import copperglade.tasks.UnresolvedStart
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /**
  * Sends commands to the workers of a block, directly or with the answers to their reports.
--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -1,9 +1,9 @@
 package copperglade.app
 
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** The heap as the virtual machine has it. */
 interface Heap {
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -1,23 +1,24 @@
 package copperglade.app
 
-import copperglade.coordination.Controller
-import copperglade.coordination.Tuning
-import copperglade.protocol.BadSetting
-import copperglade.protocol.PlatformSettings
+import copperglade.controller.Controller
+import copperglade.settings.BadSetting
+import copperglade.settings.OperatorProperties
+import copperglade.settings.PlatformSettings
+import copperglade.settings.Tuning
 import copperglade.transport.NettyEventLoop
 import copperglade.transport.NettyHttpCaller
 import copperglade.transport.NettyHttpServer
-import picocli.CommandLine
-import picocli.CommandLine.Command
-import picocli.CommandLine.Model.CommandSpec
-import picocli.CommandLine.Option
-import picocli.CommandLine.Spec
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.Path
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 import kotlin.time.Duration
+import picocli.CommandLine
+import picocli.CommandLine.Command
+import picocli.CommandLine.Model.CommandSpec
+import picocli.CommandLine.Option
+import picocli.CommandLine.Spec
 
 @Command(
     name = "copperglade",
--- a/src/main/kotlin/copperglade/app/Rehearsal.kt
+++ b/src/main/kotlin/copperglade/app/Rehearsal.kt
@@ -1,10 +1,10 @@
 package copperglade.app
 
-import copperglade.coordination.Tuning
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
-import copperglade.protocol.PlatformSettings
 import copperglade.protocol.obj
+import copperglade.settings.PlatformSettings
+import copperglade.settings.Tuning
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.NettyEventLoop
@@ -14,13 +14,13 @@
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
 import copperglade.transport.Responder
-import picocli.CommandLine.Command
 import java.net.ServerSocket
 import java.util.concurrent.Callable
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import picocli.CommandLine.Command
 
 /**
  * A short run against canned answers, made once by the build: the classes that it loads go into the class-data
--- a/src/main/kotlin/copperglade/app/SocketShares.kt
+++ b/src/main/kotlin/copperglade/app/SocketShares.kt
@@ -1,6 +1,6 @@
 package copperglade.app
 
-import copperglade.protocol.BadSetting
+import copperglade.settings.BadSetting
 
 /**
  * Parts of the process's sockets, by who is at the other end. What is left is for files, the state service and the cloud. A
--- a/src/main/kotlin/copperglade/coordination/BootTimes.kt
+++ b/src/main/kotlin/copperglade/fleet/BootTimes.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.fleet
 
 import copperglade.protocol.ListedMachine
 import copperglade.protocol.MachineName
--- a/src/main/kotlin/copperglade/coordination/BoundDemand.kt
+++ b/src/main/kotlin/copperglade/fleet/BoundDemand.kt
@@ -1,10 +1,10 @@
-package copperglade.coordination
+package copperglade.fleet
 
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineRoom
 import copperglade.protocol.Resources
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Team
 import copperglade.storage.Job
 import kotlin.math.max
 import kotlin.math.min
--- a/src/main/kotlin/copperglade/coordination/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.fleet
 
 import copperglade.protocol.BlockName
 import copperglade.protocol.CloudWire
@@ -14,9 +14,9 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
+import copperglade.settings.Team
 import copperglade.storage.Job
 import copperglade.storage.Replica
 import copperglade.storage.TokenBucket
@@ -24,13 +24,13 @@
 import copperglade.transport.HttpCaller
 import copperglade.transport.Method
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 import kotlin.math.exp
 import kotlin.math.max
 import kotlin.math.min
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** CPUs wanted now: by work that needs ordinary machines, and by work that may use spot machines as well. */
 class Demand(val ordinary: Double, val flexible: Double) {
--- a/src/main/kotlin/copperglade/coordination/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Fleet.kt
@@ -1,5 +1,7 @@
-package copperglade.coordination
+package copperglade.fleet
 
+import copperglade.membership.Leadership
+import copperglade.membership.Membership
 import copperglade.protocol.BlockName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
@@ -14,9 +16,11 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
+import copperglade.settings.Team
+import copperglade.settings.Tuning
+import copperglade.shards.BlockMap
 import copperglade.storage.Job
 import copperglade.storage.Replica
 import copperglade.storage.TokenBucket
@@ -25,13 +29,13 @@
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 import kotlin.math.exp
 import kotlin.math.max
 import kotlin.math.min
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
 class Fleet(
--- a/src/main/kotlin/copperglade/coordination/CancellationNotices.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationNotices.kt
@@ -1,9 +1,9 @@
-package copperglade.coordination
+package copperglade.jobs
 
 import copperglade.protocol.Cancellation
 import copperglade.protocol.Moment
-import copperglade.protocol.Peer
 import copperglade.protocol.PeerWire
+import copperglade.settings.Peer
 import copperglade.storage.Replica
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
--- a/src/main/kotlin/copperglade/coordination/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.jobs
 
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
--- a/src/main/kotlin/copperglade/coordination/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -1,7 +1,10 @@
-package copperglade.coordination
+package copperglade.jobs
 
+import copperglade.membership.Leadership
+import copperglade.observability.DecisionLog
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
+import copperglade.safety.ActionGuard
 import copperglade.storage.Condition
 import copperglade.storage.EndRecord
 import copperglade.storage.Job
--- a/src/main/kotlin/copperglade/coordination/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -1,5 +1,6 @@
-package copperglade.coordination
+package copperglade.jobs
 
+import copperglade.fleet.MachineTypeCatalog
 import copperglade.protocol.BadField
 import copperglade.protocol.Cancellation
 import copperglade.protocol.Decoding
@@ -13,10 +14,10 @@
 import copperglade.protocol.Moment
 import copperglade.protocol.ParsedJob
 import copperglade.protocol.Stamp
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.UserWire
 import copperglade.protocol.text
+import copperglade.settings.Team
 import copperglade.storage.Condition
 import copperglade.storage.Job
 import copperglade.storage.Keys
@@ -34,9 +35,9 @@
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Responder
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** Answers users. Nothing is said of a job that is not durable, or that any later answer could contradict. */
 class JobService(
--- a/src/main/kotlin/copperglade/coordination/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/membership/AbsentOwners.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.membership
 
 import copperglade.protocol.Incarnation
 import copperglade.protocol.MemberId
--- a/src/main/kotlin/copperglade/coordination/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.membership
 
 import copperglade.protocol.Moment
 import copperglade.protocol.Stamp
@@ -14,9 +14,9 @@
 import copperglade.storage.Urgency
 import copperglade.storage.Write
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
+import org.slf4j.LoggerFactory
 
 enum class LeadershipState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
 
--- a/src/main/kotlin/copperglade/coordination/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -1,9 +1,9 @@
-package copperglade.coordination
+package copperglade.membership
 
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
-import copperglade.protocol.Peer
 import copperglade.protocol.PeerWire
+import copperglade.settings.Peer
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
--- a/src/main/kotlin/copperglade/coordination/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.membership
 
 import copperglade.protocol.Incarnation
 import copperglade.protocol.LeaseId
@@ -18,9 +18,9 @@
 import copperglade.storage.Urgency
 import copperglade.storage.Write
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
+import org.slf4j.LoggerFactory
 
 /**
  * A session lease, and our own reckoning of how long it surely lives: from when the last successful request was sent, less
--- a/src/main/kotlin/copperglade/coordination/PeerMessenger.kt
+++ b/src/main/kotlin/copperglade/membership/PeerMessenger.kt
@@ -1,10 +1,10 @@
-package copperglade.coordination
+package copperglade.membership
 
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
-import copperglade.protocol.Peer
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
+import copperglade.settings.Peer
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
 import copperglade.storage.StateClient
--- a/src/main/kotlin/copperglade/coordination/DecisionLog.kt
+++ b/src/main/kotlin/copperglade/observability/DecisionLog.kt
@@ -1,15 +1,19 @@
-package copperglade.coordination
+package copperglade.observability
 
+import copperglade.membership.Membership
 import copperglade.protocol.Command
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
 import copperglade.protocol.TaskId
+import copperglade.safety.Refusal
+import copperglade.safety.Violations
 import copperglade.storage.Replica
+import copperglade.tasks.Run
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import java.util.TreeMap
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /**
  * Tells what was done and on what it rested: which token, how old the records were, how long the right to act would last, what the job
--- a/src/main/kotlin/copperglade/coordination/Latencies.kt
+++ b/src/main/kotlin/copperglade/observability/Latencies.kt
@@ -1,12 +1,12 @@
-package copperglade.coordination
+package copperglade.observability
 
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Responder
+import kotlin.time.Duration.Companion.seconds
 import org.HdrHistogram.Histogram
 import org.slf4j.LoggerFactory
-import kotlin.time.Duration.Companion.seconds
 
 /** How long users wait for our answers; logged once a minute. */
 class Latencies(private val loop: EventLoop, private val what: String) {
--- a/src/main/kotlin/copperglade/coordination/Workload.kt
+++ b/src/main/kotlin/copperglade/observability/Workload.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.observability
 
 import copperglade.protocol.Endpoint
 import copperglade.transport.EventLoop
@@ -7,10 +7,10 @@
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
 import copperglade.transport.Responder
-import org.slf4j.LoggerFactory
 import java.util.TreeMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /**
  * What the event loop is busy with, by kind: how often, for how long in all, and at the longest. Logged once a minute:
--- a/src/main/kotlin/copperglade/coordination/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/BlockOwner.kt
@@ -1,5 +1,18 @@
-package copperglade.coordination
-
+package copperglade.ownership
+
+import copperglade.agents.CommandPlanner
+import copperglade.agents.MachineHealth
+import copperglade.agents.MachineTracker
+import copperglade.agents.ReportIntake
+import copperglade.agents.RunReconciler
+import copperglade.agents.RunStopper
+import copperglade.agents.TaskObserver
+import copperglade.agents.UnresolvedStarts
+import copperglade.agents.WorkerCommands
+import copperglade.membership.Membership
+import copperglade.placement.BlockPlacement
+import copperglade.placement.BlockSummary
+import copperglade.placement.StragglerRestarts
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
 import copperglade.protocol.FencingToken
@@ -11,6 +24,14 @@
 import copperglade.storage.Job
 import copperglade.storage.JobPage
 import copperglade.storage.StateClient
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.MistakenJobs
+import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OwnerContext
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunLifecycle
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
--- a/src/main/kotlin/copperglade/coordination/Owner.kt
+++ b/src/main/kotlin/copperglade/ownership/Owner.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.ownership
 
 import copperglade.protocol.BlockName
 import copperglade.protocol.BlockRoom
@@ -11,6 +11,7 @@
 import copperglade.protocol.Report
 import copperglade.protocol.Stamp
 import copperglade.protocol.WorkerWire
+import copperglade.shards.BlockMap
 import copperglade.storage.BlockRecord
 import copperglade.storage.Condition
 import copperglade.storage.Keys
@@ -23,14 +24,15 @@
 import copperglade.storage.TransactionOutcome
 import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.tasks.OwnerContext
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** The blocks that this process owns, kept in line with the block records. */
 class Owner(
--- a/src/main/kotlin/copperglade/coordination/BlockPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/BlockPlacement.kt
@@ -1,6 +1,17 @@
-package copperglade.coordination
+package copperglade.placement
 
+import copperglade.agents.MachineHealth
+import copperglade.agents.RunStopper
+import copperglade.agents.WorkerCommands
+import copperglade.membership.Membership
 import copperglade.protocol.Moment
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunLifecycle
+import copperglade.tasks.RunState
+import copperglade.tasks.StopReason
 
 /**
  * Places a block's waiting runs on its machines and stops preempted work for them.
--- a/src/main/kotlin/copperglade/coordination/BlockSummary.kt
+++ b/src/main/kotlin/copperglade/placement/BlockSummary.kt
@@ -1,11 +1,15 @@
-package copperglade.coordination
+package copperglade.placement
 
+import copperglade.agents.MachineHealth
 import copperglade.protocol.BlockRoom
 import copperglade.protocol.MachineRoom
 import copperglade.protocol.MachineType
 import copperglade.protocol.Moment
 import copperglade.protocol.Resources
+import copperglade.scheduling.YieldingCapacity
 import copperglade.storage.ImageRecord
+import copperglade.tasks.BlockState
+import copperglade.tasks.Machine
 
 /**
  * Describes a block's machines to others: their free and preemptible capacity to the leader, their cached images to a
--- a/src/main/kotlin/copperglade/coordination/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -1,11 +1,17 @@
-package copperglade.coordination
+package copperglade.placement
 
+import copperglade.fleet.MachineTypeCatalog
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineType
 import copperglade.protocol.Moment
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
+import copperglade.scheduling.PlacementCost
+import copperglade.scheduling.YieldingCapacity
+import copperglade.tasks.Machine
+import copperglade.tasks.Run
+import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
 
 /** Finds machines of a block for its waiting runs, and says what lower work has to make room. */
--- a/src/main/kotlin/copperglade/coordination/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -1,7 +1,11 @@
-package copperglade.coordination
+package copperglade.placement
 
+import copperglade.agents.RunStopper
 import copperglade.protocol.Moment
 import copperglade.protocol.secondsSince
+import copperglade.tasks.BlockState
+import copperglade.tasks.OutcomeLog
+import copperglade.tasks.StopReason
 
 /**
  * Restarts stragglers where [StragglerWatch] finds it worth the risk. A task is restarted once at most: that it was is
--- a/src/main/kotlin/copperglade/coordination/StragglerWatch.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerWatch.kt
@@ -1,17 +1,21 @@
-package copperglade.coordination
+package copperglade.placement
 
-import copperglade.bookkeeping.Factors
-import copperglade.bookkeeping.Option
-import copperglade.bookkeeping.RiskAssessment
-import copperglade.bookkeeping.Verdict
+import copperglade.prediction.Factors
+import copperglade.prediction.Option
+import copperglade.prediction.RiskAssessment
+import copperglade.prediction.Verdict
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.protocol.secondsSince
-import org.slf4j.LoggerFactory
+import copperglade.tasks.Machine
+import copperglade.tasks.OwnerContext
+import copperglade.tasks.Run
+import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 class RestartDecision(val run: Run, val target: MachineName)
 
--- a/src/main/kotlin/copperglade/bookkeeping/Profiles.kt
+++ b/src/main/kotlin/copperglade/prediction/Profiles.kt
@@ -1,4 +1,4 @@
-package copperglade.bookkeeping
+package copperglade.prediction
 
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
--- a/src/main/kotlin/copperglade/bookkeeping/RiskAssessment.kt
+++ b/src/main/kotlin/copperglade/prediction/RiskAssessment.kt
@@ -1,4 +1,4 @@
-package copperglade.bookkeeping
+package copperglade.prediction
 
 /** A machine on which a straggler could run again, with what is expected of it there. */
 class Option<T>(val place: T, val prediction: Prediction, val fetchS: Double)
--- a/src/main/kotlin/copperglade/coordination/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -1,5 +1,6 @@
-package copperglade.coordination
+package copperglade.safety
 
+import copperglade.membership.RightToAct
 import copperglade.protocol.Command
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
--- a/src/main/kotlin/copperglade/coordination/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -1,17 +1,19 @@
-package copperglade.coordination
+package copperglade.scheduling
 
+import copperglade.fleet.MachineTypeCatalog
+import copperglade.membership.Leadership
 import copperglade.protocol.BlockName
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
-import copperglade.protocol.Objectives
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Objectives
+import copperglade.settings.Team
 import copperglade.storage.Assignment
 import copperglade.storage.Job
 import copperglade.storage.JobPage
@@ -19,10 +21,10 @@
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** What the leader counts of a team while it decides. */
 private class TeamUse(val team: Team) {
--- a/src/main/kotlin/copperglade/coordination/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -1,5 +1,6 @@
-package copperglade.coordination
+package copperglade.scheduling
 
+import copperglade.membership.Leadership
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -24,9 +25,9 @@
 import copperglade.storage.Urgency
 import copperglade.storage.WorkPlace
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
+import org.slf4j.LoggerFactory
 
 /** A task and the room that it is given. */
 class Choice(val task: Int, val room: CapacityTable.MachineCapacity)
--- a/src/main/kotlin/copperglade/coordination/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.scheduling
 
 import copperglade.protocol.BlockName
 import copperglade.protocol.JobSpec
@@ -8,6 +8,7 @@
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.Resources
 import copperglade.protocol.Stamp
+import copperglade.shards.BlockMap
 import copperglade.storage.Replica
 
 /** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
--- a/src/main/kotlin/copperglade/coordination/DeadlinePlan.kt
+++ b/src/main/kotlin/copperglade/scheduling/DeadlinePlan.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.scheduling
 
 import copperglade.protocol.TeamName
 import java.util.PriorityQueue
--- a/src/main/kotlin/copperglade/coordination/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -1,9 +1,9 @@
-package copperglade.coordination
+package copperglade.scheduling
 
 import copperglade.protocol.JobSpec
 import copperglade.protocol.Resources
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Team
 import copperglade.storage.Assignment
 import copperglade.storage.Job
 
--- a/src/main/kotlin/copperglade/coordination/YieldingCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/YieldingCapacity.kt
@@ -1,8 +1,9 @@
-package copperglade.coordination
+package copperglade.scheduling
 
 import copperglade.protocol.JobKind
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
+import copperglade.tasks.Run
 
 /** What stopping array tasks on a machine would free, by their priority. Services are never stopped for others. */
 class YieldingCapacity(val byPriority: List<Resources>) {
--- a/src/main/kotlin/copperglade/app/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -1,7 +1,5 @@
-package copperglade.app
+package copperglade.settings
 
-import copperglade.coordination.Tuning
-import copperglade.protocol.BadSetting
 import java.nio.file.Files
 import java.nio.file.Path
 import java.util.Properties
--- a/src/main/kotlin/copperglade/protocol/PlatformSettings.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettings.kt
@@ -1,6 +1,13 @@
-package copperglade.protocol
+package copperglade.settings
 
 import com.fasterxml.jackson.databind.JsonNode
+import copperglade.protocol.Endpoint
+import copperglade.protocol.Json
+import copperglade.protocol.MemberId
+import copperglade.protocol.TeamName
+import copperglade.protocol.number
+import copperglade.protocol.present
+import copperglade.protocol.text
 
 /** A setting that is missing or makes no sense; [message] names it. */
 class BadSetting(message: String) : Exception(message)
--- a/src/main/kotlin/copperglade/coordination/Tuning.kt
+++ b/src/main/kotlin/copperglade/settings/Tuning.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.settings
 
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
--- a/src/main/kotlin/copperglade/coordination/Blocks.kt
+++ b/src/main/kotlin/copperglade/shards/Blocks.kt
@@ -1,5 +1,7 @@
-package copperglade.coordination
+package copperglade.shards
 
+import copperglade.membership.Leadership
+import copperglade.membership.LeaseEndorsement
 import copperglade.protocol.BlockName
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
@@ -16,9 +18,9 @@
 import copperglade.storage.Urgency
 import copperglade.storage.Write
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** Which block a machine belongs to: a pure function, so that a machine needs no record and has exactly one block. */
 class BlockMap(private val zones: List<String>, private val perZone: Int) {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -10,10 +10,10 @@
 import copperglade.protocol.Moment
 import copperglade.protocol.Stamp
 import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** What a round of changes touched. */
 class Touched {
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -17,10 +17,10 @@
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /**
  * The state service as this controller may use it: within its share of the budgets that all controllers have together.
--- a/src/main/kotlin/copperglade/storage/StateService.kt
+++ b/src/main/kotlin/copperglade/storage/StateService.kt
@@ -16,10 +16,10 @@
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
-import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.slf4j.LoggerFactory
 
 /** The stamp a key must have for a transaction to be applied. */
 data class Condition(val key: String, val stamp: Stamp)
--- a/src/main/kotlin/copperglade/coordination/BlockState.kt
+++ b/src/main/kotlin/copperglade/tasks/BlockState.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.tasks
 
 import copperglade.protocol.Attempt
 import copperglade.protocol.BlockName
--- a/src/main/kotlin/copperglade/coordination/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -1,5 +1,6 @@
-package copperglade.coordination
+package copperglade.tasks
 
+import copperglade.ownership.BlockOwner
 import copperglade.protocol.Moment
 import copperglade.protocol.Stamp
 import copperglade.storage.AssignmentPage
--- a/src/main/kotlin/copperglade/coordination/OwnerContext.kt
+++ b/src/main/kotlin/copperglade/tasks/OwnerContext.kt
@@ -1,6 +1,14 @@
-package copperglade.coordination
+package copperglade.tasks
 
-import copperglade.bookkeeping.ProfileStore
+import copperglade.fleet.MachineTypeCatalog
+import copperglade.membership.AbsentOwners
+import copperglade.membership.Membership
+import copperglade.membership.SessionLease
+import copperglade.observability.DecisionLog
+import copperglade.observability.Workload
+import copperglade.prediction.ProfileStore
+import copperglade.safety.ActionGuard
+import copperglade.settings.Tuning
 import copperglade.storage.Replica
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
--- a/src/main/kotlin/copperglade/coordination/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -1,10 +1,11 @@
-package copperglade.coordination
+package copperglade.tasks
 
 import copperglade.protocol.Attempt
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.TaskId
+import copperglade.safety.Refusal
 import org.slf4j.LoggerFactory
 
 enum class RunState {
--- a/src/main/kotlin/copperglade/coordination/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.tasks
 
 /**
  * How a run leaves its machine: it is done, is given back to the leader, or waits to be started again.
--- a/src/main/kotlin/copperglade/coordination/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.tasks
 
 import copperglade.protocol.JobId
 import copperglade.protocol.TaskId
--- a/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
@@ -20,10 +20,10 @@
 import io.netty.handler.codec.http.HttpObjectAggregator
 import io.netty.handler.codec.http.HttpUtil
 import io.netty.handler.codec.http.HttpVersion
-import org.slf4j.LoggerFactory
 import java.util.concurrent.ScheduledFuture
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
+import org.slf4j.LoggerFactory
 
 /**
  * Keeps connections open and reuses them, one request at a time on each. A request that got no answer in time takes
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -28,8 +28,8 @@
 import io.netty.handler.timeout.IdleState
 import io.netty.handler.timeout.IdleStateEvent
 import io.netty.handler.timeout.IdleStateHandler
-import org.slf4j.LoggerFactory
 import java.net.InetSocketAddress
+import org.slf4j.LoggerFactory
 
 /**
  * An HTTP/1.1 server on one address.
--- a/src/test/kotlin/copperglade/app/SocketSharesTest.kt
+++ b/src/test/kotlin/copperglade/app/SocketSharesTest.kt
@@ -1,6 +1,6 @@
 package copperglade.app
 
-import copperglade.protocol.BadSetting
+import copperglade.settings.BadSetting
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -32,6 +32,8 @@
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.WorkRecord
+import java.io.ByteArrayOutputStream
+import java.io.DataOutputStream
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -40,8 +42,6 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import java.io.ByteArrayOutputStream
-import java.io.DataOutputStream
 
 /**
  * The version in production and this one run side by side: each must read what the other has written, and write what the
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -8,8 +8,8 @@
 import copperglade.protocol.ParsedJob
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Team
 import copperglade.sim.SimSite
 import copperglade.sim.Simulation
 import copperglade.sim.SiteScale
--- a/src/test/kotlin/copperglade/coordination/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessTest.kt
@@ -1,12 +1,14 @@
-package copperglade.coordination
+package copperglade.membership
 
-import copperglade.protocol.BadSetting
-import org.junit.jupiter.api.Assertions.assertThrows
-import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
+import copperglade.controller.Controller
+import copperglade.settings.BadSetting
+import copperglade.settings.Tuning
 import java.util.Random
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.DurationUnit
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
 
 /** The age of knowledge and the workers' lease together stay below `cancel_s`, clocks included, or the settings are refused. */
 class StalenessTest {
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -1,5 +1,8 @@
 package copperglade.protocol
 
+import copperglade.settings.BadSetting
+import copperglade.settings.PlatformSettings
+import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -8,7 +11,6 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import java.util.Random
 
 class WireTest {
     private val job = """{"nameId":"job-7","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":3,"vcpus":1.0,
--- a/src/test/kotlin/copperglade/coordination/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -1,5 +1,6 @@
-package copperglade.coordination
+package copperglade.safety
 
+import copperglade.membership.RightToAct
 import copperglade.protocol.Attempt
 import copperglade.protocol.BlockName
 import copperglade.protocol.Command
@@ -28,12 +29,12 @@
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
+import java.util.BitSet
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import java.util.BitSet
 
 /** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
 class ActionGuardTest {
--- a/src/test/kotlin/copperglade/protocol/ObjectivesTest.kt
+++ b/src/test/kotlin/copperglade/settings/ObjectivesTest.kt
@@ -1,4 +1,4 @@
-package copperglade.protocol
+package copperglade.settings
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/copperglade/protocol/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -1,5 +1,6 @@
-package copperglade.protocol
+package copperglade.settings
 
+import copperglade.protocol.present
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/copperglade/coordination/BlockMapTest.kt
+++ b/src/test/kotlin/copperglade/shards/BlockMapTest.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.shards
 
 import copperglade.protocol.BlockName
 import copperglade.protocol.MachineName
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -14,10 +14,10 @@
 import copperglade.storage.RecordCodec
 import copperglade.transport.Method
 import copperglade.transport.Request
+import java.util.BitSet
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import java.util.BitSet
 
 /** What an owner does with assignments that no leader of this version writes, as one that ignores dependencies would. */
 class EarlierLeaderTest {
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -1,7 +1,7 @@
 package copperglade.sim
 
-import copperglade.coordination.Tuning
 import copperglade.protocol.JobId
+import copperglade.settings.Tuning
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/copperglade/sim/FaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FaultsTest.kt
@@ -1,10 +1,10 @@
 package copperglade.sim
 
 import copperglade.protocol.JobId
+import java.util.stream.LongStream
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import java.util.stream.LongStream
 
 /**
  * Decisions that end in a fault midway, as where memory runs out: at any point, in any controller, while jobs wait for each
--- a/src/test/kotlin/copperglade/sim/GuestsAndCrowdsTest.kt
+++ b/src/test/kotlin/copperglade/sim/GuestsAndCrowdsTest.kt
@@ -1,8 +1,8 @@
 package copperglade.sim
 
 import copperglade.protocol.JobId
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Team
 import copperglade.transport.Method
 import copperglade.transport.Request
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -2,9 +2,9 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.Json
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.text
+import copperglade.settings.Team
 import copperglade.storage.Keys
 import copperglade.transport.Method
 import copperglade.transport.Reply
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -1,7 +1,6 @@
 package copperglade.sim
 
-import copperglade.coordination.Controller
-import copperglade.coordination.Tuning
+import copperglade.controller.Controller
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
@@ -9,14 +8,15 @@
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.Objectives
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Peer
-import copperglade.protocol.PlatformSettings
 import copperglade.protocol.TaskId
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
 import copperglade.protocol.text
+import copperglade.settings.Objectives
+import copperglade.settings.Peer
+import copperglade.settings.PlatformSettings
+import copperglade.settings.Team
+import copperglade.settings.Tuning
 import copperglade.standin.CloudType
 import copperglade.standin.StandInCloud
 import copperglade.standin.StandInState
--- a/src/test/kotlin/copperglade/soak/Soak.kt
+++ b/src/test/kotlin/copperglade/soak/Soak.kt
@@ -1,6 +1,6 @@
 package copperglade.soak
 
-import copperglade.protocol.BadSetting
+import copperglade.settings.BadSetting
 import java.util.concurrent.Callable
 import java.util.concurrent.Executors
 import kotlin.system.exitProcess
--- a/src/test/kotlin/copperglade/soak/SoakOptions.kt
+++ b/src/test/kotlin/copperglade/soak/SoakOptions.kt
@@ -1,6 +1,6 @@
 package copperglade.soak
 
-import copperglade.protocol.BadSetting
+import copperglade.settings.BadSetting
 import java.nio.file.Path
 
 /** What a soak runs, as checked. */
--- a/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
@@ -1,8 +1,8 @@
 package copperglade.soak
 
-import copperglade.protocol.BadSetting
 import copperglade.protocol.JobId
 import copperglade.protocol.TaskId
+import copperglade.settings.BadSetting
 import copperglade.sim.SimSite
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -1,7 +1,6 @@
 package copperglade.standin
 
 import copperglade.app.Main
-import copperglade.coordination.Tuning
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -9,13 +8,14 @@
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.Objectives
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Peer
-import copperglade.protocol.PlatformSettings
 import copperglade.protocol.TaskId
-import copperglade.protocol.Team
 import copperglade.protocol.TeamName
+import copperglade.settings.Objectives
+import copperglade.settings.Peer
+import copperglade.settings.PlatformSettings
+import copperglade.settings.Team
+import copperglade.settings.Tuning
 import copperglade.transport.NettyEventLoop
 import copperglade.transport.NettyHttpCaller
 import copperglade.transport.NettyHttpServer
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -6,13 +6,13 @@
 import copperglade.protocol.Priority
 import copperglade.protocol.Stamp
 import copperglade.sim.SimSite
+import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import java.util.Random
 
 /** The dependency graph against [PipelineModel], and what a plain model has no notion of: marks learned early, lost end records. */
 class DependencyGraphTest {
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -12,14 +12,14 @@
 import copperglade.sim.Simulation
 import copperglade.standin.ServiceLimits
 import copperglade.standin.StandInState
+import java.util.BitSet
+import kotlin.time.Duration.Companion.milliseconds
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import java.util.BitSet
-import kotlin.time.Duration.Companion.milliseconds
 
 /** Packed records against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
 class RecordPackerTest {
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -7,11 +7,11 @@
 import copperglade.protocol.Json
 import copperglade.protocol.Stamp
 import copperglade.sim.SimSite
+import java.util.BitSet
+import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import java.util.BitSet
-import java.util.Random
 
 class RecordsTest {
     private fun bits(vararg tasks: Int) = BitSet().apply { tasks.forEach { set(it) } }
--- a/src/test/kotlin/copperglade/coordination/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -1,4 +1,4 @@
-package copperglade.coordination
+package copperglade.tasks
 
 import copperglade.protocol.JobId
 import copperglade.protocol.Moment
@@ -6,10 +6,10 @@
 import copperglade.sim.SimSite
 import copperglade.storage.JobPage
 import copperglade.storage.Keys
+import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import java.util.Random
 
 class RunTableTest {
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -14,16 +14,16 @@
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
 import copperglade.protocol.Stamp
-import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertNotEquals
-import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
 import java.net.ServerSocket
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
 
 /** All held until the last is known: a port that is closed again may be given out once more. */
 internal fun freeEndpoints(number: Int): List<Endpoint> =
