--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.Moment
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
@@ -18,7 +18,7 @@
  * Invariant: an attempt whose start is unresolved is never removed from its machine, since a late copy of the start could
  * run it once more.
  */
-class CommandPlanner(private val state: BlockState) {
+class CommandPlanner(private val state: ShardState) {
     private val loop = state.context.loop
 
     /** The commands due for [machine]: stops first, since they make room and may be urgent, and as many as one message may hold. */
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -1,12 +1,12 @@
 package copperglade.agents
 
 import copperglade.protocol.Moment
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import kotlin.time.Duration.Companion.seconds
 
-/** Judges which machines of a block may be given tasks, and which had better be replaced. */
-class MachineHealth(private val state: BlockState) {
+/** Judges which machines of a shard may be given tasks, and which had better be replaced. */
+class MachineHealth(private val state: ShardState) {
     private val context = state.context
 
     /**
@@ -22,8 +22,8 @@
         isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseS.seconds } ?: true
 
     /**
-     * How many of the block's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
-     * controller, and is sent back for 4 s more if the block still has its owner by then.
+     * How many of the shard's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
+     * controller, and is sent back for 4 s more if the shard still has its owner by then.
      */
     fun countUnheard(now: Moment): Int {
         val limit = context.reportIntervals(MISSED_REPORTS)
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -3,20 +3,20 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import org.slf4j.LoggerFactory
 
 /**
- * Follows which machines a block has: from a worker's first report until its lease has run out or the machine is deleted.
+ * Follows which machines a shard has: from a worker's first report until its lease has run out or the machine is deleted.
  *
  * Invariants: of a machine only the newest report counts, by session and tally, unless it has proved that it counts from
  * the start again; a dropped machine comes back only by its answer to a question of ours. They guard against late copies
  * of reports, which may arrive minutes after they were sent and would show tasks and room that are gone.
  */
 class MachineTracker(
-    private val state: BlockState,
+    private val state: ShardState,
     private val lifecycle: RunLifecycle,
     private val commands: WorkerCommands,
     private val observer: TaskObserver,
--- a/src/main/kotlin/copperglade/agents/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/agents/ReportIntake.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
 import copperglade.safety.ActionGuard
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 
 /**
@@ -16,7 +16,7 @@
  * taken for new.
  */
 class ReportIntake(
-    private val state: BlockState,
+    private val state: ShardState,
     private val tracker: MachineTracker,
     private val commands: WorkerCommands,
 ) {
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -6,20 +6,20 @@
 import copperglade.protocol.TaskId
 import copperglade.storage.Assignment
 import copperglade.storage.Job
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
 import copperglade.tasks.StopReason
 
 /**
- * Keeps a block's runs in line with the records: a run for each of the block's assignments, and none beside them.
+ * Keeps a shard's runs in line with the records: a run for each of the shard's assignments, and none beside them.
  *
  * Invariant: a task that was assigned before our grant counts as [RunState.MISSING] until no worker can hold it any more;
  * a former owner may have started it.
  */
 class RunReconciler(
-    private val state: BlockState,
+    private val state: ShardState,
     private val stopper: RunStopper,
     private val backoff: RetryBackoff,
 ) {
@@ -41,7 +41,7 @@
         }
         val assigned = HashSet<Int>()
         for (assignment in job.assignments()) {
-            if (assignment.block != state.name) continue
+            if (assignment.shard != state.name) continue
             assigned += assignment.task
             val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
             run.reschedule(spec)
--- a/src/main/kotlin/copperglade/agents/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -1,6 +1,6 @@
 package copperglade.agents
 
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
@@ -10,7 +10,7 @@
  * Stops runs. A run that may be on a machine counts as there until its worker has confirmed that it has ended, so that its
  * task is never started elsewhere beside it.
  */
-class RunStopper(private val state: BlockState, private val lifecycle: RunLifecycle, private val commands: WorkerCommands) {
+class RunStopper(private val state: ShardState, private val lifecycle: RunLifecycle, private val commands: WorkerCommands) {
     /**
      * Stops [run] for [reason], or gives it back at once where it is on no machine. A run that is stopping already takes
      * up a reason that is final: a straggler that is cancelled must not be started again.
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.JobKind
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.OutcomeLog
 import copperglade.tasks.RetryBackoff
@@ -24,7 +24,7 @@
  * against a task that is taken for ended and started again while it runs.
  */
 class TaskObserver(
-    private val state: BlockState,
+    private val state: ShardState,
     private val lifecycle: RunLifecycle,
     private val stopper: RunStopper,
     private val commands: WorkerCommands,
@@ -98,7 +98,7 @@
         tryElsewhere(run, machine, backoff.afterFailure(run.failures))
     }
 
-    /** Lets [run] start again after [pause], on another machine; once half of the block has been tried, anywhere. */
+    /** Lets [run] start again after [pause], on another machine; once half of the shard has been tried, anywhere. */
     private fun tryElsewhere(run: Run, machine: Machine, pause: Duration) {
         if (run.avoid.size * 2 >= state.machines.size) run.avoid.clear()
         run.avoid += machine.name
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Command
 import copperglade.protocol.Moment
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.UnresolvedStart
 import kotlin.time.Duration.Companion.seconds
@@ -13,7 +13,7 @@
  *
  * Guards against a task that is started once more by a delayed message, after it was given up or after it ended.
  */
-class UnresolvedStarts(private val state: BlockState) {
+class UnresolvedStarts(private val state: ShardState) {
     private val context = state.context
 
     /**
@@ -47,11 +47,11 @@
     fun needHigherToken(): Boolean {
         val now = context.loop.now()
         return state.machines.values.any { machine ->
-            now < machine.heardAt + context.silenceLimit && machine.unresolvedStarts.any { blocks(it, machine, now) }
+            now < machine.heardAt + context.silenceLimit && machine.unresolvedStarts.any { shards(it, machine, now) }
         }
     }
 
-    private fun blocks(start: UnresolvedStart, machine: Machine, now: Moment): Boolean =
+    private fun shards(start: UnresolvedStart, machine: Machine, now: Moment): Boolean =
         start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
             (!machine.unresponsive || context.guard.isOver(start.task.job))
 
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.Moment
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
@@ -20,14 +20,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends commands to the workers of a block, directly or with the answers to their reports.
+ * Sends commands to the workers of a shard, directly or with the answers to their reports.
  *
  * Invariants: a machine has one direct command under way at most; only a fenced machine is given starts, stops or removals;
  * direct commands go out only while [Membership.mayAct], asked at the moment of sending. They guard against commands of a
- * controller that has lost the block, and against acting on what a former owner's commands may still change.
+ * controller that has lost the shard, and against acting on what a former owner's commands may still change.
  */
 class WorkerCommands(
-    private val state: BlockState,
+    private val state: ShardState,
     private val planner: CommandPlanner,
     private val unresolved: UnresolvedStarts,
     private val lifecycle: RunLifecycle,
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -13,7 +13,7 @@
 import copperglade.observability.DecisionLog
 import copperglade.observability.Latencies
 import copperglade.observability.Workload
-import copperglade.ownership.Owner
+import copperglade.ownership.ShardOwnership
 import copperglade.prediction.ProfileStore
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
@@ -31,8 +31,8 @@
 import copperglade.settings.BadSetting
 import copperglade.settings.PlatformSettings
 import copperglade.settings.Tuning
-import copperglade.shards.BlockGranter
-import copperglade.shards.BlockMap
+import copperglade.shards.ShardAssigner
+import copperglade.shards.ShardMap
 import copperglade.storage.BudgetShare
 import copperglade.storage.EndedJobs
 import copperglade.storage.Replica
@@ -40,7 +40,7 @@
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
-import copperglade.tasks.OwnerContext
+import copperglade.tasks.ShardContext
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
 import copperglade.transport.HttpStatus
@@ -106,21 +106,21 @@
     private val absentOwners = AbsentOwners(loop, replica, settings.peers.map { it.member }, membership.grace)
     private val leadership = Leadership(loop, store, replica, membership, tuning.leaderLease)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
-    private val blockMap = BlockMap(settings.zones, tuning.blocksPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
-    private val granter = BlockGranter(
+    private val shardMap = ShardMap(settings.zones, tuning.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
+    private val shardAssigner = ShardAssigner(
         loop,
         store,
         replica,
         leadership,
-        blockMap,
+        shardMap,
         zoneOfMember,
         leaseEndorsement,
         settling = (settings.leaseS * LEASES_TO_SETTLE).seconds,
     )
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
-    private val owner: Owner = Owner(
-        OwnerContext(
+    private val owner: ShardOwnership = ShardOwnership(
+        ShardContext(
             loop,
             http,
             replica,
@@ -136,7 +136,7 @@
             decisions,
         ),
         store,
-        blockMap,
+        shardMap,
         settings.cloud,
         cloudBudget,
         ::othersHearState,
@@ -152,7 +152,7 @@
         { replica.leader?.value?.member },
         ::onPeerStatus,
     )
-    private val capacityTable = CapacityTable(replica, blockMap)
+    private val capacityTable = CapacityTable(replica, shardMap)
     private val fairShare = FairShare(tuning.turnAfterS, tuning.turnShare)
     private val assigner =
         Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
@@ -167,7 +167,7 @@
         membership,
         types,
         settings.teams,
-        blockMap,
+        shardMap,
         tuning,
         settings.listLagS,
         ::statusOf,
@@ -212,7 +212,7 @@
     /** The leader's rounds. The longer a round takes, the later the next one, and the more it decides. */
     private fun leaderRound() {
         if (leadership.leading) {
-            granter.round()
+            shardAssigner.round()
             assigner.round()
             jobFinalizer.round()
         }
@@ -239,8 +239,8 @@
             cursor = replica.cursor,
             stateSilentMs = loop.now().ms - store.lastGood.ms,
             isLeader = leading,
-            blocks = owner.rooms(),
-            release = if (leading) granter.release else emptyList(),
+            shards = owner.rooms(),
+            release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
             writesWanted = store.writesWanted,
         )
--- a/src/main/kotlin/copperglade/fleet/BoundDemand.kt
+++ b/src/main/kotlin/copperglade/fleet/BoundDemand.kt
@@ -1,7 +1,7 @@
 package copperglade.fleet
 
 import copperglade.protocol.JobSpec
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.Resources
 import copperglade.protocol.TeamName
 import copperglade.settings.Team
@@ -67,7 +67,7 @@
     private fun isBound(spec: JobSpec) = spec.zone != null || spec.types != null || spec.oneZone
 
     /** CPUs of room that such work could have at once. */
-    fun room(binding: Binding, work: BoundWork, rooms: Collection<MachineRoom>): Double = rooms
+    fun room(binding: Binding, work: BoundWork, rooms: Collection<MachineAvailability>): Double = rooms
         .filter { it.usable && binding.allows(it.type, it.zone, it.spot) && work.largest.fitsIn(it.free) }
         .sumOf { it.free.cpus }
 }
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -1,6 +1,6 @@
 package copperglade.fleet
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
@@ -8,7 +8,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineStatus
 import copperglade.protocol.MachineType
 import copperglade.protocol.MemberId
--- a/src/main/kotlin/copperglade/fleet/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Fleet.kt
@@ -2,7 +2,7 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.Membership
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
@@ -10,7 +10,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineStatus
 import copperglade.protocol.MachineType
 import copperglade.protocol.MemberId
@@ -20,7 +20,7 @@
 import copperglade.protocol.secondsSince
 import copperglade.settings.Team
 import copperglade.settings.Tuning
-import copperglade.shards.BlockMap
+import copperglade.shards.ShardMap
 import copperglade.storage.Job
 import copperglade.storage.Replica
 import copperglade.storage.TokenBucket
@@ -48,7 +48,7 @@
     private val membership: Membership,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
-    private val blockMap: BlockMap,
+    private val shardMap: ShardMap,
     private val tuning: Tuning,
     private val listLagS: Double,
     private val statusOf: (MemberId) -> PeerStatus?,
@@ -100,11 +100,11 @@
         adjust(now, rooms)
     }
 
-    private fun rooms(): Map<MachineName, MachineRoom> {
-        val rooms = HashMap<MachineName, MachineRoom>()
-        for (record in replica.blocks.values) {
+    private fun rooms(): Map<MachineName, MachineAvailability> {
+        val rooms = HashMap<MachineName, MachineAvailability>()
+        for (record in replica.shards.values) {
             val status = statusOf(record.value.member) ?: continue
-            for (block in status.blocks) block.machines.forEach { rooms[it.name] = it }
+            for (shard in status.shards) shard.machines.forEach { rooms[it.name] = it }
         }
         return rooms
     }
@@ -139,11 +139,11 @@
             MachineStatus.FAILED -> true
             MachineStatus.BOOTING -> machine.ageS > bootS * LONGEST_BOOTS + BOOT_SLACK_S
             MachineStatus.RUNNING -> {
-                val block: BlockName = blockMap.of(machine.name, machine.zone)
-                val ownerHeard = replica.blocks[block]
+                val shard: ShardName = shardMap.of(machine.name, machine.zone)
+                val ownerHeard = replica.shards[shard]
                     ?.let { statusOf(it.value.member) }
-                    ?.blocks
-                    ?.any { it.block == block } ?: false
+                    ?.shards
+                    ?.any { it.shard == shard } ?: false
                 val heard = heardAt.getOrPut(machine.name) { now }
                 if (!ownerHeard) heardAt[machine.name] = now
                 machine.ageS > bootS && now.secondsSince(heard) > UNHEARD_S
@@ -174,7 +174,7 @@
 
     private class Inventory(var ordinary: Double, var spot: Double)
 
-    private fun adjust(now: Moment, rooms: Map<MachineName, MachineRoom>) {
+    private fun adjust(now: Moment, rooms: Map<MachineName, MachineAvailability>) {
         rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds + listing.pace }
         val counts = HashMap<Kind, Int>()
         val inventory = Inventory(0.0, 0.0)
@@ -206,11 +206,11 @@
     }
 
     /** What waits for room that only some machines can give is rented for beside the rest, unless such machines are on their way. */
-    private fun rentBound(rooms: Map<MachineName, MachineRoom>, counts: HashMap<Kind, Int>, now: Moment) {
+    private fun rentBound(rooms: Map<MachineName, MachineAvailability>, counts: HashMap<Kind, Int>, now: Moment) {
         val demand = BoundDemand.of(
             replica.jobs.values,
             teams,
-            zoneOf = { job -> job.assignments().firstOrNull()?.let { blockMap.zoneOf(it.block) } },
+            zoneOf = { job -> job.assignments().firstOrNull()?.let { shardMap.zoneOf(it.shard) } },
             fragmented = { isFragmented(it, rooms.values) },
         )
         for ((binding, work) in demand) {
@@ -227,7 +227,7 @@
     }
 
     /** Whether a task of [job] has found no machine for a while, though there is as much room on all of them together. */
-    private fun isFragmented(job: Job, rooms: Collection<MachineRoom>): Boolean {
+    private fun isFragmented(job: Job, rooms: Collection<MachineAvailability>): Boolean {
         val spec = job.spec ?: return false
         if (loop.wallMillis() < job.startableSinceMs + FRAGMENTED_AFTER_MS) return false
         val allowed = rooms.filter { it.usable && spec.allows(it.type, it.zone, it.spot) }
@@ -287,13 +287,13 @@
         }
     }
 
-    private fun unusable(rooms: Map<MachineName, MachineRoom>): List<MachineName> {
+    private fun unusable(rooms: Map<MachineName, MachineAvailability>): List<MachineName> {
         val idle = rooms.values.filter { !it.worthKeeping && it.idleMs > UNUSABLE_IDLE_MS }
         return idle.map { it.name }
     }
 
     private fun idle(
-        rooms: Map<MachineName, MachineRoom>,
+        rooms: Map<MachineName, MachineAvailability>,
         inventory: Inventory,
         ordinaryTarget: Double,
         flexibleTarget: Double,
--- a/src/main/kotlin/copperglade/membership/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/membership/AbsentOwners.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration
 
 /**
- * Until when other controllers may have answered workers of blocks that were theirs. One that hears from nobody goes on
+ * Until when other controllers may have answered workers of shards that were theirs. One that hears from nobody goes on
  * answering for [grace] beyond its session lease ([Membership.mayKeep]); one that is back under a new incarnation has
  * stopped.
  */
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -15,9 +15,9 @@
 
 /**
  * How short session leases outlive an outage of the state service. A member that the service has stopped answering asks
- * every other controller for an endorsement: not to grant its blocks away for the next [ENDORSEMENT_LENGTH]. A
+ * every other controller for an endorsement: not to grant its shards away for the next [ENDORSEMENT_LENGTH]. A
  * controller endorses only while the service is silent to itself as well. With an endorsement from all of them, asked
- * for while the member's right was still intact, nobody can have granted or will grant its blocks, whatever the service
+ * for while the member's right was still intact, nobody can have granted or will grant its shards, whatever the service
  * does with its session lease meanwhile.
  *
  * Why that is enough: a grant needs that the holder's incarnation was seen to be gone. As long as the right is intact
@@ -40,7 +40,7 @@
     /** Whether our right was intact up to now; else an endorsement would come too late to mean anything. */
     var intact: () -> Boolean = { false }
 
-    /** Until when all others have endorsed our blocks. */
+    /** Until when all others have endorsed our shards. */
     val endorsedUntil: Moment
         get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: Moment.NEVER.ms }?.let { Moment(it) } ?: Moment.NEVER
 
@@ -69,7 +69,7 @@
         return true
     }
 
-    /** Whether blocks of [holder] may be granted to somebody else. */
+    /** Whether shards of [holder] may be granted to somebody else. */
     fun mayGrantAway(holder: MemberId): Boolean {
         val now = loop.now()
         return now >= startedAt + ENDORSEMENT_LENGTH && now >= (endorsedMembers[holder] ?: Moment.NEVER)
--- a/src/main/kotlin/copperglade/observability/DecisionLog.kt
+++ b/src/main/kotlin/copperglade/observability/DecisionLog.kt
@@ -58,7 +58,7 @@
         if (log.isDebugEnabled) log.debug("action=answer machine={} token={} stops={} {}", machine, token, stops, right())
     }
 
-    /** The block follows the task of [run] no more, since its record says that it is over or assigned elsewhere. */
+    /** The shard follows the task of [run] no more, since its record says that it is over or assigned elsewhere. */
     fun forgotten(run: Run) {
         count(if (run.onMachine) "forget_on_machine" else "forget")
         if (!log.isDebugEnabled) return
--- a/src/main/kotlin/copperglade/ownership/BlockOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -10,11 +10,11 @@
 import copperglade.agents.UnresolvedStarts
 import copperglade.agents.WorkerCommands
 import copperglade.membership.Membership
-import copperglade.placement.BlockPlacement
-import copperglade.placement.BlockSummary
+import copperglade.placement.ShardPlacement
+import copperglade.placement.ShardSummary
 import copperglade.placement.StragglerRestarts
-import copperglade.protocol.BlockName
-import copperglade.protocol.BlockRoom
+import copperglade.protocol.ShardName
+import copperglade.protocol.ShardCapacity
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
@@ -24,18 +24,18 @@
 import copperglade.storage.Job
 import copperglade.storage.JobPage
 import copperglade.storage.StateClient
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.MistakenJobs
 import copperglade.tasks.OutcomeLog
-import copperglade.tasks.OwnerContext
+import copperglade.tasks.ShardContext
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The owner of one block: picks machines for the block's tasks, starts and stops them, and finds out what became of
+ * The owner of one shard: picks machines for the shard's tasks, starts and stops them, and finds out what became of
  * them. It commands workers only while [Membership.mayAct], and only under fencing tokens of its own.
  *
  * The work is done by its parts, which this class wires and calls in a fixed order:
@@ -43,19 +43,19 @@
  * - [ReportIntake] decides which reports are believed and answers them, [MachineTracker] follows the machines and
  *   [TaskObserver] the tasks on them;
  * - [WorkerCommands] sends what [CommandPlanner] finds due, and [UnresolvedStarts] keeps account of unknown outcomes;
- * - [BlockPlacement] starts what waits, [StragglerRestarts] restarts stragglers, [RunStopper] and [RunLifecycle] end runs;
- * - [BlockSummary] describes the machines to others, by the judgement of [MachineHealth].
+ * - [ShardPlacement] starts what waits, [StragglerRestarts] restarts stragglers, [RunStopper] and [RunLifecycle] end runs;
+ * - [ShardSummary] describes the machines to others, by the judgement of [MachineHealth].
  */
-class BlockOwner(
-    private val context: OwnerContext,
+class ShardOwner(
+    private val context: ShardContext,
     store: StateClient,
-    val name: BlockName,
+    val name: ShardName,
     first: FencingToken,
 ) {
-    private val state = BlockState(context, name, first)
+    private val state = ShardState(context, name, first)
     private val outcomes = OutcomeLog(context.loop, store, context.replica, this)
     private val health = MachineHealth(state)
-    private val summary = BlockSummary(state, health)
+    private val summary = ShardSummary(state, health)
     private val lifecycle = RunLifecycle(state, outcomes)
     private val unresolved = UnresolvedStarts(state)
     private val commands = WorkerCommands(state, CommandPlanner(state), unresolved, lifecycle, ::heardReply)
@@ -65,14 +65,14 @@
     private val observer = TaskObserver(state, lifecycle, stopper, commands, outcomes, backoff)
     private val tracker = MachineTracker(state, lifecycle, commands, observer, unresolved)
     private val intake = ReportIntake(state, tracker, commands)
-    private val placement = BlockPlacement(state, health, lifecycle, stopper, commands, backoff)
+    private val placement = ShardPlacement(state, health, lifecycle, stopper, commands, backoff)
     private val stragglers = StragglerRestarts(state, outcomes, stopper)
     private var nextSweep = Moment.NEVER
 
     /** Jobs that fail wherever they run. */
     val mistakenJobs: MistakenJobs get() = context.mistakenJobs
 
-    /** The block's machines, as far as their workers have been heard. */
+    /** The shard's machines, as far as their workers have been heard. */
     val machines: Map<MachineName, Machine> get() = state.machines
 
     /** The fencing token under which workers are commanded now. */
@@ -92,12 +92,12 @@
         machines.values.toList().forEach { if (state.isFenced(it)) observer.match(it) }
     }
 
-    /** The block is no longer ours: nothing more is said about it. */
+    /** The shard is no longer ours: nothing more is said about it. */
     fun close() {
         state.open = false
     }
 
-    /** The block's key was written anew by ourselves: workers that see the new token refuse late copies of older commands. */
+    /** The shard's key was written anew by ourselves: workers that see the new token refuse late copies of older commands. */
     fun renew(next: FencingToken) = state.raiseToken(next)
 
     /** Brings the runs of a job in line with its records. */
@@ -106,7 +106,7 @@
     /** The job is over, or nothing is known of it any more. */
     fun drop(job: JobId) = reconciler.drop(job)
 
-    /** The runs of this block's tasks on one page of a job's records. */
+    /** The runs of this shard's tasks on one page of a job's records. */
     fun runsOf(place: JobPage): Collection<Run> = state.runs.of(place)
 
     /**
@@ -155,14 +155,14 @@
     /** Whether a start of unknown outcome holds something up that only a higher fencing token can settle. */
     fun needsNewToken(): Boolean = unresolved.needHigherToken()
 
-    /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
+    /** The images of the shard's machines, as many as fit into a value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
 
-    /** How many of the block's machines have missed a report. */
+    /** How many of the shard's machines have missed a report. */
     fun unheardMachines(now: Moment): Int = health.countUnheard(now)
 
-    /** The capacity of the block's machines, for the leader. */
-    fun room(): BlockRoom = summary.room()
+    /** The capacity of the shard's machines, for the leader. */
+    fun room(): ShardCapacity = summary.room()
 
     private companion object {
         val SWEEP_PACE = 400.milliseconds
--- a/src/main/kotlin/copperglade/ownership/Owner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -1,7 +1,7 @@
 package copperglade.ownership
 
-import copperglade.protocol.BlockName
-import copperglade.protocol.BlockRoom
+import copperglade.protocol.ShardName
+import copperglade.protocol.ShardCapacity
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
@@ -11,8 +11,8 @@
 import copperglade.protocol.Report
 import copperglade.protocol.Stamp
 import copperglade.protocol.WorkerWire
-import copperglade.shards.BlockMap
-import copperglade.storage.BlockRecord
+import copperglade.shards.ShardMap
+import copperglade.storage.ShardRecord
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -24,7 +24,7 @@
 import copperglade.storage.TransactionOutcome
 import copperglade.storage.Urgency
 import copperglade.storage.Write
-import copperglade.tasks.OwnerContext
+import copperglade.tasks.ShardContext
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -34,21 +34,21 @@
 import kotlin.time.Duration.Companion.seconds
 import org.slf4j.LoggerFactory
 
-/** The blocks that this process owns, kept in line with the block records. */
-class Owner(
-    private val context: OwnerContext,
+/** The shards that this process owns, kept in line with the shard records. */
+class ShardOwnership(
+    private val context: ShardContext,
     private val store: StateClient,
-    private val blockMap: BlockMap,
+    private val shardMap: ShardMap,
     private val cloud: Endpoint,
     private val cloudBudget: TokenBucket,
-    /** Whether a controller is heard that the state service answers: it, or whom it knows, takes our blocks over. */
+    /** Whether a controller is heard that the state service answers: it, or whom it knows, takes our shards over. */
     private val othersKnowMore: () -> Boolean,
 ) : ReplicaListener {
     private val loop = context.loop
     private val replica = context.replica
     private val membership = context.membership
-    private val owned = HashMap<BlockName, BlockOwner>()
-    private val keyInFlight = HashSet<BlockName>()
+    private val owned = HashMap<ShardName, ShardOwner>()
+    private val keyInFlight = HashSet<ShardName>()
     private var unheardCheckedAt = Moment.NEVER
     private var unheardTimes = 0
 
@@ -62,35 +62,35 @@
     }
 
     /**
-     * A controller that hears none of its workers, while the state service knows it well, holds their blocks for nothing:
+     * A controller that hears none of its workers, while the state service knows it well, holds their shards for nothing:
      * on a bench day one sat on a third of the machines for the 40 s in which it was cut off from them, and all their
-     * leases ran out. It gives the blocks up while the leases last, and says so, that it doesn't get them back at once.
+     * leases ran out. It gives the shards up while the leases last, and says so, that it doesn't get them back at once.
      */
     private fun giveUpUnheard() {
         val now = loop.now()
         // After a pause of our own, everybody seems to have been silent: what has come meanwhile is read first.
         val onTime = now < unheardCheckedAt + GIVE_UP_PACE * 2
         unheardCheckedAt = now
-        val blocks = owned.values.filter { it.open }
-        val machines = blocks.sumOf { it.machines.size }
-        val unheard = machines >= FEWEST_TO_TELL && blocks.sumOf { it.unheardMachines(now) } == machines && !store.isSilent()
+        val shards = owned.values.filter { it.open }
+        val machines = shards.sumOf { it.machines.size }
+        val unheard = machines >= FEWEST_TO_TELL && shards.sumOf { it.unheardMachines(now) } == machines && !store.isSilent()
         unheardTimes = if (unheard && onTime) unheardTimes + 1 else 0
         if (unheardTimes < TIMES_TO_TELL) return
         unheardTimes = 0
         log.warn("none of our {} machines is heard: their blocks are given up", machines)
-        release(blocks.map { it.name }, unheard = true)
+        release(shards.map { it.name }, unheard = true)
     }
 
-    private fun rememberImages(block: BlockOwner) {
-        val present = replica.images[block.name]
-        val record = block.imageRecord((store.limits.valueBytes * PART_OF_VALUE).toInt())
+    private fun rememberImages(shard: ShardOwner) {
+        val present = replica.images[shard.name]
+        val record = shard.imageRecord((store.limits.valueBytes * PART_OF_VALUE).toInt())
         if (record.byMachine == present?.value?.byMachine.orEmpty()) return
         val value = RecordCodec.encode(record)
         if (value.size > store.limits.valueBytes) return
-        val key = Keys.images(block.name)
+        val key = Keys.images(shard.name)
         val transaction = Transaction(
             listOf(
-                Condition(Keys.block(block.name), Stamp(block.fencingToken.number)),
+                Condition(Keys.shard(shard.name), Stamp(shard.fencingToken.number)),
                 Condition(
                     key,
                     present?.stamp ?: Stamp.ABSENT,
@@ -115,82 +115,82 @@
         for (id in touched.jobs) {
             val job = replica.jobs[id]
             if (job?.live == null) context.evidence.forgetJob(id)
-            for (block in owned.values) if (job == null) block.drop(id) else block.sync(job)
+            for (shard in owned.values) if (job == null) shard.drop(id) else shard.sync(job)
         }
     }
 
-    /** Opens and closes blocks as the records say. */
+    /** Opens and closes shards as the records say. */
     fun reconcile() {
         val incarnation = membership.incarnation
-        for (name in blockMap.all) {
-            val record = replica.blocks[name]
+        for (name in shardMap.all) {
+            val record = replica.shards[name]
             val present = owned[name]
             val mine =
-                record != null && incarnation != null && record.value == BlockRecord(membership.self, incarnation)
+                record != null && incarnation != null && record.value == ShardRecord(membership.self, incarnation)
             val fencingToken = record?.let { FencingToken(it.stamp.number) }
             if (present != null && (!mine || !present.holds(fencingToken!!)) && name !in keyInFlight) close(present)
             if (mine && name !in owned && name !in keyInFlight) open(name, fencingToken!!)
         }
     }
 
-    private fun open(name: BlockName, fencingToken: FencingToken) {
+    private fun open(name: ShardName, fencingToken: FencingToken) {
         log.info("block {} is ours with baton {}", name, fencingToken)
-        val block = BlockOwner(context, store, name, fencingToken)
-        owned[name] = block
-        openOnceFresh(block)
+        val shard = ShardOwner(context, store, name, fencingToken)
+        owned[name] = shard
+        openOnceFresh(shard)
     }
 
     /** Outcomes that the former owner wrote must be known before anything is started. */
-    private fun openOnceFresh(block: BlockOwner) {
+    private fun openOnceFresh(shard: ShardOwner) {
         replica.fresh { known ->
-            if (owned[block.name] !== block) return@fresh
-            if (known) block.open() else loop.after(RETRY) { openOnceFresh(block) }
+            if (owned[shard.name] !== shard) return@fresh
+            if (known) shard.open() else loop.after(RETRY) { openOnceFresh(shard) }
         }
     }
 
-    private fun close(block: BlockOwner) {
-        log.info("block {} is no longer ours", block.name)
-        owned.remove(block.name)
-        block.close()
+    private fun close(shard: ShardOwner) {
+        log.info("block {} is no longer ours", shard.name)
+        owned.remove(shard.name)
+        shard.close()
     }
 
     /** Writes the key anew to get a new fencing token, which ends whatever late copies of our own commands could do. */
-    private fun renew(block: BlockOwner) {
-        val record = membership.incarnation?.let { BlockRecord(membership.self, it) } ?: return
-        if (!keyInFlight.add(block.name)) return
-        rewrite(block.name, block.fencingToken, Write.Set(Keys.block(block.name), RecordCodec.encode(record))) { outcome ->
+    private fun renew(shard: ShardOwner) {
+        val record = membership.incarnation?.let { ShardRecord(membership.self, it) } ?: return
+        if (!keyInFlight.add(shard.name)) return
+        rewrite(shard.name, shard.fencingToken, Write.Set(Keys.shard(shard.name), RecordCodec.encode(record))) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
                 log.info(
                     "block {} has a new baton {}: a start of unknown outcome was in the way",
-                    block.name,
+                    shard.name,
                     outcome.stamp,
                 )
-                block.renew(FencingToken(outcome.stamp.number))
+                shard.renew(FencingToken(outcome.stamp.number))
             }
-            settleKey(block.name)
+            settleKey(shard.name)
         }
     }
 
     /**
-     * Gives blocks up that the leader would rather see elsewhere. We stop acting before we say so. Where the outcome
+     * Gives shards up that the leader would rather see elsewhere. We stop acting before we say so. Where the outcome
      * stays unknown, the drop might be applied much later, while we act again: the key is written anew first.
      */
-    fun release(names: List<BlockName>, unheard: Boolean = false) {
+    fun release(names: List<ShardName>, unheard: Boolean = false) {
         for (name in names) {
-            val block = owned[name] ?: continue
-            if (!block.open || !keyInFlight.add(name)) continue
-            close(block)
-            val key = Keys.block(name)
-            val write = if (unheard) Write.Set(key, RecordCodec.encode(BlockRecord.givenUpBy(membership.self))) else Write.Drop(key)
-            rewrite(name, block.fencingToken, write) { outcome ->
-                if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, block.fencingToken)
+            val shard = owned[name] ?: continue
+            if (!shard.open || !keyInFlight.add(name)) continue
+            close(shard)
+            val key = Keys.shard(name)
+            val write = if (unheard) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Drop(key)
+            rewrite(name, shard.fencingToken, write) { outcome ->
+                if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, shard.fencingToken)
             }
         }
     }
 
-    private fun takeBack(name: BlockName, fencingToken: FencingToken) {
-        val record = membership.incarnation?.let { BlockRecord(membership.self, it) } ?: return settleKey(name)
-        rewrite(name, fencingToken, Write.Set(Keys.block(name), RecordCodec.encode(record))) { outcome ->
+    private fun takeBack(name: ShardName, fencingToken: FencingToken) {
+        val record = membership.incarnation?.let { ShardRecord(membership.self, it) } ?: return settleKey(name)
+        rewrite(name, fencingToken, Write.Set(Keys.shard(name), RecordCodec.encode(record))) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied, is TransactionOutcome.Conflict -> settleKey(name)
                 else -> loop.after(RETRY) { takeBack(name, fencingToken) }
@@ -198,47 +198,47 @@
         }
     }
 
-    private fun rewrite(name: BlockName, fencingToken: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
-        val transaction = Transaction(listOf(Condition(Keys.block(name), Stamp(fencingToken.number))), listOf(write))
+    private fun rewrite(name: ShardName, fencingToken: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
+        val transaction = Transaction(listOf(Condition(Keys.shard(name), Stamp(fencingToken.number))), listOf(write))
         store.commit(Urgency.LEASE, transaction) { outcome ->
             done(outcome)
             if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
         }
     }
 
-    private fun settleKey(name: BlockName) = replica.fresh {
+    private fun settleKey(name: ShardName) = replica.fresh {
         keyInFlight -= name
         reconcile()
     }
 
     fun checkin(report: Report): Reply {
-        val name = blockMap.of(report.machine, report.zone)
-        val block = owned[name]
-        if (block != null && membership.mayAct) {
-            return block.checkin(report)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
+        val name = shardMap.of(report.machine, report.zone)
+        val shard = owned[name]
+        if (shard != null && membership.mayAct) {
+            return shard.checkin(report)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
         }
-        if (block != null && membership.mayKeep && !othersKnowMore()) block.keep(report)?.let { return Reply(HttpStatus.OK, it) }
+        if (shard != null && membership.mayKeep && !othersKnowMore()) shard.keep(report)?.let { return Reply(HttpStatus.OK, it) }
         return Reply(HttpStatus.MISDIRECTED, WorkerWire.sendOn(ownerElsewhere(name)))
     }
 
-    private fun ownerElsewhere(name: BlockName): MemberId? {
-        val record = replica.blocks[name]?.value ?: return null
+    private fun ownerElsewhere(name: ShardName): MemberId? {
+        val record = replica.shards[name]?.value ?: return null
         val alive = replica.members[record.member]?.value?.incarnation == record.incarnation
         return record.member.takeIf { alive && it != membership.self }
     }
 
     val machineCount: Int get() = owned.values.sumOf { it.machines.size }
 
-    fun rooms(): List<BlockRoom> = owned.values.filter { it.open }.map { it.room() }
+    fun rooms(): List<ShardCapacity> = owned.values.filter { it.open }.map { it.room() }
 
     /** Returns machines that the leader no longer needs, provided that nothing is on them. */
     fun retire(names: List<MachineName>) {
         if (!membership.mayAct) return
         val empty = names
             .mapNotNull { name ->
-                owned.values.firstNotNullOfOrNull { block ->
-                    block.machines[name]?.let {
-                        block to
+                owned.values.firstNotNullOfOrNull { shard ->
+                    shard.machines[name]?.let {
+                        shard to
                             it
                     }
                 }
@@ -255,9 +255,9 @@
         val body = CloudWire.deletion(empty.map { it.second.name })
         context.http.call(cloud, Request(Method.POST, "/machines/delete", body), DELETE_TIMEOUT) { reply ->
             val deleted = reply?.status == HttpStatus.OK
-            for ((block, machine) in empty) {
+            for ((shard, machine) in empty) {
                 machine.deleting = false
-                if (deleted && block.machines[machine.name] === machine) block.deleted(machine)
+                if (deleted && shard.machines[machine.name] === machine) shard.deleted(machine)
             }
             if (deleted) log.info("returned {}", empty.map { it.second.name })
         }
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -14,7 +14,7 @@
 import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
 
-/** Finds machines of a block for its waiting runs, and says what lower work has to make room. */
+/** Finds machines of a shard for its waiting runs, and says what lower work has to make room. */
 class Placer(
     private val types: MachineTypeCatalog,
     private val requestOf: (TaskId) -> Resources?,
--- a/src/main/kotlin/copperglade/placement/BlockPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -5,7 +5,7 @@
 import copperglade.agents.WorkerCommands
 import copperglade.membership.Membership
 import copperglade.protocol.Moment
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
@@ -14,13 +14,13 @@
 import copperglade.tasks.StopReason
 
 /**
- * Places a block's waiting runs on its machines and stops preempted work for them.
+ * Places a shard's waiting runs on its machines and stops preempted work for them.
  *
  * Invariant: nothing is placed unless [Membership.mayStart], which needs newer knowledge than keeping what runs. Guards
  * against starting tasks of a job that was cancelled meanwhile.
  */
-class BlockPlacement(
-    private val state: BlockState,
+class ShardPlacement(
+    private val state: ShardState,
     private val health: MachineHealth,
     private val lifecycle: RunLifecycle,
     private val stopper: RunStopper,
--- a/src/main/kotlin/copperglade/placement/BlockSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -1,28 +1,28 @@
 package copperglade.placement
 
 import copperglade.agents.MachineHealth
-import copperglade.protocol.BlockRoom
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.ShardCapacity
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineType
 import copperglade.protocol.Moment
 import copperglade.protocol.Resources
 import copperglade.scheduling.YieldingCapacity
 import copperglade.storage.ImageRecord
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 
 /**
- * Describes a block's machines to others: their free and preemptible capacity to the leader, their cached images to a
+ * Describes a shard's machines to others: their free and preemptible capacity to the leader, their cached images to a
  * later owner. Both are hints; whoever acts on one checks it against the records first.
  */
-class BlockSummary(private val state: BlockState, private val health: MachineHealth) {
+class ShardSummary(private val state: ShardState, private val health: MachineHealth) {
     private val context = state.context
 
     /**
-     * The capacity of the block's fenced machines. A machine whose worker has not seen our token is left out, since what
+     * The capacity of the shard's fenced machines. A machine whose worker has not seen our token is left out, since what
      * it reports may still change by a former owner's commands.
      */
-    fun room(): BlockRoom {
+    fun room(): ShardCapacity {
         val now = context.loop.now()
         val waiting = state.runs.waiting
             .filter { now >= it.notBefore && it.task.job !in context.mistakenJobs }
@@ -30,13 +30,13 @@
         val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
             context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
         }
-        return BlockRoom(state.name, state.token, rooms)
+        return ShardCapacity(state.name, state.token, rooms)
     }
 
-    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: Moment): MachineRoom {
+    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: Moment): MachineAvailability {
         val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
         val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
-        return MachineRoom(
+        return MachineAvailability(
             name = machine.name,
             type = machine.typeName,
             zone = machine.zone,
@@ -63,7 +63,7 @@
         return left
     }
 
-    /** The images of the block's machines, as many as fit into a value of [limitBytes]. */
+    /** The images of the shard's machines, as many as fit into a value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord {
         var left = limitBytes
         val known = state.machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -3,7 +3,7 @@
 import copperglade.agents.RunStopper
 import copperglade.protocol.Moment
 import copperglade.protocol.secondsSince
-import copperglade.tasks.BlockState
+import copperglade.tasks.ShardState
 import copperglade.tasks.OutcomeLog
 import copperglade.tasks.StopReason
 
@@ -11,7 +11,7 @@
  * Restarts stragglers where [StragglerWatch] finds it worth the risk. A task is restarted once at most: that it was is
  * recorded with its outcome, so that a later owner does not restart it again.
  */
-class StragglerRestarts(private val state: BlockState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
+class StragglerRestarts(private val state: ShardState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
     private val watch = StragglerWatch(state.context, state::requestOf)
 
     /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
--- a/src/main/kotlin/copperglade/placement/StragglerWatch.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerWatch.kt
@@ -11,7 +11,7 @@
 import copperglade.protocol.TaskId
 import copperglade.protocol.secondsSince
 import copperglade.tasks.Machine
-import copperglade.tasks.OwnerContext
+import copperglade.tasks.ShardContext
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
@@ -19,8 +19,8 @@
 
 class RestartDecision(val run: Run, val target: MachineName)
 
-/** Looks for stragglers in one block and weighs restarting them on another of its machines (section 6 and DESIGN). */
-class StragglerWatch(private val context: OwnerContext, private val requestOf: (TaskId) -> Resources?) {
+/** Looks for stragglers in one shard and weighs restarting them on another of its machines (section 6 and DESIGN). */
+class StragglerWatch(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
     private var nextLook = Moment.NEVER
     private var turns = 0
 
--- a/src/main/kotlin/copperglade/protocol/Ids.kt
+++ b/src/main/kotlin/copperglade/protocol/Ids.kt
@@ -45,7 +45,7 @@
 }
 
 @JvmInline
-value class BlockName(val text: String) {
+value class ShardName(val text: String) {
     override fun toString() = text
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/** The right to command a block's workers: the stamp of the block's key. */
+/** The right to command a shard's workers: the stamp of the shard's key. */
 @JvmInline
 value class FencingToken(val number: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = number.compareTo(other.number)
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -2,8 +2,8 @@
 
 import okio.Buffer
 
-/** The room on one machine, as its block's owner sees it. */
-class MachineRoom(
+/** The room on one machine, as its shard's owner sees it. */
+class MachineAvailability(
     val name: MachineName,
     val type: String,
     val zone: String,
@@ -18,10 +18,10 @@
     val yielding: List<Resources>,
     val images: List<ImageName>,
 ) {
-    fun withoutImages() = MachineRoom(name, type, zone, spot, usable, worthKeeping, idleMs, free, yielding, emptyList())
+    fun withoutImages() = MachineAvailability(name, type, zone, spot, usable, worthKeeping, idleMs, free, yielding, emptyList())
 }
 
-class BlockRoom(val block: BlockName, val fencingToken: FencingToken, val machines: List<MachineRoom>)
+class ShardCapacity(val shard: ShardName, val fencingToken: FencingToken, val machines: List<MachineAvailability>)
 
 /**
  * What a controller tells the others several times a second. Only hints: whoever acts on one checks it against the
@@ -34,9 +34,9 @@
     val cursor: Stamp,
     val stateSilentMs: Long,
     val isLeader: Boolean,
-    val blocks: List<BlockRoom>,
-    /** From the leader: blocks that it would rather see with another owner. */
-    val release: List<BlockName>,
+    val shards: List<ShardCapacity>,
+    /** From the leader: shards that it would rather see with another owner. */
+    val release: List<ShardName>,
     /** From the leader: machines that are no longer needed. */
     val retire: List<MachineName>,
     /** Changes a second that this controller would like to make in the state service. */
@@ -45,14 +45,14 @@
     /** The machines with most room, without their images, as many as fit into about [bytes]. */
     fun shortened(bytes: Int): PeerStatus {
         val most = (bytes - BYTES_BESIDE) / BYTES_A_MACHINE
-        val chosen = blocks
+        val chosen = shards
             .flatMap { it.machines }
             .filter { it.usable && it.free.cpus > 0.0 }
             .sortedByDescending { it.free.cpus }
             .take(most.coerceAtLeast(0))
             .toSet()
-        val left = blocks.map { block ->
-            BlockRoom(block.block, block.fencingToken, block.machines.filter { it in chosen }.map { it.withoutImages() })
+        val left = shards.map { shard ->
+            ShardCapacity(shard.shard, shard.fencingToken, shard.machines.filter { it in chosen }.map { it.withoutImages() })
         }
         return PeerStatus(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
@@ -92,10 +92,10 @@
         // Types, zones and images recur on hundreds of machines: they are written once and then by number.
         val words = Words()
         val rooms = Buffer()
-        rooms.items(status.blocks) { block ->
-            text(block.block.text)
-            writeLong(block.fencingToken.number)
-            items(block.machines) { machine(it, words) }
+        rooms.items(status.shards) { shard ->
+            text(shard.shard.text)
+            writeLong(shard.fencingToken.number)
+            items(shard.machines) { machine(it, words) }
         }
         out.items(words.all) { text(it) }
         out.writeAll(rooms)
@@ -118,11 +118,11 @@
                 cursor = Stamp(source.readLong()),
                 stateSilentMs = source.readLong(),
                 isLeader = source.flag(),
-                blocks = source.let {
+                shards = source.let {
                     words = it.items { text() }
-                    it.items { BlockRoom(BlockName(text()), FencingToken(readLong()), items { machine(words) }) }
+                    it.items { ShardCapacity(ShardName(text()), FencingToken(readLong()), items { machine(words) }) }
                 },
-                release = source.items { BlockName(text()) },
+                release = source.items { ShardName(text()) },
                 retire = source.items { MachineName(text()) },
                 writesWanted = Double.fromBits(source.readLong()),
             )
@@ -157,7 +157,7 @@
         fun number(word: String): Int = numbers.getOrPut(word) { numbers.size }
     }
 
-    private fun Buffer.machine(room: MachineRoom, words: Words) {
+    private fun Buffer.machine(room: MachineAvailability, words: Words) {
         text(room.name.text)
         writeInt(words.number(room.type))
         writeInt(words.number(room.zone))
@@ -173,9 +173,9 @@
         items(room.images) { writeInt(words.number(it.text)) }
     }
 
-    private fun Buffer.machine(words: List<String>): MachineRoom {
+    private fun Buffer.machine(words: List<String>): MachineAvailability {
         fun word(): String = words.getOrNull(readInt()) ?: throw IllegalArgumentException("no such word")
-        return MachineRoom(
+        return MachineAvailability(
             name = MachineName(text()),
             type = word(),
             zone = word(),
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -74,7 +74,7 @@
     /**
      * No worker's lease is renewed without its being told to end what is known to be over: each answer to a report carries the stop
      * commands for such tasks that the report shows. Either it arrives, and they end; or it doesn't, and the lease goes on running. So
-     * whatever else holds commands up (a block not open yet, a machine not fenced yet, a direct way that is broken, a right to act that
+     * whatever else holds commands up (a shard not open yet, a machine not fenced yet, a direct way that is broken, a right to act that
      * has run out), a cancelled task is gone a lease after the last answer that was given without knowing of the cancellation, and that
      * is bounded by the age of knowledge. Stop commands can be repeated and are right under any owner, since an end is final.
      */
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -2,7 +2,7 @@
 
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.membership.Leadership
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
@@ -35,7 +35,7 @@
 }
 
 /**
- * The leader's rounds: gives waiting tasks to blocks that have room, within the teams' limits, and writes that down
+ * The leader's rounds: gives waiting tasks to shards that have room, within the teams' limits, and writes that down
  * before any owner may start them. All that is assigned counts against its team's limit until its record says that it
  * is surely gone.
  */
@@ -207,7 +207,7 @@
         if (!use.team.allows(first.cpus, first.gpus)) return
         val taken = candidate.job.done.clone() as BitSet
         candidate.standing.forEach { taken.set(it.task) }
-        val zones = ZoneCount(spec, candidate.standing.map { zoneOf(it.block) })
+        val zones = ZoneCount(spec, candidate.standing.map { zoneOf(it.shard) })
         if (capacities.surelyFullFor(spec)) return keepRoom(spec, zones, capacities)
         val places = places(candidate, zones, capacities).iterator()
         val choices = ArrayList<Choice>()
@@ -241,7 +241,7 @@
      * ask for the same.
      */
     private class RoundCapacity(val all: List<CapacityTable.MachineCapacity>) {
-        val blocks: List<BlockName> = all.mapTo(LinkedHashSet()) { it.block }.toList()
+        val shards: List<ShardName> = all.mapTo(LinkedHashSet()) { it.shard }.toList()
         private val unplaced = ArrayList<JobSpec>()
 
         /** No place is left for a task of [spec]; nothing makes room in a round. */
@@ -280,7 +280,7 @@
         fun take(spec: JobSpec) = room.take(spec)
     }
 
-    private fun zoneOf(block: BlockName) = block.text.substringBeforeLast('.')
+    private fun zoneOf(shard: ShardName) = shard.text.substringBeforeLast('.')
 
     /** Lets the machine that comes closest to holding the task gather room for it. */
     private fun keepRoom(spec: JobSpec, zones: ZoneCount, capacities: RoundCapacity) {
@@ -296,7 +296,7 @@
     /** The places for a job's tasks, cheapest first, then fullest: weighed once a job, not once a task. */
     private fun places(candidate: Candidate, zones: ZoneCount, capacities: RoundCapacity): List<Place> {
         val spec = candidate.spec
-        val blocks = blocksFor(candidate, capacities)
+        val shards = shardsFor(candidate, capacities)
         val places = ArrayList<Place>()
         for (room in capacities.all) {
             if (room.kept) continue
@@ -305,7 +305,7 @@
             if (!fits && !preempts) continue
             val machine = room.machine
             if (!spec.allows(machine.type, machine.zone, machine.spot) || !zones.allows(machine.zone)) continue
-            val further = if (room.block in blocks) 0.0 else FURTHER_BLOCK_S
+            val further = if (room.shard in shards) 0.0 else FURTHER_SHARD_S
             if (fits) places += Place(room, preempts = false, cost(spec, room, preempts = false) + further)
             if (preempts) places += Place(room, preempts = true, cost(spec, room, preempts = true) + further)
         }
@@ -313,12 +313,12 @@
         return places
     }
 
-    /** Where a job's tasks had better be: few blocks have few records of it to write. */
-    private fun blocksFor(candidate: Candidate, capacities: RoundCapacity): Set<BlockName> {
-        if (candidate.standing.isNotEmpty()) return candidate.standing.mapTo(HashSet()) { it.block }
-        val all = capacities.blocks
+    /** Where a job's tasks had better be: few shards have few records of it to write. */
+    private fun shardsFor(candidate: Candidate, capacities: RoundCapacity): Set<ShardName> {
+        if (candidate.standing.isNotEmpty()) return candidate.standing.mapTo(HashSet()) { it.shard }
+        val all = capacities.shards
         val first = Math.floorMod(candidate.job.id.hashCode(), all.size)
-        return (0 until FIRST_BLOCKS).mapTo(HashSet()) { all[(first + it) % all.size] }
+        return (0 until FIRST_SHARDS).mapTo(HashSet()) { all[(first + it) % all.size] }
     }
 
     private fun cost(spec: JobSpec, room: CapacityTable.MachineCapacity, preempts: Boolean): Double {
@@ -336,9 +336,9 @@
         /** Owners' estimates are often too high by half. */
         const val HOPEFUL = 0.7
 
-        /** A further block for a job costs records in it; so much longer a fetch would be as bad. */
-        const val FURTHER_BLOCK_S = 0.4
-        const val FIRST_BLOCKS = 2
+        /** A further shard for a job costs records in it; so much longer a fetch would be as bad. */
+        const val FURTHER_SHARD_S = 0.4
+        const val FIRST_SHARDS = 2
         val HURRIED_GATHERING = 500.milliseconds
         val SHORTEST_GATHERING = 150.milliseconds
         val LONGEST_GATHERING = 1000.milliseconds
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -91,10 +91,10 @@
         val groups = standingGroups(job, page, present)
         val generation = present.lastGeneration + 1
         var frontier = present.frontier
-        for ((block, chosen) in choices.groupBy { it.room.block }) {
+        for ((shard, chosen) in choices.groupBy { it.room.shard }) {
             val fencingToken = FencingToken(
-                replica.blocks
-                    .getValue(block)
+                replica.shards
+                    .getValue(shard)
                     .stamp.number,
             )
             val again = BitSet()
@@ -102,16 +102,16 @@
             chosen.forEach { if (it.task < present.frontier) again.set(it.task) else first.set(it.task) }
             // A task that was never assigned can't have been given back, so it may share a group that stands already:
             // a group for every round would outgrow the value.
-            val joined = groups.indexOfFirst { it.block == block && it.fencingToken == fencingToken }
+            val joined = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
             if (!first.isEmpty && joined >= 0) {
                 val group = groups[joined]
                 val tasks = group.tasks.clone() as BitSet
                 tasks.or(first)
-                groups[joined] = AssignmentGroup(block, fencingToken, group.generation, tasks)
+                groups[joined] = AssignmentGroup(shard, fencingToken, group.generation, tasks)
             } else {
                 again.or(first)
             }
-            if (!again.isEmpty) groups += AssignmentGroup(block, fencingToken, generation, again)
+            if (!again.isEmpty) groups += AssignmentGroup(shard, fencingToken, generation, again)
             frontier = maxOf(frontier, chosen.maxOf { it.task } + 1)
         }
         val recalled = present.recalled.clone() as BitSet
@@ -125,12 +125,12 @@
         for (group in present.groups) {
             val tasks = group.tasks.clone() as BitSet
             tasks.andNot(job.done)
-            job.works[WorkPlace(page, group.block)]
+            job.works[WorkPlace(page, group.shard)]
                 ?.value
                 ?.returned
                 ?.get(group.generation)
                 ?.let(tasks::andNot)
-            if (!tasks.isEmpty) groups += AssignmentGroup(group.block, group.fencingToken, group.generation, tasks)
+            if (!tasks.isEmpty) groups += AssignmentGroup(group.shard, group.fencingToken, group.generation, tasks)
         }
         return groups
     }
@@ -140,7 +140,7 @@
         val chosen = HashMap<JobPage, List<Choice>>()
         for (place in decisions.places) {
             val choices = decisions.choices[place].orEmpty()
-            if (choices.any { it.room.block !in replica.blocks }) continue
+            if (choices.any { it.room.shard !in replica.shards }) continue
             val fitting = fittingPage(place, choices, decisions.recalls[place]) ?: continue
             changes[place] = fitting.bytes
             chosen[place] = fitting.choices
@@ -191,7 +191,7 @@
         conditions += packedWrite.condition
         for ((place, chosen) in choices) {
             conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveStamp())
-            chosen.mapTo(conditions) { Condition(Keys.block(it.room.block), replica.blocks.getValue(it.room.block).stamp) }
+            chosen.mapTo(conditions) { Condition(Keys.shard(it.room.shard), replica.shards.getValue(it.room.shard).stamp) }
         }
         if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
@@ -213,7 +213,7 @@
                     settled(packedWrite, counts)
                 }
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(packedWrite, counts) }
-                // Somebody cancelled, a block changed hands: surely not applied, but what stood in the way must be known.
+                // Somebody cancelled, a shard changed hands: surely not applied, but what stood in the way must be known.
                 is TransactionOutcome.Conflict -> replica.fresh { if (spell == term) settled(packedWrite, counts) }
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Too many jobs or blocks for one transaction: the first half of them now, the others in a later round. */
+    /** Too many jobs or shards for one transaction: the first half of them now, the others in a later round. */
     private fun commitPart(choices: Map<JobPage, List<Choice>>) {
         val part = firstHalf(choices)
         if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
--- a/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -1,21 +1,21 @@
 package copperglade.scheduling
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.Resources
 import copperglade.protocol.Stamp
-import copperglade.shards.BlockMap
+import copperglade.shards.ShardMap
 import copperglade.storage.Replica
 
 /** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
-class CapacityTable(private val replica: Replica, private val blockMap: BlockMap) {
+class CapacityTable(private val replica: Replica, private val shardMap: ShardMap) {
     private class Reservation(val stamp: Stamp, val request: Resources)
 
-    class MachineCapacity(val block: BlockName, val machine: MachineRoom, var free: Resources, yielding: List<Resources>) {
+    class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, var free: Resources, yielding: List<Resources>) {
         private val yielding = YieldingCapacity(yielding)
 
         /** Whether [spec] could be given room by stopping what is of lower priority. */
@@ -33,18 +33,18 @@
 
     private val reservations = HashMap<MachineName, MutableList<Reservation>>()
 
-    /** The capacity of the machines of all blocks whose owners have been heard lately. */
+    /** The capacity of the machines of all shards whose owners have been heard lately. */
     fun capacities(statusOf: (MemberId) -> PeerStatus?): List<MachineCapacity> {
         val capacities = ArrayList<MachineCapacity>()
-        for (block in blockMap.all) {
-            val record = replica.blocks[block] ?: continue
+        for (shard in shardMap.all) {
+            val record = replica.shards[shard] ?: continue
             val status = statusOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
             val room =
-                status.blocks.firstOrNull { it.block == block && it.fencingToken.number == record.stamp.number } ?: continue
+                status.shards.firstOrNull { it.shard == shard && it.fencingToken.number == record.stamp.number } ?: continue
             for (machine in room.machines) {
                 val unconfirmed = unconfirmedReservations(machine.name, status.cursor)
                 val free = unconfirmed.fold(machine.free) { left, reservation -> left - reservation.request }
-                capacities += MachineCapacity(block, machine, free, machine.yielding)
+                capacities += MachineCapacity(shard, machine, free, machine.yielding)
             }
         }
         return capacities
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -47,7 +47,7 @@
             stalenessMargin = reader.seconds("hold.margin.s", usual.stalenessMargin, 0.5..60.0),
             sessionLeasePart = reader.number("hold.part-of-lease", usual.sessionLeasePart, 0.1..10.0),
             leaderLease = reader.seconds("lead.hold.s", usual.leaderLease, 1.0..60.0),
-            blocksPerZone = reader.whole("blocks.per-zone", usual.blocksPerZone, 0..64),
+            shardsPerZone = reader.whole("blocks.per-zone", usual.shardsPerZone, 0..64),
             stragglerMargin = reader.number("straggler.margin", usual.stragglerMargin, 1.0..100.0),
             nearestProfiles = reader.whole("profiles.nearest", usual.nearestProfiles, 1..1000),
             fittingSteps = reader.whole("profiles.fitting-steps", usual.fittingSteps, 0..100),
--- a/src/main/kotlin/copperglade/settings/Tuning.kt
+++ b/src/main/kotlin/copperglade/settings/Tuning.kt
@@ -10,7 +10,7 @@
     val stalenessMargin: Duration = USUAL_STALENESS_MARGIN,
     val sessionLeasePart: Double = 0.55,
     val leaderLease: Duration = 2500.milliseconds,
-    val blocksPerZone: Int = 0,
+    val shardsPerZone: Int = 0,
     val stragglerMargin: Double = 1.0,
     val nearestProfiles: Int = 8,
     val fittingSteps: Int = 4,
--- a/src/main/kotlin/copperglade/shards/Blocks.kt
+++ b/src/main/kotlin/copperglade/shards/ShardMap.kt
@@ -2,12 +2,12 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.LeaseEndorsement
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.Moment
 import copperglade.protocol.Stamp
-import copperglade.storage.BlockRecord
+import copperglade.storage.ShardRecord
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -22,21 +22,21 @@
 import kotlin.time.Duration.Companion.seconds
 import org.slf4j.LoggerFactory
 
-/** Which block a machine belongs to: a pure function, so that a machine needs no record and has exactly one block. */
-class BlockMap(private val zones: List<String>, private val perZone: Int) {
-    val all: List<BlockName> = zones.flatMap { zone -> (0 until perZone).map { BlockName("$zone.$it") } }
+/** Which shard a machine belongs to: a pure function, so that a machine needs no record and has exactly one shard. */
+class ShardMap(private val zones: List<String>, private val perZone: Int) {
+    val all: List<ShardName> = zones.flatMap { zone -> (0 until perZone).map { ShardName("$zone.$it") } }
 
-    fun of(machine: MachineName, zone: String): BlockName {
+    fun of(machine: MachineName, zone: String): ShardName {
         // Names are numbered in order of rental: machines of one rental spread evenly over the slots.
         val number =
             machine.text
                 .takeLastWhile { it.isDigit() }
                 .takeLast(NUMBER_DIGITS)
                 .toIntOrNull() ?: machine.text.hashCode()
-        return BlockName("$zone.${Math.floorMod(number, perZone)}")
+        return ShardName("$zone.${Math.floorMod(number, perZone)}")
     }
 
-    fun zoneOf(block: BlockName): String = block.text.substringBeforeLast('.')
+    fun zoneOf(shard: ShardName): String = shard.text.substringBeforeLast('.')
 
     private companion object {
         const val NUMBER_DIGITS = 9
@@ -44,32 +44,32 @@
 }
 
 /**
- * The leader's hand in who owns which block. A block is granted anew only when its holder's incarnation is gone from the
+ * The leader's hand in who owns which shard. A shard is granted anew only when its holder's incarnation is gone from the
  * member key, which is a condition of the same transaction, or when the holder has given it up.
  */
-class BlockGranter(
+class ShardAssigner(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
-    private val blocks: BlockMap,
+    private val shards: ShardMap,
     private val zoneOfMember: Map<MemberId, String>,
     private val leaseEndorsement: LeaseEndorsement,
-    /** How long a block stays with a new owner, however uneven the blocks are dealt out. */
+    /** How long a shard stays with a new owner, however uneven the shards are dealt out. */
     private val settling: Duration,
 ) {
-    private val inFlight = HashSet<BlockName>()
+    private val inFlight = HashSet<ShardName>()
 
-    /** The last grant of each block, and since when it is known. */
-    private val grants = HashMap<BlockName, Grant>()
+    /** The last grant of each shard, and since when it is known. */
+    private val grants = HashMap<ShardName, Grant>()
 
     private class Grant(val stamp: Stamp, val since: Moment)
 
-    /** Members that hear no workers, and until when they are given no blocks. */
+    /** Members that hear no workers, and until when they are given no shards. */
     private val unheardUntil = HashMap<MemberId, Moment>()
 
-    /** Blocks whose owners should give them up, so that every member has its part. */
-    var release: List<BlockName> = emptyList()
+    /** Shards whose owners should give them up, so that every member has its part. */
+    var release: List<ShardName> = emptyList()
         private set
 
     fun round() {
@@ -77,39 +77,39 @@
         if (!patience) return
         observeGrants()
         val now = loop.now()
-        replica.blocks.values
+        replica.shards.values
             .filter { it.value.givenUp }
             .forEach { unheardUntil[it.value.member] = now + UNHEARD }
         val hearing = replica.members.keys.filter { now >= (unheardUntil[it] ?: Moment.NEVER) }
         val load = hearing.ifEmpty { replica.members.keys }.associateWithTo(HashMap()) { 0 }
-        val orphans = ArrayList<BlockName>()
-        for (block in blocks.all) {
-            val owner = ownerOf(block)
-            if (owner == null) orphans += block else load.computeIfPresent(owner) { _, blocks -> blocks + 1 }
+        val orphans = ArrayList<ShardName>()
+        for (shard in shards.all) {
+            val owner = ownerOf(shard)
+            if (owner == null) orphans += shard else load.computeIfPresent(owner) { _, shards -> shards + 1 }
         }
-        for (block in orphans) {
-            if (block in inFlight) continue
-            val holder = replica.blocks[block]?.value?.member
-            val left = replica.blocks[block]?.value?.givenUp ?: false
+        for (shard in orphans) {
+            if (shard in inFlight) continue
+            val holder = replica.shards[shard]?.value?.member
+            val left = replica.shards[shard]?.value?.givenUp ?: false
             if (!left && holder != null && holder !in replica.members && !leaseEndorsement.mayGrantAway(holder)) continue
-            val chosen = choose(block, load) ?: continue
+            val chosen = choose(shard, load) ?: continue
             load.merge(chosen, 1, Int::plus)
-            grant(block, chosen)
+            grant(shard, chosen)
         }
         release = if (orphans.isEmpty()) balance(load) else emptyList()
     }
 
-    fun ownerOf(block: BlockName): MemberId? {
-        val record = replica.blocks[block]?.value ?: return null
+    fun ownerOf(shard: ShardName): MemberId? {
+        val record = replica.shards[shard]?.value ?: return null
         return record.member.takeIf { replica.members[it]?.value?.incarnation == record.incarnation }
     }
 
     /** The former owner where it lives again: it knows the machines' ways to it. Else whoever has least. */
-    private fun choose(block: BlockName, load: Map<MemberId, Int>): MemberId? {
-        val former = replica.blocks[block]?.value?.member
-        val fair = (blocks.all.size + load.size - 1) / load.size.coerceAtLeast(1)
+    private fun choose(shard: ShardName, load: Map<MemberId, Int>): MemberId? {
+        val former = replica.shards[shard]?.value?.member
+        val fair = (shards.all.size + load.size - 1) / load.size.coerceAtLeast(1)
         if (former != null && former in load && load.getValue(former) < fair) return former
-        val zone = blocks.zoneOf(block)
+        val zone = shards.zoneOf(shard)
         return load.keys.minWithOrNull(
             compareBy<MemberId> { load.getValue(it) }
                 .thenBy { if (zoneOfMember[it] == zone) 0 else 1 }
@@ -117,43 +117,43 @@
         )
     }
 
-    private fun balance(load: Map<MemberId, Int>): List<BlockName> {
+    private fun balance(load: Map<MemberId, Int>): List<ShardName> {
         val most = load.maxByOrNull { it.value } ?: return emptyList()
         val least = load.values.min()
         if (most.value - least < 2) return emptyList()
-        return listOfNotNull(blocks.all.lastOrNull { ownerOf(it) == most.key && isSettled(it) })
+        return listOfNotNull(shards.all.lastOrNull { ownerOf(it) == most.key && isSettled(it) })
     }
 
     /**
-     * Whether [block] has been with its owner for a while. Tasks that a new owner has not found yet may start only when the
+     * Whether [shard] has been with its owner for a while. Tasks that a new owner has not found yet may start only when the
      * workers' leases are over, counted from the grant: handed on in that time, they would wait once more.
      */
-    private fun isSettled(block: BlockName): Boolean = grants[block]?.let { loop.now() >= it.since + settling } ?: false
+    private fun isSettled(shard: ShardName): Boolean = grants[shard]?.let { loop.now() >= it.since + settling } ?: false
 
     private fun observeGrants() {
         val now = loop.now()
-        for ((block, record) in replica.blocks) {
-            if (grants[block]?.stamp != record.stamp) grants[block] = Grant(record.stamp, now)
+        for ((shard, record) in replica.shards) {
+            if (grants[shard]?.stamp != record.stamp) grants[shard] = Grant(record.stamp, now)
         }
     }
 
-    private fun grant(block: BlockName, to: MemberId) {
+    private fun grant(shard: ShardName, to: MemberId) {
         val member = replica.members[to] ?: return
-        val present = replica.blocks[block]
+        val present = replica.shards[shard]
         val conditions = ArrayList<Condition>()
         conditions += leadership.condition
         conditions += Condition(Keys.member(to), member.stamp)
-        conditions += Condition(Keys.block(block), present?.stamp ?: Stamp.ABSENT)
+        conditions += Condition(Keys.shard(shard), present?.stamp ?: Stamp.ABSENT)
         present?.value?.takeIf { it.member != to && !it.givenUp }?.member?.let { holder ->
             conditions += Condition(Keys.member(holder), replica.members[holder]?.stamp ?: Stamp.ABSENT)
         }
-        val record = RecordCodec.encode(BlockRecord(to, member.value.incarnation))
-        val transaction = Transaction(conditions, listOf(Write.Set(Keys.block(block), record)))
-        inFlight += block
+        val record = RecordCodec.encode(ShardRecord(to, member.value.incarnation))
+        val transaction = Transaction(conditions, listOf(Write.Set(Keys.shard(shard), record)))
+        inFlight += shard
         store.commit(Urgency.LEASE, transaction) { outcome ->
-            inFlight -= block
+            inFlight -= shard
             if (outcome is TransactionOutcome.Applied) {
-                log.info("block {} granted to {} with baton {}", block, to, outcome.stamp)
+                log.info("block {} granted to {} with baton {}", shard, to, outcome.stamp)
                 replica.applied(transaction, outcome.stamp)
             }
         }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -1,6 +1,6 @@
 package copperglade.storage
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
@@ -10,7 +10,7 @@
 import java.util.BitSet
 
 /** One task's standing assignment. */
-class Assignment(val task: Int, val block: BlockName, val fencingToken: FencingToken, val generation: Int, val recalled: Boolean)
+class Assignment(val task: Int, val shard: ShardName, val fencingToken: FencingToken, val generation: Int, val recalled: Boolean)
 
 /** A part of a packed record, and which record that is. */
 class PackedPart<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
@@ -127,11 +127,11 @@
         val found = ArrayList<Assignment>()
         for ((number, page) in pageRecords) {
             for (group in page.value.groups) {
-                val returned = workRecords[WorkPlace(number, group.block)]?.value?.returned?.get(group.generation)
+                val returned = workRecords[WorkPlace(number, group.shard)]?.value?.returned?.get(group.generation)
                 var task = group.tasks.nextSetBit(0)
                 while (task >= 0) {
                     if (!done.get(task) && returned?.get(task) != true) {
-                        found += Assignment(task, group.block, group.fencingToken, group.generation, page.value.recalled.get(task))
+                        found += Assignment(task, group.shard, group.fencingToken, group.generation, page.value.recalled.get(task))
                     }
                     task = group.tasks.nextSetBit(task + 1)
                 }
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -42,17 +42,17 @@
     /** The leader's packed records: each holds the assignments of several jobs' pages. */
     fun assignmentRecords(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
 
-    /** A block's packed records: each holds what became of several jobs' pages in that block. */
-    fun outcomeRecords(block: BlockName) = "${NOW}work/$block/"
+    /** A shard's packed records: each holds what became of several jobs' pages in that shard. */
+    fun outcomeRecords(shard: ShardName) = "${NOW}work/$shard/"
 
-    fun block(name: BlockName) = "${NOW}block/$name"
+    fun shard(name: ShardName) = "${NOW}block/$name"
 
     fun member(id: MemberId) = "${NOW}member/$id"
 
     /** What a member would tell the leader of its room, while it can't reach it. */
     fun room(id: MemberId) = "${NOW}room/$id"
 
-    fun images(block: BlockName) = "${NOW}images/$block"
+    fun images(shard: ShardName) = "${NOW}images/$shard"
 
     fun over(job: JobId) = "$OVER$job"
 
@@ -64,9 +64,9 @@
         return when (parts[0]) {
             "live" -> JobId.parse(parts[1])?.let { ParsedKey.Live(it) }
             "task" -> ParsedKey.Assignments
-            "work" -> ParsedKey.Outcomes(BlockName(parts[1]))
-            "block" -> ParsedKey.Block(BlockName(parts[1]))
-            "images" -> ParsedKey.Images(BlockName(parts[1]))
+            "work" -> ParsedKey.Outcomes(ShardName(parts[1]))
+            "block" -> ParsedKey.Shard(ShardName(parts[1]))
+            "images" -> ParsedKey.Images(ShardName(parts[1]))
             "room" -> ParsedKey.Room(MemberId(parts[1]))
             "member" -> ParsedKey.Member(MemberId(parts[1]))
             else -> null
@@ -74,8 +74,8 @@
     }
 }
 
-/** A page's tasks in a block. */
-data class WorkPlace(val page: Int, val block: BlockName)
+/** A page's tasks in a shard. */
+data class WorkPlace(val page: Int, val shard: ShardName)
 
 /** A page of a job, as a packed record names it: `job-000412/0`. */
 data class JobPage(val job: JobId, val page: Int) {
@@ -94,15 +94,15 @@
 
     data object Assignments : ParsedKey
 
-    class Outcomes(val block: BlockName) : ParsedKey
+    class Outcomes(val shard: ShardName) : ParsedKey
 
     class Over(val job: JobId) : ParsedKey
 
-    class Block(val name: BlockName) : ParsedKey
+    class Shard(val name: ShardName) : ParsedKey
 
     class Member(val id: MemberId) : ParsedKey
 
-    class Images(val block: BlockName) : ParsedKey
+    class Images(val shard: ShardName) : ParsedKey
 
     class Room(val id: MemberId) : ParsedKey
 }
--- a/src/main/kotlin/copperglade/storage/PackedParts.kt
+++ b/src/main/kotlin/copperglade/storage/PackedParts.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 
 /** How the parts of one sort of packed record are kept with their jobs. */
 internal interface PackedParts {
@@ -21,11 +21,11 @@
     override fun remove(job: Job, page: Int) = job.setPage(page, null)
 }
 
-internal class OutcomeParts(private val block: BlockName) : PackedParts {
-    override fun present(job: Job, page: Int) = job.works[WorkPlace(page, block)]
+internal class OutcomeParts(private val shard: ShardName) : PackedParts {
+    override fun present(job: Job, page: Int) = job.works[WorkPlace(page, shard)]
 
     override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
-        job.setWork(WorkPlace(page, block), PackedPart(RecordCodec.decodeWork(value), recordKey, RecordCodec::encode))
+        job.setWork(WorkPlace(page, shard), PackedPart(RecordCodec.decodeWork(value), recordKey, RecordCodec::encode))
 
-    override fun remove(job: Job, page: Int) = job.setWork(WorkPlace(page, block), null)
+    override fun remove(job: Job, page: Int) = job.setWork(WorkPlace(page, shard), null)
 }
--- a/src/main/kotlin/copperglade/storage/Ranges.kt
+++ b/src/main/kotlin/copperglade/storage/Ranges.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -51,7 +51,7 @@
             array("g") {
                 for (group in record.groups) {
                     writeStartArray()
-                    writeString(group.block.text)
+                    writeString(group.shard.text)
                     writeNumber(group.fencingToken.number)
                     writeNumber(group.generation)
                     writeString(Ranges.format(group.tasks))
@@ -68,7 +68,7 @@
     fun decodePage(node: JsonNode): AssignmentPage {
         val groups = node.get("g").map {
             AssignmentGroup(
-                BlockName(it[0].asText()),
+                ShardName(it[0].asText()),
                 FencingToken(it[1].asLong()),
                 it[2].asInt(),
                 Ranges.parse(it[3].asText()),
@@ -125,16 +125,16 @@
         return EndRecord(status, (node.long("done") ?: 0).toInt())
     }
 
-    fun encode(record: BlockRecord): ByteArray = holder(record.member, record.incarnation)
+    fun encode(record: ShardRecord): ByteArray = holder(record.member, record.incarnation)
 
-    fun decodeBlock(node: JsonNode): BlockRecord? {
+    fun decodeShard(node: JsonNode): ShardRecord? {
         val member = MemberId(node.text("member") ?: return null)
-        return BlockRecord(member, Incarnation(node.long("inc") ?: return null))
+        return ShardRecord(member, Incarnation(node.long("inc") ?: return null))
     }
 
     fun encode(record: LeaderRecord): ByteArray = holder(record.member, record.incarnation)
 
-    fun decodeLeader(node: JsonNode): LeaderRecord? = decodeBlock(node)?.let { LeaderRecord(it.member, it.incarnation) }
+    fun decodeLeader(node: JsonNode): LeaderRecord? = decodeShard(node)?.let { LeaderRecord(it.member, it.incarnation) }
 
     fun encode(record: ImageRecord): ByteArray = Json.write {
         obj {
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -8,7 +8,7 @@
 
 /**
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
- * for each page, its outcome in each block and a deletion for each of them, the grown print shop's budget was spent on a
+ * for each page, its outcome in each shard and a deletion for each of them, the grown print shop's budget was spent on a
  * quarter of its jobs.
  *
  * A changed page stays in its packed record as long as that has room. Otherwise it is written to another packed record,
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -38,13 +38,13 @@
 }
 
 /**
- * Tasks that the leader gave to a block.
+ * Tasks that the leader gave to a shard.
  *
- * @property fencingToken the block's stamp at that time: an owner that still holds it knows that nobody before it can have
+ * @property fencingToken the shard's stamp at that time: an owner that still holds it knows that nobody before it can have
  * started these tasks.
- * @property generation tells apart repeated assignments of a task to the same block.
+ * @property generation tells apart repeated assignments of a task to the same shard.
  */
-class AssignmentGroup(val block: BlockName, val fencingToken: FencingToken, val generation: Int, val tasks: BitSet)
+class AssignmentGroup(val shard: ShardName, val fencingToken: FencingToken, val generation: Int, val tasks: BitSet)
 
 /** A part of a packed record that says how often it was changed: what has the same number is the same. */
 interface Versioned {
@@ -71,10 +71,10 @@
 }
 
 /**
- * What became of a page's tasks in one block; written by the block's owner alone.
+ * What became of a page's tasks in one shard; written by the shard's owner alone.
  *
- * @property returned by generation, the tasks that are surely on no machine of the block any more.
- * @property mistaken whether the block's owner has found that the job fails on whichever machine it runs.
+ * @property returned by generation, the tasks that are surely on no machine of the shard any more.
+ * @property mistaken whether the shard's owner has found that the job fails on whichever machine it runs.
  */
 class WorkRecord(
     val done: BitSet,
@@ -90,8 +90,8 @@
 
 class EndRecord(val status: JobStatus, val tasksDone: Int)
 
-/** Who owns a block; the stamp of the record is the fencing token of the block's workers. */
-data class BlockRecord(val member: MemberId, val incarnation: Incarnation) {
+/** Who owns a shard; the stamp of the record is the fencing token of the shard's workers. */
+data class ShardRecord(val member: MemberId, val incarnation: Incarnation) {
     /** Nobody owns it: [member] gave it up and had better not get it back at once. */
     val givenUp: Boolean get() = incarnation == NO_LIFE
 
@@ -99,11 +99,11 @@
         /** The state service's leases are numbered from 1. */
         private val NO_LIFE = Incarnation(0)
 
-        fun givenUpBy(member: MemberId) = BlockRecord(member, NO_LIFE)
+        fun givenUpBy(member: MemberId) = ShardRecord(member, NO_LIFE)
     }
 }
 
-/** Which images the machines of a block are known to hold: only a hint, so that a new owner places as well as the last. */
+/** Which images the machines of a shard are known to hold: only a hint, so that a new owner places as well as the last. */
 class ImageRecord(val byMachine: Map<MachineName, List<ImageName>>)
 
 data class MemberRecord(val incarnation: Incarnation)
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.Decoding
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
@@ -59,9 +59,9 @@
     /** All readers together take at most half of the service's requests. */
     private val pace = maxOf(SHORTEST_PACE, (readers / (store.limits.requestsPerS * READING_SHARE)).seconds)
     val jobs = HashMap<JobId, Job>()
-    val blocks = HashMap<BlockName, Stamped<BlockRecord>>()
+    val shards = HashMap<ShardName, Stamped<ShardRecord>>()
     val members = HashMap<MemberId, Stamped<MemberRecord>>()
-    val images = HashMap<BlockName, Stamped<ImageRecord>>()
+    val images = HashMap<ShardName, Stamped<ImageRecord>>()
     var leader: Stamped<LeaderRecord>? = null
         private set
     private val endedJobs = EndedJobs(loop, store, pace, mostEnded) { id ->
@@ -151,7 +151,7 @@
 
     private fun forget() {
         jobs.clear()
-        blocks.clear()
+        shards.clear()
         members.clear()
         images.clear()
         packedRecordTable.clear()
@@ -308,18 +308,18 @@
                 if (stamp > job.liveStamp()) decoded { RecordCodec.decodeLive(value) }?.let { job.live = Stamped(it, stamp) }
             }
             ParsedKey.Assignments -> packedRecordTable.put(key, value, stamp, AssignmentParts, TouchedJobs(touched))
-            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, stamp, OutcomeParts(parsed.block), TouchedJobs(touched))
+            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, stamp, OutcomeParts(parsed.shard), TouchedJobs(touched))
             is ParsedKey.Over -> rememberEnd(parsed.job, value, touched)
-            is ParsedKey.Block -> if (newer(stamp, blocks[parsed.name])) {
+            is ParsedKey.Shard -> if (newer(stamp, shards[parsed.name])) {
                 touched.standing = true
-                decoded { RecordCodec.decodeBlock(value) }?.let { blocks[parsed.name] = Stamped(it, stamp) }
+                decoded { RecordCodec.decodeShard(value) }?.let { shards[parsed.name] = Stamped(it, stamp) }
             }
             is ParsedKey.Member -> if (newer(stamp, members[parsed.id])) {
                 touched.standing = true
                 decoded { RecordCodec.decodeMember(value) }?.let { members[parsed.id] = Stamped(it, stamp) }
             }
-            is ParsedKey.Images -> if (newer(stamp, images[parsed.block])) {
-                decoded { RecordCodec.decodeImages(value) }?.let { images[parsed.block] = Stamped(it, stamp) }
+            is ParsedKey.Images -> if (newer(stamp, images[parsed.shard])) {
+                decoded { RecordCodec.decodeImages(value) }?.let { images[parsed.shard] = Stamped(it, stamp) }
             }
             is ParsedKey.Room -> decoded { RecordCodec.decodePeerStatus(value) }?.let { touched.peerStatuses += it }
             ParsedKey.Leader -> if (newer(stamp, leader)) {
@@ -343,17 +343,17 @@
             null, is ParsedKey.Over, is ParsedKey.Room -> return
             is ParsedKey.Live -> editJob(parsed.job, touched) { if (older(it.live, stamp)) it.live = null }
             ParsedKey.Assignments -> packedRecordTable.drop(key, stamp, AssignmentParts, TouchedJobs(touched))
-            is ParsedKey.Outcomes -> packedRecordTable.drop(key, stamp, OutcomeParts(parsed.block), TouchedJobs(touched))
-            is ParsedKey.Block -> if (older(blocks[parsed.name], stamp)) {
+            is ParsedKey.Outcomes -> packedRecordTable.drop(key, stamp, OutcomeParts(parsed.shard), TouchedJobs(touched))
+            is ParsedKey.Shard -> if (older(shards[parsed.name], stamp)) {
                 touched.standing = true
-                blocks.remove(parsed.name)
+                shards.remove(parsed.name)
             }
             is ParsedKey.Member -> if (older(members[parsed.id], stamp)) {
                 touched.standing = true
                 touched.membersGone += parsed.id
                 members.remove(parsed.id)
             }
-            is ParsedKey.Images -> if (older(images[parsed.block], stamp)) images.remove(parsed.block)
+            is ParsedKey.Images -> if (older(images[parsed.shard], stamp)) images.remove(parsed.shard)
             ParsedKey.Leader -> if (older(leader, stamp)) {
                 touched.standing = true
                 leader = null
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -28,7 +28,7 @@
     val actsUntil: Moment?,
 )
 
-/** A machine of a block, as its worker last described it. */
+/** A machine of a shard, as its worker last described it. */
 class Machine(
     val name: MachineName,
     val zone: String,
--- a/src/main/kotlin/copperglade/tasks/MistakenJobs.kt
+++ b/src/main/kotlin/copperglade/tasks/MistakenJobs.kt
@@ -8,7 +8,7 @@
  * Which jobs are taken for mistaken: arrays that fail wherever they run and of which no task was ever completed. Of such a job
  * one task is tried at a time, with growing pauses, until its user cancels it or a task is completed after all.
  *
- * What an owner has found out stands in the records of its block's outcomes, so the leader and later owners know it too.
+ * What an owner has found out stands in the records of its shard's outcomes, so the leader and later owners know it too.
  */
 class MistakenJobs(private val replica: Replica, private val evidence: FailureEvidence) {
     operator fun contains(id: JobId): Boolean {
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -1,6 +1,6 @@
 package copperglade.tasks
 
-import copperglade.ownership.BlockOwner
+import copperglade.ownership.ShardOwner
 import copperglade.protocol.Moment
 import copperglade.protocol.Stamp
 import copperglade.storage.AssignmentPage
@@ -24,7 +24,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Writes down what became of a block's tasks. Outcomes of many jobs share a packed record, and are gathered first: for
+ * Writes down what became of a shard's tasks. Outcomes of many jobs share a packed record, and are gathered first: for
  * longer the scarcer the write budget, and for longest while the page has more tasks to come here. Until it is written
  * down that a task is done, its entry stays on its machine, so that a new owner finds it.
  */
@@ -32,7 +32,7 @@
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val owner: BlockOwner,
+    private val owner: ShardOwner,
 ) {
     private val packer = RecordPacker(
         replica,
@@ -47,7 +47,7 @@
     /** Pages with tasks given back, which somebody else could run. */
     private val hasty = HashSet<JobPage>()
 
-    /** A transaction's conditions are the block, the packed record and a job for each page. */
+    /** A transaction's conditions are the shard, the packed record and a job for each page. */
     private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
 
     fun record(run: Run) {
@@ -85,7 +85,7 @@
         packer.pack(changes).forEach(::write)
     }
 
-    private fun ownership() = Condition(Keys.block(owner.name), Stamp(owner.fencingToken.number))
+    private fun ownership() = Condition(Keys.shard(owner.name), Stamp(owner.fencingToken.number))
 
     private fun moreToCome(place: JobPage): Boolean = owner.runsOf(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
 
@@ -151,7 +151,7 @@
     private fun stillNeeded(returned: Map<Int, BitSet>, page: AssignmentPage?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in page?.groups.orEmpty()) {
-            if (group.block != owner.name) continue
+            if (group.shard != owner.name) continue
             val tasks = (returned[group.generation] ?: continue).clone() as BitSet
             tasks.and(group.tasks)
             if (!tasks.isEmpty) needed[group.generation] = tasks
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -32,7 +32,7 @@
 
 enum class StopReason { CANCELLED, RECALLED, PREEMPTED, DRAINED, RESTARTED }
 
-/** A task that is assigned to a block, as its owner follows it. */
+/** A task that is assigned to a shard, as its owner follows it. */
 class Run(
     val task: TaskId,
     spec: JobSpec,
@@ -77,7 +77,7 @@
     val awaitsVictims: Boolean get() = victims.any { it.state == RunState.STOPPING }
 
     /**
-     * Whether it is being stopped for another run that still waits. Were it reckoned with for a second one, a block's tasks would
+     * Whether it is being stopped for another run that still waits. Were it reckoned with for a second one, a shard's tasks would
      * be stopped one after the other, each for all that wait.
      */
     val isPledged: Boolean get() = yieldsTo?.state == RunState.WAITING
--- a/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
@@ -6,7 +6,7 @@
  * Invariant: a run becomes [RunState.WAITING] or [RunState.GONE] only when its task is certainly on no machine. This
  * guards against a task that runs twice.
  */
-class RunLifecycle(private val state: BlockState, private val outcomes: OutcomeLog) {
+class RunLifecycle(private val state: ShardState, private val outcomes: OutcomeLog) {
     private val loop = state.context.loop
 
     /** Ends [run] as [RunState.DONE] or [RunState.GONE], and has that recorded. */
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -6,7 +6,7 @@
 import copperglade.storage.Keys
 
 /**
- * The runs of a block, by task and, where that is asked for all the time, by state. With hundreds of runs on a hundred
+ * The runs of a shard, by task and, where that is asked for all the time, by state. With hundreds of runs on a hundred
  * machines, looking through all of them ten times a second for the few that wait was a tenth of a fleet day's processor.
  */
 class RunTable {
--- a/src/main/kotlin/copperglade/tasks/OwnerContext.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardContext.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What the block owners of one process share. */
-class OwnerContext(
+/** What the shard owners of one process share. */
+class ShardContext(
     val loop: EventLoop,
     val http: HttpCaller,
     val replica: Replica,
@@ -31,7 +31,7 @@
     val guard: ActionGuard,
     val decisions: DecisionLog,
 ) {
-    /** One for all blocks of the process: the more machines are seen, the sooner a mistaken job is known. */
+    /** One for all shards of the process: the more machines are seen, the sooner a mistaken job is known. */
     val evidence = FailureEvidence(tuning.machinesToBlameJob)
     val mistakenJobs = MistakenJobs(replica, evidence)
 
--- a/src/main/kotlin/copperglade/tasks/BlockState.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardState.kt
@@ -1,21 +1,21 @@
 package copperglade.tasks
 
 import copperglade.protocol.Attempt
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 
 /**
- * What the parts of one block's owner share: the block's fencing tokens, its runs and its machines.
+ * What the parts of one shard's owner share: the shard's fencing tokens, its runs and its machines.
  *
  * Invariants: [token] is always one of our own, and never lower than [firstToken]; attempt numbers are never used twice
  * under one token.
  */
-class BlockState(
-    val context: OwnerContext,
-    val name: BlockName,
+class ShardState(
+    val context: ShardContext,
+    val name: ShardName,
     /** The fencing token of our grant. What a worker says after it has seen this one or a higher one is final. */
     val firstToken: FencingToken,
 ) {
@@ -25,14 +25,14 @@
     val runs = RunTable()
     val machines = HashMap<MachineName, Machine>()
 
-    /** When this owner was made. The block's former owner may have answered workers until then. */
+    /** When this owner was made. The shard's former owner may have answered workers until then. */
     val grantedAt = loop.now()
 
     /** The token under which commands go out now. */
     var token = firstToken
         private set
 
-    /** Nothing is commanded until the records are known to be as new as the grant, nor once the block is given up. */
+    /** Nothing is commanded until the records are known to be as new as the grant, nor once the shard is given up. */
     var open = false
 
     /** Whether [token] is one of those that this owner has had: what bears it was assigned or commanded under our grant. */
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -21,7 +21,7 @@
 import copperglade.sim.Simulation
 import copperglade.standin.StandInState
 import copperglade.storage.AssignmentPage
-import copperglade.storage.BlockRecord
+import copperglade.storage.ShardRecord
 import copperglade.storage.JobPage
 import copperglade.storage.LeaderRecord
 import copperglade.storage.LiveRecord
@@ -89,7 +89,7 @@
         "task" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodePage(it)) }
         "work" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeWork(it)) }
         "over" -> RecordCodec.encode(RecordCodec.decodeEnd(value)!!)
-        "block" -> RecordCodec.encode(RecordCodec.decodeBlock(value)!!)
+        "block" -> RecordCodec.encode(RecordCodec.decodeShard(value)!!)
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
         "lead" -> RecordCodec.encode(RecordCodec.decodeLeader(value)!!)
         "images" -> RecordCodec.encode(RecordCodec.decodeImages(value))
@@ -194,7 +194,7 @@
     }
 
     private fun groups(page: AssignmentPage) =
-        page.groups.map { "${it.block} baton ${it.fencingToken} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
+        page.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
 
     @Test
     fun `packed records of work with done, returned and restarted tasks`() {
@@ -223,11 +223,11 @@
 
     @Test
     fun `blocks that are owned and given up, members and the leader`() {
-        val owned = RecordCodec.decodeBlock(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
-        assertEquals(BlockRecord(MemberId("lorry-2"), Incarnation(2)), owned)
+        val owned = RecordCodec.decodeShard(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
+        assertEquals(ShardRecord(MemberId("lorry-2"), Incarnation(2)), owned)
         assertFalse(owned.givenUp)
-        val givenUp = RecordCodec.decodeBlock(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
-        assertEquals(BlockRecord.givenUpBy(MemberId("lorry-1")), givenUp)
+        val givenUp = RecordCodec.decodeShard(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
+        assertEquals(ShardRecord.givenUpBy(MemberId("lorry-1")), givenUp)
         assertTrue(givenUp.givenUp)
         val member = RecordCodec.decodeMember(ProductionFiles.inSnapshot("cg/now/member/lorry-0").value)
         assertEquals(MemberRecord(Incarnation(3)), member)
@@ -247,7 +247,7 @@
         assertEquals("cg/now/room/lorry-0", sample.key)
         val status = PeerWire.decode(RecordCodec.decodePeerStatus(sample.value)!!)!!
         assertEquals(MemberId("lorry-0"), status.member)
-        val machine = status.blocks.flatMap { it.machines }.single()
+        val machine = status.shards.flatMap { it.machines }.single()
         assertEquals(MachineName("i-000004"), machine.name)
         assertEquals(Resources(10.0, 0.0, 125.0), machine.free)
         assertEquals(Resources(6.0, 0.0, 3.0), machine.yielding[Priority.NORMAL.ordinal])
@@ -273,9 +273,9 @@
         assertEquals(458, status.stateSilentMs)
         assertFalse(status.isLeader)
         assertEquals(0.10845220000923077, status.writesWanted)
-        assertEquals(listOf("north.1 6 1", "south.2 7 0"), status.blocks.map { "${it.block} ${it.fencingToken} ${it.machines.size}" })
+        assertEquals(listOf("north.1 6 1", "south.2 7 0"), status.shards.map { "${it.shard} ${it.fencingToken} ${it.machines.size}" })
         with(
-            status.blocks
+            status.shards
                 .first()
                 .machines
                 .single(),
@@ -291,7 +291,7 @@
 
     @Test
     fun `a machine on loan that stands idle`() {
-        val machine = peerStatus("note full machines usable").blocks.flatMap { it.machines }.single()
+        val machine = peerStatus("note full machines usable").shards.flatMap { it.machines }.single()
         assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
         assertEquals(142, machine.idleMs)
     }
@@ -300,7 +300,7 @@
     fun `brief statuses, and what the leader adds`() {
         val brief = peerStatus("note brief")
         assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.cursor.toString()))
-        assertEquals(emptyList<Any>(), brief.blocks)
+        assertEquals(emptyList<Any>(), brief.shards)
         assertFalse(brief.isLeader)
         assertTrue(peerStatus("note brief lead").isLeader)
         assertEquals(listOf("south.1"), peerStatus("note brief lead release").release.map { it.text })
@@ -351,7 +351,7 @@
         assertEquals(listOf("z.1"), status.release.map { it.text })
         assertEquals(listOf("i-2"), status.retire.map { it.text })
         assertEquals(12.5, status.writesWanted)
-        val machine = status.blocks
+        val machine = status.shards
             .single()
             .machines
             .single()
@@ -432,7 +432,7 @@
         replica.jobs
             .getValue(JobId(job))
             .assignments()
-            .groupBy { "${it.block} ${it.fencingToken} ${it.generation}" }
+            .groupBy { "${it.shard} ${it.fencingToken} ${it.generation}" }
             .map { (group, its) ->
                 "$group: ${its.first().task}-${its.last().task}".also { assertEquals(its.size, span(its.map { it.task })) }
             }
@@ -442,7 +442,7 @@
     @Test
     fun `a replica has the blocks, members, images and the leader that production left`() {
         val replica = loadedReplica()
-        val owners = replica.blocks.entries.associate { (name, record) ->
+        val owners = replica.shards.entries.associate { (name, record) ->
             name.text to "${record.value.member} ${record.value.incarnation}"
         }
         val expected = mapOf(
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -86,7 +86,7 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-/** One machine is slow, so that some of its tasks are restarted on another one of its block. */
+/** One machine is slow, so that some of its tasks are restarted on another one of its shard. */
 private fun stragglerDay(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), nodes = 1, scale = SiteScale(machinesPerZone = 12, teamCpus = 400.0), slowMachine = "i-000002")
     recorder.listenTo(site)
@@ -97,7 +97,7 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-/** A controller is away for long, so that blocks are moved to it when it is back. */
+/** A controller is away for long, so that shards are moved to it when it is back. */
 private fun longAbsenceDay(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), scale = SiteScale(machinesPerZone = 3))
     recorder.listenTo(site)
@@ -229,9 +229,9 @@
 }
 
 private fun statusKind(status: PeerStatus): String {
-    val machines = status.blocks.flatMap { it.machines }
+    val machines = status.shards.flatMap { it.machines }
     val parts = listOfNotNull(
-        if (status.blocks.isEmpty()) "brief" else "full",
+        if (status.shards.isEmpty()) "brief" else "full",
         "lead".takeIf { status.isLeader },
         "release".takeIf { status.release.isNotEmpty() },
         "retire".takeIf { status.retire.isNotEmpty() },
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -1,7 +1,7 @@
 package copperglade.compat
 
 import copperglade.protocol.Attempt
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Command
 import copperglade.protocol.ExitCause
@@ -34,9 +34,9 @@
         assertEquals("cg/over/job-000412", Keys.over(JobId("job-000412")))
         assertEquals("cg/now/task/array/", Keys.assignmentRecords(JobKind.ARRAY))
         assertEquals("cg/now/task/service/", Keys.assignmentRecords(JobKind.SERVICE))
-        assertEquals("cg/now/work/north.0/", Keys.outcomeRecords(BlockName("north.0")))
-        assertEquals("cg/now/block/north.0", Keys.block(BlockName("north.0")))
-        assertEquals("cg/now/images/north.0", Keys.images(BlockName("north.0")))
+        assertEquals("cg/now/work/north.0/", Keys.outcomeRecords(ShardName("north.0")))
+        assertEquals("cg/now/block/north.0", Keys.shard(ShardName("north.0")))
+        assertEquals("cg/now/images/north.0", Keys.images(ShardName("north.0")))
         assertEquals("cg/now/member/lorry-0", Keys.member(MemberId("lorry-0")))
         assertEquals("cg/now/room/lorry-0", Keys.room(MemberId("lorry-0")))
     }
@@ -66,9 +66,9 @@
         is ParsedKey.Live -> "Live ${known.job}"
         is ParsedKey.Over -> "Over ${known.job}"
         ParsedKey.Assignments -> "Assignments"
-        is ParsedKey.Outcomes -> "Outcomes ${known.block}"
-        is ParsedKey.Block -> "Block ${known.name}"
-        is ParsedKey.Images -> "Images ${known.block}"
+        is ParsedKey.Outcomes -> "Outcomes ${known.shard}"
+        is ParsedKey.Shard -> "Block ${known.name}"
+        is ParsedKey.Images -> "Images ${known.shard}"
         is ParsedKey.Room -> "Room ${known.id}"
         is ParsedKey.Member -> "Member ${known.id}"
         ParsedKey.Leader -> "Leader"
--- a/src/test/kotlin/copperglade/membership/PeerMessengerTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerMessengerTest.kt
@@ -1,13 +1,13 @@
 package copperglade.membership
 
-import copperglade.protocol.BlockName
-import copperglade.protocol.BlockRoom
+import copperglade.protocol.ShardName
+import copperglade.protocol.ShardCapacity
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Incarnation
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
@@ -34,7 +34,7 @@
     private val limits = StateLimits(1e6, 1e6, 2.0, 4)
     private val store = StateClient(loop, network.callerOf("member", loop), STATE, limits)
 
-    private fun room(number: Int) = MachineRoom(
+    private fun room(number: Int) = MachineAvailability(
         MachineName("i-machine-with-a-long-name-$number"),
         "type-with-a-long-name",
         "zone-with-a-long-name",
@@ -53,7 +53,7 @@
         Stamp(9),
         12,
         isLeader = false,
-        listOf(BlockRoom(BlockName("z.0"), FencingToken(4), List(40, ::room))),
+        listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::room))),
         emptyList(),
         emptyList(),
         writesWanted = 1.0,
@@ -79,10 +79,10 @@
         val value = Json.read(service.text(Keys.room(SELF))!!.toByteArray())!!
         val told = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
-            told.blocks
+            told.shards
                 .single()
                 .machines.size in 3..39,
-            "${told.blocks.single().machines.size} machines",
+            "${told.shards.single().machines.size} machines",
         )
     }
 
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -131,7 +131,7 @@
 
     @Test
     fun `a peer status survives its buffer, and a torn one is refused`() {
-        val room = MachineRoom(
+        val room = MachineAvailability(
             MachineName("i-1"),
             "a",
             "z",
@@ -149,15 +149,15 @@
             Stamp(9),
             12,
             isLeader = true,
-            listOf(BlockRoom(BlockName("z.0"), FencingToken(4), listOf(room))),
-            listOf(BlockName("z.1")),
+            listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(room))),
+            listOf(ShardName("z.1")),
             listOf(MachineName("i-2")),
             writesWanted = 12.5,
         )
         val bytes = PeerWire.encode(status)
         val again = PeerWire.decode(bytes)!!
         assertEquals(status.cursor, again.cursor)
-        assertEquals(room.yielding, again.blocks[0].machines[0].yielding)
+        assertEquals(room.yielding, again.shards[0].machines[0].yielding)
         assertEquals(status.retire, again.retire)
         for (cut in 0 until bytes.size) assertNull(PeerWire.decode(bytes.copyOf(cut)))
     }
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -2,7 +2,7 @@
 
 import copperglade.membership.RightToAct
 import copperglade.protocol.Attempt
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
@@ -68,7 +68,7 @@
         live(blocked, awaits = listOf(free))
         state.put(Keys.over(over), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
         state.put(Keys.over(called), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
-        val group = AssignmentGroup(BlockName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
+        val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
         val page = RecordCodec.encode(AssignmentPage(listOf(group), BitSet(), 1, 1, 1))
         state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(JobPage(cancelled, 0) to page)))
         val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), AT, StateLimits(1e3, 1e3, 4.0, 12)))
--- a/src/test/kotlin/copperglade/shards/BlockMapTest.kt
+++ b/src/test/kotlin/copperglade/shards/ShardMapTest.kt
@@ -1,27 +1,27 @@
 package copperglade.shards
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.MachineName
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class BlockMapTest {
-    private val map = BlockMap(listOf("north", "south"), 3)
+class ShardMapTest {
+    private val map = ShardMap(listOf("north", "south"), 3)
 
     @Test
     fun `every machine has one block, of its own zone, and machines spread evenly`() {
-        val blocks = (0 until 30).map { map.of(MachineName("i-%06d".format(it)), "south") }
-        assertTrue(blocks.all { it in map.all && map.zoneOf(it) == "south" })
+        val shards = (0 until 30).map { map.of(MachineName("i-%06d".format(it)), "south") }
+        assertTrue(shards.all { it in map.all && map.zoneOf(it) == "south" })
         assertEquals(
             setOf(10),
-            blocks
+            shards
                 .groupBy { it }
                 .values
                 .map { it.size }
                 .toSet(),
         )
         assertTrue(map.of(MachineName("odd name"), "north") in map.all)
-        assertEquals(BlockName("north.1"), map.of(MachineName("i-999999999999999999991"), "north"))
+        assertEquals(ShardName("north.1"), map.of(MachineName("i-999999999999999999991"), "north"))
     }
 }
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -1,6 +1,6 @@
 package copperglade.sim
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -27,14 +27,14 @@
         return stamp
     }
 
-    /** Assigns a task of [job] to each of the blocks there are, whatever the job waits for. */
+    /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
     private fun SimSite.assignEverywhere(job: JobId) {
-        val blocks = state.keys("${Keys.NOW}block/")
-        val groups = blocks.mapIndexed { task, key ->
+        val shards = state.keys("${Keys.NOW}block/")
+        val groups = shards.mapIndexed { task, key ->
             val token = FencingToken(stampOf(key))
-            AssignmentGroup(BlockName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
+            AssignmentGroup(ShardName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
         }
-        val page = AssignmentPage(groups, BitSet(), 1, blocks.size, 1)
+        val page = AssignmentPage(groups, BitSet(), 1, shards.size, 1)
         val record = RecordCodec.encodePackedRecord(mapOf(JobPage(job, 0) to RecordCodec.encode(page)))
         val body = Json.write {
             obj {
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MeetingsTest.kt
@@ -63,11 +63,11 @@
         val owner = (0 until site.nodes).filter { it != site.leader() }.maxBy { onMachinesOf(site, it).size }
         val cancelled = onMachinesOf(site, owner)
         assertTrue(cancelled.isNotEmpty())
-        // It ends before it hears of the cancellations, and is back in time to endorse the others' blocks.
+        // It ends before it hears of the cancellations, and is back in time to endorse the others' shards.
         site.crash(owner, 8_000.0)
         val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.4)
         var granted = false
-        // The grant of its blocks is the last that anybody hears from the state service.
+        // The grant of its shards is the last that anybody hears from the state service.
         site.network.tamperAnswer = { passage, _, reply ->
             if (!granted && passage.path == "/changes" && "cg/now/block/" in reply.body.decodeToString()) {
                 granted = true
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -23,7 +23,7 @@
     /**
      * One controller has been down for long, and another loses its workers, which reach nobody until their leases have run
      * out; just then the first comes back. What was lost runs again as soon as the leases are over, counted from the new grant
-     * of the blocks and not from that return.
+     * of the shards and not from that return.
      */
     @ParameterizedTest
     @ValueSource(longs = [2501, 2502, 2503, 2504, 2505, 2506])
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -10,7 +10,7 @@
  * records. Kept to see that both versions can write the same packed records in turn.
  *
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
- * for each page, its outcome in each block and a deletion for each of them, the grown print shop's budget was spent on a
+ * for each page, its outcome in each shard and a deletion for each of them, the grown print shop's budget was spent on a
  * quarter of its jobs.
  *
  * A page stays in the packed record where it is, unless that has become too full; then it moves, both packed records
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -1,6 +1,6 @@
 package copperglade.storage
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
@@ -139,7 +139,7 @@
                 if (!ready(job, place.page)) return@repeat
                 val present = job.pages[place.page]?.value ?: AssignmentPage.EMPTY
                 val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
-                val group = AssignmentGroup(BlockName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
+                val group = AssignmentGroup(ShardName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
                 val page = AssignmentPage(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
                 pages[place] = page
             }
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -1,6 +1,6 @@
 package copperglade.storage
 
-import copperglade.protocol.BlockName
+import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
@@ -36,7 +36,7 @@
     fun `the most scattered page stays far below the smallest value limit`() {
         val odd = BitSet().apply { for (task in 99_744 until 100_000 step 2) set(task) }
         val page =
-            AssignmentPage(listOf(AssignmentGroup(BlockName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
+            AssignmentPage(listOf(AssignmentGroup(ShardName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
         assertTrue(RecordCodec.encode(page).size < 3000)
     }
 
@@ -54,18 +54,18 @@
     fun `an assignment stands until it is done or given back in its own generation`() {
         val job = Job(JobId("job-1"))
         job.live = Stamped(LiveRecord(SimSite.job(1, tasks = 4), 0, cancelled = false), Stamp(1))
-        val block = BlockName("north.0")
+        val shard = ShardName("north.0")
         job.setPage(
             0,
             PackedPart(
-                AssignmentPage(listOf(AssignmentGroup(block, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
+                AssignmentPage(listOf(AssignmentGroup(shard, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
                 "sheet",
                 RecordCodec::encode,
             ),
         )
         // Task 0 was given back in an earlier generation, task 1 in this one, task 2 is done.
         val work = WorkRecord(bits(2), mapOf(1 to bits(0), 2 to bits(1)), BitSet(), 1)
-        job.setWork(WorkPlace(0, block), PackedPart(work, "sheet", RecordCodec::encode))
+        job.setWork(WorkPlace(0, shard), PackedPart(work, "sheet", RecordCodec::encode))
         assertEquals(listOf(0), job.assignments().map { it.task })
         assertEquals(JobStatus.RUNNING, job.status())
     }
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -1,14 +1,14 @@
 package copperglade.transport
 
 import copperglade.app.Main
-import copperglade.protocol.BlockName
-import copperglade.protocol.BlockRoom
+import copperglade.protocol.ShardName
+import copperglade.protocol.ShardCapacity
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
 import copperglade.protocol.MachineName
-import copperglade.protocol.MachineRoom
+import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
@@ -133,7 +133,7 @@
             4000,
             received
                 .single()!!
-                .blocks
+                .shards
                 .single()
                 .machines.size,
         )
@@ -143,7 +143,7 @@
 
     private fun statusOf(machines: Int): PeerStatus {
         val rooms = List(machines) { number ->
-            MachineRoom(
+            MachineAvailability(
                 MachineName("i-%06d".format(number)),
                 "type",
                 "zone",
@@ -156,8 +156,8 @@
                 images = listOf(ImageName("img-1"), ImageName("img-2")),
             )
         }
-        val block = BlockRoom(BlockName("zone.0"), FencingToken(7), rooms)
-        return PeerStatus(MemberId("one"), Incarnation(1), Stamp(1), 0, false, listOf(block), emptyList(), emptyList(), 0.0)
+        val shard = ShardCapacity(ShardName("zone.0"), FencingToken(7), rooms)
+        return PeerStatus(MemberId("one"), Incarnation(1), Stamp(1), 0, false, listOf(shard), emptyList(), emptyList(), 0.0)
     }
 
     private companion object {
