--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -1,13 +1,13 @@
 package copperglade.agents
 
 import copperglade.protocol.Command
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -26,24 +26,24 @@
         val now = loop.now()
         val commands = unknownTaskCommands(machine, now)
         for (run in machine.runs) runCommand(run, now)?.let(commands::add)
-        return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MOST_COMMANDS)
+        return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MAX_COMMANDS)
     }
 
     /** What is due for tasks that no run of ours is bound to. */
-    fun unknownTaskCommands(machine: Machine, now: Moment): MutableList<Command> = machine.reportedTasks
+    fun unknownTaskCommands(machine: Machine, now: MonotonicTime): MutableList<Command> = machine.reportedTasks
         .filter { machine.runOf(it) == null }
         .mapNotNullTo(ArrayList()) { unknownTaskCommand(machine, it, now) }
 
     /** An unknown task is stopped while it lives, and removed once it has ended. */
-    private fun unknownTaskCommand(machine: Machine, reported: ReportedTask, now: Moment): Command? {
+    private fun unknownTaskCommand(machine: Machine, reported: ReportedTask, now: MonotonicTime): Command? {
         if (reported.state != ReportedTaskState.EXITED) return Command.Stop(reported.task, reported.attempt, 0.0)
         // Not before its outcome is on record, and never while a late copy of its start could start it once more.
-        val removalSentAt = machine.removalSentAt[reported.attempt] ?: Moment.NEVER
+        val removalSentAt = machine.removalSentAt[reported.attempt] ?: MonotonicTime.NEVER
         val removable = !machine.hasUnresolvedStart(reported.task, reported.attempt) && now >= removalSentAt + RESEND_PAUSE
         return if (removable) Command.Remove(reported.task, reported.attempt) else null
     }
 
-    private fun runCommand(run: Run, now: Moment): Command? = when (run.state) {
+    private fun runCommand(run: Run, now: MonotonicTime): Command? = when (run.state) {
         RunState.STOPPING -> if (now >= run.stopSentAt + RESEND_PAUSE) {
             Command.Stop(run.task, run.attempt, graceFor(run))
         } else {
@@ -81,7 +81,7 @@
     companion object {
         /** How long a command has to take effect before it is sent again. */
         val RESEND_PAUSE = 1000.milliseconds
-        private const val MOST_COMMANDS = 200
+        private const val MAX_COMMANDS = 200
         private val COMMAND_ORDER = listOf(Command.Stop::class, Command.Remove::class, Command.Start::class)
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -1,8 +1,8 @@
 package copperglade.agents
 
-import copperglade.protocol.Moment
-import copperglade.tasks.ShardState
+import copperglade.protocol.MonotonicTime
 import copperglade.tasks.Machine
+import copperglade.tasks.ShardState
 import kotlin.time.Duration.Companion.seconds
 
 /** Judges which machines of a shard may be given tasks, and which had better be replaced. */
@@ -14,26 +14,26 @@
      * there for a whole lease. Nor where the worker's own reports stay out, though direct commands are answered: its lease
      * is running out.
      */
-    fun isUsable(machine: Machine, now: Moment): Boolean =
+    fun isUsable(machine: Machine, now: MonotonicTime): Boolean =
         isSound(machine, now) && !machine.unresponsive && now < machine.reportedAt + context.silenceLimit
 
     /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
-    fun isWorthKeeping(machine: Machine, now: Moment): Boolean =
+    fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
         isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseS.seconds } ?: true
 
     /**
      * How many of the shard's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
      * controller, and is sent back for 4 s more if the shard still has its owner by then.
      */
-    fun countUnheard(now: Moment): Int {
+    fun countUnheard(now: MonotonicTime): Int {
         val limit = context.reportIntervals(MISSED_REPORTS)
         return state.machines.values.count { now >= it.heardAt + limit }
     }
 
-    private fun isSound(machine: Machine, now: Moment): Boolean = state.isFenced(machine) && !machine.draining &&
+    private fun isSound(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
         !machine.deleting && !machine.noticed && !context.evidence.blamesMachine(machine.name) && !isSilent(machine, now)
 
-    private fun isSilent(machine: Machine, now: Moment): Boolean = now >= machine.heardAt + context.silenceLimit
+    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.heardAt + context.silenceLimit
 
     private companion object {
         const val MISSED_REPORTS = 1.6
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -1,11 +1,11 @@
 package copperglade.agents
 
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
+import copperglade.tasks.ShardState
 import org.slf4j.LoggerFactory
 
 /**
@@ -45,7 +45,7 @@
      * Takes in [report], the machine's answer to a command that was sent at [sentAt]. A machine that was asked after its
      * last numbers were taken in, yet answers with none higher, counts from the start again.
      */
-    fun hearReply(machine: Machine, report: Report, sentAt: Moment) {
+    fun hearReply(machine: Machine, report: Report, sentAt: MonotonicTime) {
         if (sentAt > machine.takenAt && !report.newerThan(machine.session, machine.tally)) restarted(machine, report)
         hear(report)
     }
@@ -68,7 +68,7 @@
     }
 
     /** Drops machines that were last answered more than a lease ago: they have killed their tasks. */
-    fun dropExpired(now: Moment) {
+    fun dropExpired(now: MonotonicTime) {
         for (machine in machines.values.toList()) {
             unresolved.forgetExpired(machine, now)
             if (now < machine.answeredAt + context.longestLease) continue
@@ -85,13 +85,13 @@
 
     private fun discover(report: Report): Machine {
         val sessionIsOurs = removedMachines.knows(report.machine)
-        val fresh = Machine(report.machine, report.zone, report.spot, report.type, report.endpoint, loop.now(), sessionIsOurs)
+        val discovered = Machine(report.machine, report.zone, report.spot, report.type, report.endpoint, loop.now(), sessionIsOurs)
         context.replica.images[state.name]
             ?.value
             ?.byMachine
-            ?.get(fresh.name)
-            ?.let(fresh::rememberImages)
-        return fresh
+            ?.get(discovered.name)
+            ?.let(discovered::rememberImages)
+        return discovered
     }
 
     /**
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -1,7 +1,7 @@
 package copperglade.agents
 
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
 import copperglade.transport.Clock
 import kotlin.time.Duration.Companion.hours
@@ -14,7 +14,7 @@
  * copies still come, just when a large part of the fleet is lost at once.
  */
 class RemovedMachines(private val clock: Clock) {
-    private class Removal(val session: Long, val at: Moment)
+    private class Removal(val session: Long, val at: MonotonicTime)
 
     /** The highest session that a report may be of and still be old; the oldest removal first. */
     private val removals = LinkedHashMap<MachineName, Removal>()
--- a/src/main/kotlin/copperglade/agents/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/agents/ReportIntake.kt
@@ -4,8 +4,8 @@
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
 import copperglade.safety.ActionGuard
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
+import copperglade.tasks.ShardState
 
 /**
  * Decides which of the workers' own reports are believed, and how each is answered.
@@ -88,7 +88,7 @@
      * arrival, but it must be reckoned with; so the worker gets none any more, and its lease surely runs out.
      */
     private fun answersDoNotArrive(machine: Machine): Boolean =
-        state.open && !state.isFenced(machine) && machine.answersInVain >= MOST_ANSWERS_IN_VAIN
+        state.open && !state.isFenced(machine) && machine.answersInVain >= MAX_ANSWERS_IN_VAIN
 
     /** Every answer of 200 is made here: see [ActionGuard.stopsFor] for what none of them may lack. */
     private fun answer(report: Report, commands: List<Command> = emptyList()): ByteArray {
@@ -104,6 +104,6 @@
     }
 
     private companion object {
-        const val MOST_ANSWERS_IN_VAIN = 4
+        const val MAX_ANSWERS_IN_VAIN = 4
     }
 }
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -2,14 +2,14 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
 import copperglade.storage.Assignment
 import copperglade.storage.Job
-import copperglade.tasks.ShardState
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 
 /**
@@ -27,7 +27,7 @@
     private val runs = state.runs
 
     /** By then, every worker that only a former owner answered has lost its lease. */
-    private val formerLeasesOverAt: Moment
+    private val formerLeasesOverAt: MonotonicTime
         get() = maxOf(state.grantedAt, context.absentOwners.over) + context.longestLease
 
     /** Brings the runs of a job in line with its records. */
@@ -58,10 +58,10 @@
         val assignedAnew = known != null && known.generation != assignment.generation && known.state == RunState.GONE
         if (known != null && !assignedAnew) return known
         val first = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
-        val fresh = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
-        fresh.restarted = job.restarted(assignment.task)
-        runs.add(fresh)
-        return fresh
+        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
+        newRun.restarted = job.restarted(assignment.task)
+        runs.add(newRun)
+        return newRun
     }
 
     /** The job is over, or nothing is known of it any more. */
@@ -81,7 +81,7 @@
      * Lets tasks that no worker reports be started, once every worker that could hold one has been heard under our token
      * or has lost its lease. The cloud's list of machines can't shorten the wait: it lags.
      */
-    fun releaseMissing(now: Moment) {
+    fun releaseMissing(now: MonotonicTime) {
         val missing = runs.missing
         if (missing.isEmpty() || now < formerLeasesOverAt) return
         if (state.machines.values.any { !state.isFenced(it) && !it.ours }) return
--- a/src/main/kotlin/copperglade/agents/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -1,9 +1,9 @@
 package copperglade.agents
 
-import copperglade.tasks.ShardState
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 
 /**
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -6,16 +6,16 @@
 import copperglade.protocol.JobKind
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.OutcomeLog
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
-import kotlin.time.Duration
 import org.slf4j.LoggerFactory
+import kotlin.time.Duration
 
 /**
  * Follows from reports what becomes of the tasks on a machine.
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -1,9 +1,9 @@
 package copperglade.agents
 
 import copperglade.protocol.Command
-import copperglade.protocol.Moment
-import copperglade.tasks.ShardState
+import copperglade.protocol.MonotonicTime
 import copperglade.tasks.Machine
+import copperglade.tasks.ShardState
 import copperglade.tasks.UnresolvedStart
 import kotlin.time.Duration.Companion.seconds
 
@@ -20,7 +20,7 @@
      * Takes note that the starts among [commands] are on their way to [machine]; [actsUntil] is null where a copy may
      * arrive at any later time.
      */
-    fun begin(machine: Machine, commands: List<Command>, actsUntil: Moment?): List<UnresolvedStart> {
+    fun begin(machine: Machine, commands: List<Command>, actsUntil: MonotonicTime?): List<UnresolvedStart> {
         val starts = commands
             .filterIsInstance<Command.Start>()
             .map { UnresolvedStart(it.task, it.attempt, machine.session, state.token, context.loop.now(), actsUntil) }
@@ -34,7 +34,7 @@
     }
 
     /** Forgets starts that went out with an answer which its worker would drop by now. */
-    fun forgetExpired(machine: Machine, now: Moment) {
+    fun forgetExpired(machine: Machine, now: MonotonicTime) {
         machine.unresolvedStarts.removeIf { it.actsUntil != null && now >= it.actsUntil }
     }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    private fun shards(start: UnresolvedStart, machine: Machine, now: Moment): Boolean =
+    private fun shards(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
         start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
             (!machine.unresponsive || context.guard.isOver(start.task.job))
 
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -3,21 +3,21 @@
 import copperglade.membership.Membership
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.UnresolvedStart
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /**
  * Sends commands to the workers of a shard, directly or with the answers to their reports.
@@ -32,7 +32,7 @@
     private val unresolved: UnresolvedStarts,
     private val lifecycle: RunLifecycle,
     /** Takes in the report with which a machine answered a command that was sent at the given moment. */
-    private val reportReceived: (Machine, Report, Moment) -> Unit,
+    private val reportReceived: (Machine, Report, MonotonicTime) -> Unit,
 ) {
     private val context = state.context
     private val loop = context.loop
@@ -43,7 +43,11 @@
         if (!state.isFenced(machine)) return fence(machine)
         if (machine.unresponsive) fence(machine)
         for (run in machine.runs.toList()) {
-            if (run.state == RunState.STOPPING && !run.wasReported && run.startSentAt == Moment.NEVER) lifecycle.lost(run, "never sent")
+            if (run.state == RunState.STOPPING && !run.wasReported &&
+                run.startSentAt == MonotonicTime.NEVER
+            ) {
+                lifecycle.lost(run, "never sent")
+            }
         }
         val commands = planner.dueFor(machine)
         if (commands.any { it !is Command.Remove }) send(machine, commands)
@@ -115,7 +119,7 @@
         }
     }
 
-    private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: Moment) {
+    private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
         if (reply == null) return
         if (reply.status == HttpStatus.OK || reply.status == HttpStatus.CONFLICT) unresolved.resolve(machine, starts)
         val report = WorkerWire.parseReport(reply.body)
--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -1,9 +1,9 @@
 package copperglade.app
 
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** The heap as the virtual machine has it. */
 interface Heap {
@@ -49,7 +49,7 @@
 class HeapWatch(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
     private val limitBytes = (budgetBytes * PART).toLong()
 
-    fun start() = loop.again({ LOOK_PACE }, ::look)
+    fun start() = loop.again({ LOOK_INTERVAL }, ::look)
 
     private var collectedAt = loop.now() - REST
     private var rest = REST
@@ -66,7 +66,7 @@
 
     private companion object {
         const val PART = 0.93
-        val LOOK_PACE = 250.milliseconds
+        val LOOK_INTERVAL = 250.milliseconds
         val REST = 2.seconds
         val LONG_REST = 30.seconds
         val log = LoggerFactory.getLogger("heap")
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -8,17 +8,17 @@
 import copperglade.transport.NettyEventLoop
 import copperglade.transport.NettyHttpCaller
 import copperglade.transport.NettyHttpServer
+import picocli.CommandLine
+import picocli.CommandLine.Command
+import picocli.CommandLine.Model.CommandSpec
+import picocli.CommandLine.Option
+import picocli.CommandLine.Spec
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.Path
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 import kotlin.time.Duration
-import picocli.CommandLine
-import picocli.CommandLine.Command
-import picocli.CommandLine.Model.CommandSpec
-import picocli.CommandLine.Option
-import picocli.CommandLine.Spec
 
 @Command(
     name = "copperglade",
@@ -62,7 +62,7 @@
             val controller = Controller(loop, caller, settings, tuning, heapBytes)
             NettyHttpServer(loop, shares.users, handler = controller.clientHandler)
                 .listen(settings.clientListen)
-            NettyHttpServer(loop, shares.peers, LONGEST_PEER_MESSAGE, controller.clusterHandler)
+            NettyHttpServer(loop, shares.peers, MAX_PEER_MESSAGE, controller.clusterHandler)
                 .listen(settings.clusterListen)
             loop.after(Duration.ZERO) {
                 controller.start()
@@ -74,7 +74,7 @@
          * A controller's status tells of each of its machines in some 150 bytes. With the 64 KiB of the protocol with users and
          * workers, the leader would refuse it from some 450 machines a controller on, and nothing more would be placed there.
          */
-        const val LONGEST_PEER_MESSAGE = 16 * 1024 * 1024
+        const val MAX_PEER_MESSAGE = 16 * 1024 * 1024
     }
 }
 
--- a/src/main/kotlin/copperglade/app/Rehearsal.kt
+++ b/src/main/kotlin/copperglade/app/Rehearsal.kt
@@ -14,13 +14,13 @@
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
 import copperglade.transport.Responder
+import picocli.CommandLine.Command
 import java.net.ServerSocket
 import java.util.concurrent.Callable
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import picocli.CommandLine.Command
 
 /**
  * A short run against canned answers, made once by the build: the classes that it loads go into the class-data
@@ -28,7 +28,7 @@
  */
 @Command(name = "rehearse", hidden = true, description = ["Loads the program's classes once; used by the build."])
 class Rehearsal : Callable<Int> {
-    private var ledger = 1L
+    private var storeRevision = 1L
 
     override fun call(): Int {
         val loop = NettyEventLoop()
@@ -55,18 +55,18 @@
             }
         }
         loop.after(500.milliseconds) { round(1) }
-        rounds.await(LONGEST_S, TimeUnit.SECONDS)
+        rounds.await(MAX_S, TimeUnit.SECONDS)
         return 0
     }
 
     private fun canned(loop: NettyEventLoop, request: Request, responder: Responder) {
         val path = request.path
         val text = when {
-            path == "/holds" -> """{"permit":${++ledger}}"""
+            path == "/holds" -> """{"permit":${++storeRevision}}"""
             path.startsWith("/holds/") -> "{}"
-            path.startsWith("/kv?") -> """{"entries":[],"truncated":false,"ledger":$ledger}"""
-            path == "/multi" -> """{"ledger":${++ledger}}"""
-            path.startsWith("/changes") -> """{"ledger":$ledger,"events":[]}"""
+            path.startsWith("/kv?") -> """{"entries":[],"truncated":false,"ledger":$storeRevision}"""
+            path == "/multi" -> """{"ledger":${++storeRevision}}"""
+            path.startsWith("/changes") -> """{"ledger":$storeRevision,"events":[]}"""
             path == "/machine_types" -> TYPES
             path.startsWith("/machines?") -> """{"trucks":[],"truncated":false}"""
             path == "/do" -> report(DO_TALLY, 1)
@@ -110,7 +110,7 @@
         const val PORTS = 3
         const val SOCKETS = 100
         const val ROUNDS = 30
-        const val LONGEST_S = 20L
+        const val MAX_S = 20L
         const val DO_TALLY = 100_000
         const val TYPES = """{"fleets":[{"name":"small","vcpus":4,"gpus":0,"memoryGb":16,"localGb":20,"pullGbPerS":1.0,
             "price":1.0,"lowPrice":0.5,"bootS":30,"depots":["here"]}]}"""
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -75,7 +75,7 @@
         firstShare = BUDGET_USED / (settings.peers.size + 1),
     )
     private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, tuning)
-    private val quiet = minOf(Replica.QUIET, staleness / READINGS_IN_STALENESS)
+    private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, staleness / READINGS_IN_STALENESS)
     private val profiles =
         ProfileStore(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
     private val replica =
@@ -83,8 +83,8 @@
             loop,
             store,
             readers = settings.peers.size + 1,
-            quiet,
-            longestCatchUp = staleness,
+            idleRefreshInterval,
+            maxCatchUp = staleness,
             EndedJobs.endsThatFitInto(heapBytes),
         ) { spec ->
             profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
@@ -98,7 +98,7 @@
         settings.member,
         leaseLength = minOf(staleness, (settings.leaseS * tuning.sessionLeasePart).seconds),
         stalenessLimit = staleness,
-        startLimit = quiet * 2,
+        startLimit = idleRefreshInterval * 2,
     )
     private val violations = Violations(onViolation)
     private val guard = ActionGuard(replica, membership, violations)
@@ -188,7 +188,7 @@
         replica.listen(absentOwners)
         replica.listen(owner)
         replica.listen(jobFinalizer)
-        replica.listen { touched -> touched.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerMessenger::receiveIndirect) }
+        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerMessenger::receiveIndirect) }
         membership.onChange = owner::reconcile
         types.start()
         replica.start()
@@ -202,7 +202,7 @@
         workload.start()
         decisions.start()
         polls.start()
-        loop.again({ if (leadership.leading) SHORTEST_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
+        loop.again({ if (leadership.leading) MIN_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
             val began = loop.now()
             workload.measure("round") { leaderRound() }
             lastRound = (loop.now().ms - began.ms).milliseconds
@@ -236,7 +236,7 @@
         return PeerStatus(
             member = settings.member,
             incarnation = incarnation,
-            cursor = replica.cursor,
+            knownRevision = replica.knownRevision,
             stateSilentMs = loop.now().ms - store.lastGood.ms,
             isLeader = leading,
             shards = owner.rooms(),
@@ -353,8 +353,8 @@
         private const val LONELY_S = 10.0
         private const val LEASES_TO_SETTLE = 1.5
         private const val READINGS_IN_STALENESS = 4
-        private val SHORTEST_STALENESS = 1.seconds
-        private val SHORTEST_ROUND = 60.milliseconds
+        private val MIN_STALENESS = 1.seconds
+        private val MIN_ROUND = 60.milliseconds
         private val IDLE_ROUND = 250.milliseconds
 
         /**
@@ -367,7 +367,7 @@
             val between = (cancelS - leaseS).seconds
             val wanted = tuning.stalenessMargin
             val margin = if (wanted > Tuning.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
-            if (between - margin < SHORTEST_STALENESS) {
+            if (between - margin < MIN_STALENESS) {
                 throw BadSetting("deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in")
             }
             return minOf(tuning.stalenessLimit, between - margin)
--- a/src/main/kotlin/copperglade/fleet/BootTimes.kt
+++ b/src/main/kotlin/copperglade/fleet/BootTimes.kt
@@ -38,7 +38,7 @@
     /** From which age on a machine of [type] that is still booting is not reckoned with any more. */
     fun overdueAfterS(type: MachineType): Double {
         val slow = recentS[type.name]?.sorted()?.let { it[(it.size * SLOW_QUANTILE).toInt().coerceAtMost(it.lastIndex)] } ?: 0.0
-        return min(max(type.bootS * USUAL_LONGEST, slow * SLOWER_THAN_SLOW), type.bootS * LONGEST) + SLACK_S
+        return min(max(type.bootS * USUAL_MAX, slow * SLOWER_THAN_SLOW), type.bootS * MAX) + SLACK_S
     }
 
     private companion object {
@@ -47,10 +47,10 @@
         const val SLOWER_THAN_SLOW = 1.2
 
         /** By the protocol, boots usually take up to this many times what their type says. */
-        const val USUAL_LONGEST = 1.5
+        const val USUAL_MAX = 1.5
 
         /** Waiting for longer than this costs more than a machine rented in vain, whatever has been seen. */
-        const val LONGEST = 3.0
+        const val MAX = 3.0
 
         /** The list is some seconds old. */
         const val SLACK_S = 5.0
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -1,19 +1,19 @@
 package copperglade.fleet
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
-import copperglade.protocol.MachineName
 import copperglade.protocol.MachineAvailability
+import copperglade.protocol.MachineName
 import copperglade.protocol.MachineStatus
 import copperglade.protocol.MachineType
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerStatus
+import copperglade.protocol.ShardName
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
 import copperglade.settings.Team
@@ -24,13 +24,13 @@
 import copperglade.transport.HttpCaller
 import copperglade.transport.Method
 import copperglade.transport.Request
+import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 import kotlin.math.exp
 import kotlin.math.max
 import kotlin.math.min
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** CPUs wanted now: by work that needs ordinary machines, and by work that may use spot machines as well. */
 class Demand(val ordinary: Double, val flexible: Double) {
--- a/src/main/kotlin/copperglade/fleet/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Fleet.kt
@@ -2,20 +2,20 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.Membership
-import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
-import copperglade.protocol.MachineName
 import copperglade.protocol.MachineAvailability
+import copperglade.protocol.MachineName
 import copperglade.protocol.MachineStatus
 import copperglade.protocol.MachineType
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerStatus
+import copperglade.protocol.ShardName
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
 import copperglade.settings.Team
@@ -29,13 +29,13 @@
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
+import org.slf4j.LoggerFactory
 import kotlin.math.ceil
 import kotlin.math.exp
 import kotlin.math.max
 import kotlin.math.min
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
 class Fleet(
@@ -55,27 +55,27 @@
 ) {
     private data class Kind(val type: String, val zone: String, val spot: Boolean)
 
-    private class RentedMachine(val kind: Kind, val at: Moment)
+    private class RentedMachine(val kind: Kind, val at: MonotonicTime)
 
     private val listing = MachineListing(loop, http, cloud, budget, ::listRead)
     private val listed: Map<MachineName, ListedMachine> get() = listing.machines
     private val bootTimes = BootTimes()
     private val rentedMachines = HashMap<MachineName, RentedMachine>()
     private val pending = HashMap<Kind, Int>()
-    private val refusedUntil = HashMap<Kind, Moment>()
-    private val heardAt = HashMap<MachineName, Moment>()
-    private val deletedAt = HashMap<MachineName, Moment>()
+    private val refusedUntil = HashMap<Kind, MonotonicTime>()
+    private val heardAt = HashMap<MachineName, MonotonicTime>()
+    private val deletedAt = HashMap<MachineName, MonotonicTime>()
     private var rentals = 0
     private var ordinaryLevel = 0.0
     private var flexibleLevel = 0.0
-    private var levelAt = Moment.NEVER
+    private var levelAt = MonotonicTime.NEVER
     private var replacementS = 1.0
 
     /** Idle machines that their owners should return. */
     var retire: List<MachineName> = emptyList()
         private set
 
-    fun start() = loop.again({ PACE }) { if (leadership.leading && types.known) round() else forget() }
+    fun start() = loop.again({ INTERVAL }) { if (leadership.leading && types.known) round() else forget() }
 
     /** What a former leadership term left is out of date. */
     private fun forget() {
@@ -83,7 +83,7 @@
         rentedMachines.clear()
         retire = emptyList()
         heardAt.clear()
-        levelAt = Moment.NEVER
+        levelAt = MonotonicTime.NEVER
     }
 
     private fun round() {
@@ -93,10 +93,10 @@
         rooms.keys.forEach { heardAt[it] = now }
         replacementS = replacementS()
         updateLevels(now)
-        if (listing.readAt == Moment.NEVER) return
+        if (listing.readAt == MonotonicTime.NEVER) return
         clearOut(now)
         // A new leader's list may lack what its predecessor has just rented.
-        if (leadership.leadingForS < 2 * listLagS && replica.cursor.number > FIRST_REVISIONS) return
+        if (leadership.leadingForS < 2 * listLagS && replica.knownRevision.number > FIRST_REVISIONS) return
         adjust(now, rooms)
     }
 
@@ -115,9 +115,9 @@
     }
 
     /** Demand comes in bursts; the level follows it up at once and down slowly. */
-    private fun updateLevels(now: Moment) {
+    private fun updateLevels(now: MonotonicTime) {
         val demand = DemandEstimate.of(replica.jobs.values, teams)
-        val fade = if (levelAt == Moment.NEVER) 0.0 else exp(-now.secondsSince(levelAt) / (replacementS * tuning.fadeReplacements))
+        val fade = if (levelAt == MonotonicTime.NEVER) 0.0 else exp(-now.secondsSince(levelAt) / (replacementS * tuning.fadeReplacements))
         ordinaryLevel = max(demand.ordinary, ordinaryLevel * fade)
         flexibleLevel = max(demand.flexible, flexibleLevel * fade)
         levelAt = now
@@ -133,11 +133,11 @@
         return types.all.maxOfOrNull { it.bootS + imageGb / max(it.fetchGbPerS, SLOWEST_FETCH) }?.coerceAtLeast(1.0) ?: 1.0
     }
 
-    private fun isDead(machine: ListedMachine, now: Moment): Boolean {
+    private fun isDead(machine: ListedMachine, now: MonotonicTime): Boolean {
         val bootS = types[machine.type]?.bootS ?: 0.0
         return when (machine.status) {
             MachineStatus.FAILED -> true
-            MachineStatus.BOOTING -> machine.ageS > bootS * LONGEST_BOOTS + BOOT_SLACK_S
+            MachineStatus.BOOTING -> machine.ageS > bootS * MAX_BOOTS + BOOT_SLACK_S
             MachineStatus.RUNNING -> {
                 val shard: ShardName = shardMap.of(machine.name, machine.zone)
                 val ownerHeard = replica.shards[shard]
@@ -158,12 +158,12 @@
     }
 
     /** Deleting is always safe: whatever was on the machine is gone with it, and its owner waits for the lease. */
-    private fun clearOut(now: Moment) {
+    private fun clearOut(now: MonotonicTime) {
         deletedAt.values.removeIf { now >= it + AGAIN }
         val dead = listed.values
             .filter { it.name !in deletedAt && isDead(it, now) }
             .map { it.name }
-            .take(CloudWire.MOST_DELETED)
+            .take(CloudWire.MAX_DELETED)
         if (dead.isEmpty() || !budget.tryTake(1, now)) return
         dead.forEach { deletedAt[it] = now }
         log.info("deleting dead machines {}", dead)
@@ -174,8 +174,8 @@
 
     private class Inventory(var ordinary: Double, var spot: Double)
 
-    private fun adjust(now: Moment, rooms: Map<MachineName, MachineAvailability>) {
-        rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds + listing.pace }
+    private fun adjust(now: MonotonicTime, rooms: Map<MachineName, MachineAvailability>) {
+        rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds + listing.interval }
         val counts = HashMap<Kind, Int>()
         val inventory = Inventory(0.0, 0.0)
         for (machine in listed.values) {
@@ -206,7 +206,7 @@
     }
 
     /** What waits for room that only some machines can give is rented for beside the rest, unless such machines are on their way. */
-    private fun rentBound(rooms: Map<MachineName, MachineAvailability>, counts: HashMap<Kind, Int>, now: Moment) {
+    private fun rentBound(rooms: Map<MachineName, MachineAvailability>, counts: HashMap<Kind, Int>, now: MonotonicTime) {
         val demand = BoundDemand.of(
             replica.jobs.values,
             teams,
@@ -235,17 +235,23 @@
     }
 
     /** Rents about [cpus]; returns how many were asked for. */
-    private fun rent(cpus: Double, spot: Boolean, counts: HashMap<Kind, Int>, now: Moment, allowed: (Kind) -> Boolean = { true }): Double {
+    private fun rent(
+        cpus: Double,
+        spot: Boolean,
+        counts: HashMap<Kind, Int>,
+        now: MonotonicTime,
+        allowed: (Kind) -> Boolean = { true },
+    ): Double {
         var missing = cpus
         val kinds = types.all
             .flatMap { type -> type.zones.map { Kind(type.name, it, spot) to type } }
-            .filter { (kind, _) -> allowed(kind) && kind !in pending && now >= (refusedUntil[kind] ?: Moment.NEVER) }
+            .filter { (kind, _) -> allowed(kind) && kind !in pending && now >= (refusedUntil[kind] ?: MonotonicTime.NEVER) }
             .sortedWith(compareBy({ pricePerCpu(it.second, spot) }, { counts[it.first] ?: 0 }))
         var asked = 0.0
         for ((kind, type) in kinds) {
             if (missing <= 0) break
             val share = kinds.count { it.second === type }
-            val number = ceil(missing / type.capacity.cpus / share).toInt().coerceIn(1, CloudWire.MOST_RENTED)
+            val number = ceil(missing / type.capacity.cpus / share).toInt().coerceIn(1, CloudWire.MAX_RENTED)
             if (!budget.tryTake(1, now)) break
             requestMachines(kind, number)
             missing -= number * type.capacity.cpus
@@ -326,7 +332,7 @@
     private companion object {
         const val SLOWEST_FETCH = 1e-3
         const val MS = 1000
-        const val LONGEST_BOOTS = 3.0
+        const val MAX_BOOTS = 3.0
         const val BOOT_SLACK_S = 20.0
         const val UNHEARD_S = 40.0
         const val FRAGMENTED_AFTER_MS = 20_000L
@@ -334,7 +340,7 @@
         const val LAGS_TO_BE_LISTED = 2.0
         const val FIRST_REVISIONS = 200L
         const val TRIES = 10
-        val PACE = 500.milliseconds
+        val INTERVAL = 500.milliseconds
         val DELETE_TIMEOUT = 5.seconds
         val RENT_TIMEOUT = 3.seconds
         val RETRY = 1.seconds
--- a/src/main/kotlin/copperglade/fleet/MachineListing.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineListing.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
@@ -35,10 +35,10 @@
         private set
 
     /** When the list was last read whole. */
-    var readAt = Moment.NEVER
+    var readAt = MonotonicTime.NEVER
         private set
 
-    private var beganAt = Moment.NEVER
+    private var beganAt = MonotonicTime.NEVER
     private var reading: Reading? = null
     private var pagesLastTime = 1
 
@@ -49,18 +49,18 @@
     }
 
     /** How often the list is read: at most a part of the budget goes into it. */
-    val pace: Duration get() = maxOf(SHORTEST_PACE, (pagesLastTime / (budget.perSecond * BUDGET_PART)).seconds)
+    val interval: Duration get() = maxOf(MIN_INTERVAL, (pagesLastTime / (budget.perSecond * BUDGET_PART)).seconds)
 
     /** What was read is out of date; a reading under way is given up. */
     fun forget() {
-        readAt = Moment.NEVER
-        beganAt = Moment.NEVER
+        readAt = MonotonicTime.NEVER
+        beganAt = MonotonicTime.NEVER
         reading = null
     }
 
     /** Begins a reading if one is due. */
-    fun refresh(now: Moment) {
-        if (reading != null || now < beganAt + pace) return
+    fun refresh(now: MonotonicTime) {
+        if (reading != null || now < beganAt + interval) return
         beganAt = now
         readPage(Reading().also { reading = it }, from = "")
     }
@@ -90,7 +90,7 @@
     /** One page that doesn't come, of many, must not cost the others. */
     private fun tryAgain(current: Reading, from: String) {
         current.failures++
-        if (current.failures > MOST_FAILURES) {
+        if (current.failures > MAX_FAILURES) {
             reading = null
         } else {
             loop.after(RETRY) { readPage(current, from) }
@@ -107,8 +107,8 @@
 
     private companion object {
         const val BUDGET_PART = 0.35
-        const val MOST_FAILURES = 3
-        val SHORTEST_PACE = 2.seconds
+        const val MAX_FAILURES = 3
+        val MIN_INTERVAL = 2.seconds
         val BUDGET_PAUSE = 100.milliseconds
         val RETRY = 500.milliseconds
         val TIMEOUT = 5.seconds
--- a/src/main/kotlin/copperglade/jobs/CancellationNotices.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationNotices.kt
@@ -1,7 +1,7 @@
 package copperglade.jobs
 
 import copperglade.protocol.Cancellation
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerWire
 import copperglade.settings.Peer
 import copperglade.storage.Replica
@@ -26,7 +26,7 @@
     /** For so long it is tried to tell a controller that does not answer. */
     private val worthTelling: Duration,
 ) {
-    private class PendingNotice(val cancellation: Cancellation, val since: Moment, val told: () -> Unit)
+    private class PendingNotice(val cancellation: Cancellation, val since: MonotonicTime, val told: () -> Unit)
 
     private val pendingNotices = peers.associateWith { ArrayList<PendingNotice>() }
     private val busy = HashSet<Peer>()
@@ -55,7 +55,7 @@
         val waiting = pendingNotices.getValue(peer)
         waiting.removeIf { loop.now() >= it.since + worthTelling }
         if (waiting.isEmpty() || !busy.add(peer)) return
-        val sent = waiting.take(MOST_AT_ONCE)
+        val sent = waiting.take(MAX_AT_ONCE)
         val body = PeerWire.encodeCancelled(sent.map { it.cancellation })
         http.call(peer.endpoint, Request(Method.POST, PeerWire.CANCELLED_PATH, body), TIMEOUT) { reply ->
             if (reply == null) {
@@ -73,10 +73,10 @@
         send(peer)
     }
 
-    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.stamp) }
+    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.revision) }
 
     private companion object {
-        const val MOST_AT_ONCE = 500
+        const val MAX_AT_ONCE = 500
         val PATIENCE = 250.milliseconds
         val TIMEOUT = 1.seconds
         val RETRY = 300.milliseconds
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -28,7 +28,7 @@
 class DependencyResolver(private val replica: Replica) {
     fun resolve(names: List<JobId>, done: (Resolution) -> Unit) {
         if (names.all(::isKnown)) return done(judge(names))
-        replica.fresh { known -> if (known) lookUp(names, done) else done(Resolution.Unavailable) }
+        replica.readFresh { known -> if (known) lookUp(names, done) else done(Resolution.Unavailable) }
     }
 
     private fun isKnown(id: JobId): Boolean = replica.dependencies.outcomeOf(id) != DependencyOutcome.UNKNOWN
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -11,13 +11,13 @@
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
+import copperglade.storage.ReplicaChanges
 import copperglade.storage.ReplicaListener
 import copperglade.storage.StateClient
-import copperglade.storage.Touched
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import kotlin.math.min
 
 /**
@@ -36,18 +36,18 @@
     /** Jobs that have changed since they were last looked at; null where some may have been missed, not leading. */
     private var changed: HashSet<JobId>? = null
 
-    override fun changed(touched: Touched) {
-        if (leadership.leading) changed?.addAll(touched.jobs) else changed = null
+    override fun changed(changes: ReplicaChanges) {
+        if (leadership.leading) changed?.addAll(changes.jobs) else changed = null
     }
 
     fun round() {
-        if (inFlight.size >= MOST_IN_FLIGHT) return
+        if (inFlight.size >= MAX_IN_FLIGHT) return
         val looked = changed ?: HashSet(replica.jobs.keys)
         changed = HashSet()
         val over = looked.mapNotNull { replica.jobs[it] }.filter { it.id !in inFlight && guard.mayEnd(it) }
-        val jobsAtOnce = min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_A_JOB).coerceAtLeast(1)
+        val jobsAtOnce = min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_PER_JOB).coerceAtLeast(1)
         over.chunked(jobsAtOnce).forEachIndexed { index, jobs ->
-            if (index < MOST_IN_FLIGHT) finalize(jobs) else jobs.forEach { lookAgain(it.id) }
+            if (index < MAX_IN_FLIGHT) finalize(jobs) else jobs.forEach { lookAgain(it.id) }
         }
     }
 
@@ -64,19 +64,19 @@
         conditions += leadership.condition
         for (job in jobs) {
             val end = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
-            conditions += Condition(Keys.live(job.id), job.liveStamp())
+            conditions += Condition(Keys.live(job.id), job.liveRevision())
             writes += Write.Set(Keys.over(job.id), RecordCodec.encode(end))
-            writes += Write.Drop(Keys.live(job.id))
+            writes += Write.Delete(Keys.live(job.id))
         }
         val transaction = Transaction(conditions, writes)
         val ids = jobs.map { it.id }
         inFlight += ids
-        store.commit(Urgency.CLEANING, transaction) { outcome ->
+        store.commit(WritePriority.CLEANUP, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
-                replica.applied(transaction, outcome.stamp)
+                replica.applied(transaction, outcome.revision)
                 inFlight -= ids.toSet()
             } else {
-                replica.fresh {
+                replica.readFresh {
                     inFlight -= ids.toSet()
                     ids.forEach(::lookAgain)
                 }
@@ -85,10 +85,10 @@
     }
 
     private companion object {
-        const val WRITES_A_JOB = 2
+        const val WRITES_PER_JOB = 2
 
         /** Small steps: a large one would hold up the assignments behind it. */
         const val JOBS_AT_ONCE = 3
-        const val MOST_IN_FLIGHT = 20
+        const val MAX_IN_FLIGHT = 20
     }
 }
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -11,9 +11,9 @@
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.protocol.TeamName
 import copperglade.protocol.UserWire
 import copperglade.protocol.text
@@ -29,15 +29,15 @@
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Responder
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** Answers users. Nothing is said of a job that is not durable, or that any later answer could contradict. */
 class JobService(
@@ -100,13 +100,13 @@
     private fun accept(record: LiveRecord, responder: Responder, tries: Int) {
         val spec = record.spec
         val transaction = Transaction(
-            listOf(Condition(Keys.live(spec.id), Stamp.ABSENT), Condition(Keys.over(spec.id), Stamp.ABSENT)),
+            listOf(Condition(Keys.live(spec.id), Revision.ABSENT), Condition(Keys.over(spec.id), Revision.ABSENT)),
             listOf(Write.Set(Keys.live(spec.id), RecordCodec.encode(record))),
         )
-        store.commit(Urgency.USER, transaction) { outcome ->
+        store.commit(WritePriority.USER, transaction) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied -> {
-                    replica.applied(transaction, outcome.stamp)
+                    replica.applied(transaction, outcome.revision)
                     log.debug("{} accepted: {} tasks of {}", spec.id, spec.tasks, spec.load)
                     val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
                     responder.send(Reply(HttpStatus.CREATED, UserWire.short(spec.id, status)))
@@ -146,15 +146,15 @@
             else -> {
                 val record = cancelledRecord(live.value)
                 val transaction = Transaction(
-                    listOf(Condition(Keys.live(id), live.stamp)),
+                    listOf(Condition(Keys.live(id), live.revision)),
                     listOf(Write.Set(Keys.live(id), RecordCodec.encode(record))),
                 )
-                store.commit(Urgency.USER, transaction) { outcome ->
+                store.commit(WritePriority.USER, transaction) { outcome ->
                     // Tasks may have become done just before the mark, so it is read again what the job has become.
                     when (outcome) {
                         is TransactionOutcome.Applied -> {
-                            replica.applied(transaction, outcome.stamp)
-                            cancellationNotices.tell(Cancellation(id, outcome.stamp)) { cancel(id, responder, tries - 1) }
+                            replica.applied(transaction, outcome.revision)
+                            cancellationNotices.tell(Cancellation(id, outcome.revision)) { cancel(id, responder, tries - 1) }
                         }
                         TransactionOutcome.Refused -> responder.send(later())
                         else -> cancel(id, responder, tries - 1)
@@ -179,18 +179,18 @@
         status(id, loop.now(), responder, done)
     }
 
-    private fun status(id: JobId, asked: Moment, responder: Responder, done: (JobAnswer?) -> Unit) {
-        replica.fresh { known ->
+    private fun status(id: JobId, asked: MonotonicTime, responder: Responder, done: (JobAnswer?) -> Unit) {
+        replica.readFresh { known ->
             val job = replica.jobs[id]
             val end = replica.endOf(id)
             when {
                 // This process may have stood still between the reading and now, and another may have told the user more.
-                !known || loop.now() >= asked + LONGEST_READING -> responder.send(later())
+                !known || loop.now() >= asked + MAX_READING -> responder.send(later())
                 end != null -> done(JobAnswer(id, end.status, end.tasksDone, 0))
                 // A job that it waits for ended before this process began, and is not known to be done or cancelled yet.
                 replica.dependencies.hasUnknownDependencies(id) -> responder.send(later())
                 // The mark was learned ahead of the reading: the last task may have been recorded just before it.
-                job != null && job.markedAfter(replica.cursor) && !job.complete -> status(id, asked, responder, done)
+                job != null && job.markedAfter(replica.knownRevision) && !job.complete -> status(id, asked, responder, done)
                 job?.live != null -> done(answerOf(job))
                 else -> replica.readEnd(id) { outcome ->
                     val found = replica.endOf(id)
@@ -221,7 +221,7 @@
         private const val TRIES = 2
         private val log = LoggerFactory.getLogger("desk")
         private val RETRY = 100.milliseconds
-        private val LONGEST_READING = 5.seconds
+        private val MAX_READING = 5.seconds
 
         fun later() = Reply(HttpStatus.UNAVAILABLE, UserWire.error("not now, ask again"), retryAfterS = 1)
     }
--- a/src/main/kotlin/copperglade/membership/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/membership/AbsentOwners.kt
@@ -2,10 +2,10 @@
 
 import copperglade.protocol.Incarnation
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.storage.Replica
+import copperglade.storage.ReplicaChanges
 import copperglade.storage.ReplicaListener
-import copperglade.storage.Touched
 import copperglade.transport.EventLoop
 import kotlin.time.Duration
 
@@ -20,25 +20,25 @@
     private val others: List<MemberId>,
     private val grace: Duration,
 ) : ReplicaListener {
-    private class Observed(var incarnation: Incarnation?, var stoppedBy: Moment)
+    private class Observed(var incarnation: Incarnation?, var stoppedBy: MonotonicTime)
 
     private val observed = others.associateWithTo(HashMap()) { Observed(null, loop.now() + grace) }
 
-    override fun changed(touched: Touched) {
-        if (!touched.standing) return
-        for (other in others) observe(other, touched)
+    override fun changed(changes: ReplicaChanges) {
+        if (!changes.clusterRecordsChanged) return
+        for (other in others) observe(other, changes)
     }
 
     /**
      * A member that comes back after its former incarnation has surely stopped changes nothing: on a recorded day, the return of
      * one that had been down for a minute and a half held up all the tasks that were missing just then, for a lease.
      */
-    private fun observe(other: MemberId, touched: Touched) {
+    private fun observe(other: MemberId, changes: ReplicaChanges) {
         val member = observed.getValue(other)
         val present = replica.members[other]?.value?.incarnation
         val now = loop.now()
         // It may have come and gone between two readings, or while nothing could be read.
-        val unseen = touched.reloaded || other in touched.membersGone
+        val unseen = changes.reloaded || other in changes.removedMembers
         when {
             present == null -> if (member.incarnation != null || unseen) member.stoppedBy = now + grace
             member.incarnation == null && !unseen -> member.stoppedBy = minOf(member.stoppedBy, now)
@@ -48,6 +48,6 @@
     }
 
     /** When the last of them has surely stopped answering under an earlier incarnation. */
-    val over: Moment
-        get() = observed.values.maxOfOrNull { it.stoppedBy } ?: Moment.NEVER
+    val over: MonotonicTime
+        get() = observed.values.maxOfOrNull { it.stoppedBy } ?: MonotonicTime.NEVER
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -1,7 +1,7 @@
 package copperglade.membership
 
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
 import copperglade.protocol.secondsSince
 import copperglade.storage.Condition
 import copperglade.storage.Keys
@@ -11,19 +11,19 @@
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
-import org.slf4j.LoggerFactory
 
 enum class LeadershipState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
 
 /**
  * Who leads. The leader's key hangs on a session lease of its own, much shorter than a member's, since a leader that is
  * gone holds up every new task; nothing unsafe follows from two leaders, as each write of a leader is conditional on
- * the key's stamp.
+ * the key's revision.
  */
 class Leadership(
     private val loop: EventLoop,
@@ -33,30 +33,30 @@
     private val leaseLength: Duration,
 ) {
     private var lease = SessionLease(loop, store, leaseLength)
-    private var since = Moment.NEVER
-    private var loggedLeader: Stamp? = null
+    private var since = MonotonicTime.NEVER
+    private var loggedLeader: Revision? = null
 
     var state = LeadershipState.FOLLOWING
         private set
 
-    /** The stamp of the leader's key, condition of everything that the leader writes. */
-    var stamp = Stamp.ABSENT
+    /** The revision of the leader's key, condition of everything that the leader writes. */
+    var revision = Revision.ABSENT
         private set
 
     val leading: Boolean get() = state == LeadershipState.LEADING && lease.alive && membership.mayAct
-    val condition: Condition get() = Condition(Keys.LEADER, stamp)
+    val condition: Condition get() = Condition(Keys.LEADER, revision)
     val leadingForS: Double get() = loop.now().secondsSince(since)
 
     fun start() {
-        replica.listen { touched -> if (touched.standing) logLeader() }
+        replica.listen { changes -> if (changes.clusterRecordsChanged) logLeader() }
         loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
     }
 
     private fun logLeader() {
         val present = replica.leader
-        if (present?.stamp == loggedLeader) return
-        loggedLeader = present?.stamp
-        log.info("leader={} incarnation={} token={}", present?.value?.member, present?.value?.incarnation, present?.stamp)
+        if (present?.revision == loggedLeader) return
+        loggedLeader = present?.revision
+        log.info("leader={} incarnation={} token={}", present?.value?.member, present?.value?.incarnation, present?.revision)
     }
 
     private fun moveTo(next: LeadershipState, why: String) {
@@ -69,7 +69,7 @@
         when (state) {
             LeadershipState.FOLLOWING -> if (vacant()) campaign()
             LeadershipState.LEADING -> {
-                if (replica.leader?.stamp != stamp) {
+                if (replica.leader?.revision != revision) {
                     stepDown("the key is no longer ours")
                 } else {
                     lease.extend { kept -> if (!kept) stepDown("the hold ran out") }
@@ -93,17 +93,17 @@
         lease.open { opened ->
             val leaseId = lease.leaseId
             if (!opened || leaseId == null) return@open stepDown("no hold")
-            val before = replica.leader?.stamp ?: Stamp.ABSENT
+            val before = replica.leader?.revision ?: Revision.ABSENT
             if (!vacant()) return@open stepDown("somebody else was faster")
             val record = RecordCodec.encode(LeaderRecord(membership.self, incarnation))
             val transaction = Transaction(
-                listOf(Condition(Keys.LEADER, before), Condition(Keys.member(membership.self), membership.stamp)),
+                listOf(Condition(Keys.LEADER, before), Condition(Keys.member(membership.self), membership.revision)),
                 listOf(Write.Set(Keys.LEADER, record, leaseId)),
             )
-            store.commit(Urgency.LEASE, transaction) { outcome ->
+            store.commit(WritePriority.LEASE, transaction) { outcome ->
                 if (outcome !is TransactionOutcome.Applied) return@commit stepDown("lost the campaign")
-                stamp = outcome.stamp
-                replica.applied(transaction, outcome.stamp)
+                revision = outcome.revision
+                replica.applied(transaction, outcome.revision)
                 catchUp()
             }
         }
@@ -111,9 +111,9 @@
 
     /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
     private fun catchUp() {
-        moveTo(LeadershipState.CATCHING_UP, "elected with stamp $stamp")
-        replica.fresh { known ->
-            if (!known) return@fresh stepDown("could not catch up")
+        moveTo(LeadershipState.CATCHING_UP, "elected with stamp $revision")
+        replica.readFresh { known ->
+            if (!known) return@readFresh stepDown("could not catch up")
             since = loop.now()
             moveTo(LeadershipState.LEADING, "caught up")
         }
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -1,7 +1,7 @@
 package copperglade.membership
 
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerWire
 import copperglade.settings.Peer
 import copperglade.storage.StateClient
@@ -33,18 +33,18 @@
     private val peers: List<Peer>,
 ) {
     private val startedAt = loop.now()
-    private val endorsedBy = HashMap<MemberId, Moment>()
-    private val endorsedMembers = HashMap<MemberId, Moment>()
+    private val endorsedBy = HashMap<MemberId, MonotonicTime>()
+    private val endorsedMembers = HashMap<MemberId, MonotonicTime>()
     private val asking = HashSet<MemberId>()
 
     /** Whether our right was intact up to now; else an endorsement would come too late to mean anything. */
     var intact: () -> Boolean = { false }
 
     /** Until when all others have endorsed our shards. */
-    val endorsedUntil: Moment
-        get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: Moment.NEVER.ms }?.let { Moment(it) } ?: Moment.NEVER
+    val endorsedUntil: MonotonicTime
+        get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: MonotonicTime.NEVER.ms }?.let { MonotonicTime(it) } ?: MonotonicTime.NEVER
 
-    fun start() = loop.again({ PACE }) {
+    fun start() = loop.again({ INTERVAL }) {
         if (store.isSilent() && intact()) peers.filter { it.member !in asking }.forEach(::ask)
     }
 
@@ -72,13 +72,13 @@
     /** Whether shards of [holder] may be granted to somebody else. */
     fun mayGrantAway(holder: MemberId): Boolean {
         val now = loop.now()
-        return now >= startedAt + ENDORSEMENT_LENGTH && now >= (endorsedMembers[holder] ?: Moment.NEVER)
+        return now >= startedAt + ENDORSEMENT_LENGTH && now >= (endorsedMembers[holder] ?: MonotonicTime.NEVER)
     }
 
     private companion object {
         val ENDORSEMENT_LENGTH = 3.seconds
         val MARGIN = 100.milliseconds
-        val PACE = 400.milliseconds
+        val INTERVAL = 400.milliseconds
         val TIMEOUT = 1.seconds
     }
 }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -3,8 +3,8 @@
 import copperglade.protocol.Incarnation
 import copperglade.protocol.LeaseId
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.LeaseOutcome
@@ -15,12 +15,12 @@
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
-import org.slf4j.LoggerFactory
 
 /**
  * A session lease, and our own reckoning of how long it surely lives: from when the last successful request was sent, less
@@ -29,11 +29,11 @@
 class SessionLease(private val loop: EventLoop, private val store: StateClient, private val length: Duration) {
     var leaseId: LeaseId? = null
         private set
-    var surelyUntil = Moment.NEVER
+    var surelyUntil = MonotonicTime.NEVER
         private set
 
     /** When the last successful request for it was sent. */
-    var renewedAt = Moment.NEVER
+    var renewedAt = MonotonicTime.NEVER
         private set
 
     val alive: Boolean get() = leaseId != null && loop.now() < surelyUntil
@@ -70,7 +70,7 @@
         leaseId = null
     }
 
-    private fun renewed(sent: Moment) {
+    private fun renewed(sent: MonotonicTime) {
         val until = sent + length * (1.0 - DRIFT) - MARGIN
         if (until > surelyUntil) surelyUntil = until
         if (sent > renewedAt) renewedAt = sent
@@ -109,7 +109,7 @@
 
     var state = MemberState.OUTSIDE
         private set
-    var stamp = Stamp.ABSENT
+    var revision = Revision.ABSENT
         private set
 
     /** The session lease's number stands for this life of the process: the state service gives none twice. */
@@ -124,7 +124,7 @@
      */
     override val mayAct: Boolean
         get() = state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) &&
-            knowsRecords && loop.now() < replica.asOf + stalenessLimit
+            knowsRecords && loop.now() < replica.readTime + stalenessLimit
 
     /** While the records are loaded anew, a part of them is missing: nothing may be decided on the rest. */
     private val knowsRecords: Boolean get() = replica.state == ReplicaState.CURRENT
@@ -134,7 +134,7 @@
         get() {
             if (!mayAct) return 0
             val byLease = maxOf(lease.surelyUntil, leaseEndorsement.endorsedUntil)
-            return minOf(byLease, replica.asOf + stalenessLimit).ms - loop.now().ms
+            return minOf(byLease, replica.readTime + stalenessLimit).ms - loop.now().ms
         }
 
     /**
@@ -143,7 +143,7 @@
      * others state that it answers nobody, and nothing can be confirmed then that they haven't told us before.
      */
     override val mayStart: Boolean
-        get() = mayAct && (loop.now() < replica.asOf + startLimit || loop.now() < leaseEndorsement.endorsedUntil)
+        get() = mayAct && (loop.now() < replica.readTime + startLimit || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the session
@@ -151,7 +151,7 @@
      * reckon with it ([AbsentOwners]).
      */
     val mayKeep: Boolean
-        get() = state == MemberState.MEMBER && knowsRecords && loop.now() < minOf(lease.renewedAt, replica.asOf) + stalenessLimit
+        get() = state == MemberState.MEMBER && knowsRecords && loop.now() < minOf(lease.renewedAt, replica.readTime) + stalenessLimit
 
     /** How long that may go on beyond the session lease. */
     val grace: Duration get() = (stalenessLimit - leaseLength) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
@@ -188,18 +188,18 @@
             loop.after(LOOK) { register() }
             return
         }
-        replica.fresh { known ->
-            if (!known) return@fresh retry("state service silent")
-            val before = replica.members[self]?.stamp ?: Stamp.ABSENT
+        replica.readFresh { known ->
+            if (!known) return@readFresh retry("state service silent")
+            val before = replica.members[self]?.revision ?: Revision.ABSENT
             val record = MemberRecord(Incarnation(leaseId.number))
             val transaction = Transaction(
                 listOf(Condition(Keys.member(self), before)),
                 listOf(Write.Set(Keys.member(self), RecordCodec.encode(record), leaseId)),
             )
-            store.commit(Urgency.LEASE, transaction) { outcome ->
+            store.commit(WritePriority.LEASE, transaction) { outcome ->
                 if (outcome is TransactionOutcome.Applied) {
-                    stamp = outcome.stamp
-                    replica.applied(transaction, outcome.stamp)
+                    revision = outcome.revision
+                    replica.applied(transaction, outcome.revision)
                     moveTo(MemberState.MEMBER, "incarnation $leaseId")
                 } else {
                     retry("could not register")
--- a/src/main/kotlin/copperglade/membership/PeerMessenger.kt
+++ b/src/main/kotlin/copperglade/membership/PeerMessenger.kt
@@ -1,7 +1,7 @@
 package copperglade.membership
 
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.settings.Peer
@@ -9,8 +9,8 @@
 import copperglade.storage.RecordCodec
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
 import copperglade.transport.HttpStatus
@@ -35,19 +35,19 @@
     private val currentLeader: () -> MemberId?,
     private val heard: (PeerStatus) -> Unit,
 ) {
-    private class Received(val status: PeerStatus, val at: Moment)
+    private class Received(val status: PeerStatus, val at: MonotonicTime)
 
     private val latest = HashMap<MemberId, Received>()
     private val indirect = HashMap<MemberId, Received>()
     private val busy = HashSet<MemberId>()
-    private val deliveredAt = HashMap<MemberId, Moment>()
-    private var recordedAt = Moment.NEVER
-    private var briefAt = Moment.NEVER
+    private val deliveredAt = HashMap<MemberId, MonotonicTime>()
+    private var recordedAt = MonotonicTime.NEVER
+    private var briefAt = MonotonicTime.NEVER
 
-    fun start() = loop.again({ pace() }) { compose()?.let(::tell) }
+    fun start() = loop.again({ interval() }) { compose()?.let(::tell) }
 
     /** The more machines a status tells of, the rarer: five times the machines must not cost five times the processor. */
-    private fun pace(): Duration = minOf(PACE + PACE_A_MACHINE * machines(), LONGEST_PACE)
+    private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * machines(), MAX_INTERVAL)
 
     private fun tell(status: PeerStatus) {
         heard(status)
@@ -55,7 +55,7 @@
         // Only the leader works with the rooms; for hundreds of machines they are most of a status message.
         val brief = lazy { PeerWire.encode(status.brief()) }
         val now = loop.now()
-        val briefDue = now >= briefAt + BRIEF_PACE
+        val briefDue = now >= briefAt + BRIEF_INTERVAL
         if (briefDue) briefAt = now
         for (peer in peers) {
             if (peer.member in busy) continue
@@ -79,18 +79,18 @@
     private fun recordIfCutOff(leader: MemberId, status: PeerStatus) {
         val now = loop.now()
         val reached = deliveredAt.getOrPut(leader) { now }
-        if (now < reached + UNREACHED || now < recordedAt + RECORD_PACE) return
+        if (now < reached + UNREACHED || now < recordedAt + RECORD_INTERVAL) return
         recordedAt = now
         val value = fittingValue(status) ?: return
         val write = Write.Set(Keys.room(self), value)
         // A hint only, and of use only while it is new: no condition, and what comes late is told by its incarnation.
-        store.commit(Urgency.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
+        store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
 
     /** As many machines of [status] as a value can hold; how much a machine takes is an estimate, so it is measured. */
     private fun fittingValue(status: PeerStatus): ByteArray? {
         var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
-        repeat(MOST_SHORTENINGS) {
+        repeat(MAX_SHORTENINGS) {
             val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.shortened(bytes)))
             if (value.size <= store.limits.valueBytes) return value
             bytes = (bytes * SHORTENING).toInt()
@@ -114,21 +114,21 @@
         of(member) ?: indirect[member]?.takeIf { loop.now() < it.at + FRESH_INDIRECT }?.status
 
     companion object {
-        private const val MOST_SHORTENINGS = 8
+        private const val MAX_SHORTENINGS = 8
         private const val SHORTENING = 0.75
 
         /** Bytes become a third more in JSON. */
         private const val PART_OF_VALUE = 0.65
-        private val PACE = 150.milliseconds
-        private val PACE_A_MACHINE = 1.milliseconds
-        private val LONGEST_PACE = 600.milliseconds
+        private val INTERVAL = 150.milliseconds
+        private val INTERVAL_PER_MACHINE = 1.milliseconds
+        private val MAX_INTERVAL = 600.milliseconds
 
         /** What others than the leader are told changes slowly. */
-        private val BRIEF_PACE = 450.milliseconds
+        private val BRIEF_INTERVAL = 450.milliseconds
         private val TIMEOUT = 1.seconds
         private val FRESH = 2.seconds
         private val UNREACHED = 1500.milliseconds
-        private val RECORD_PACE = 1500.milliseconds
+        private val RECORD_INTERVAL = 1500.milliseconds
         private val FRESH_INDIRECT = 4.seconds
     }
 }
--- a/src/main/kotlin/copperglade/observability/DecisionLog.kt
+++ b/src/main/kotlin/copperglade/observability/DecisionLog.kt
@@ -11,9 +11,9 @@
 import copperglade.storage.Replica
 import copperglade.tasks.Run
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import java.util.TreeMap
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /**
  * Tells what was done and on what it rested: which token, how old the records were, how long the right to act would last, what the job
@@ -27,7 +27,7 @@
 ) {
     private val counts = TreeMap<String, Int>()
 
-    fun start() = loop.again({ PACE }, ::summarize)
+    fun start() = loop.again({ INTERVAL }, ::summarize)
 
     /** [commands] go out to [machine] under [token], directly or with an answer. */
     fun commanded(machine: MachineName, token: FencingToken, commands: List<Command>, way: String) {
@@ -82,7 +82,7 @@
     }
 
     private fun right() =
-        "knowledge_ms=${loop.now().ms - replica.asOf.ms} revision=${replica.cursor} lease_ms=${membership.rightLeftMs} replica=${replica.state}"
+        "knowledge_ms=${loop.now().ms - replica.readTime.ms} revision=${replica.knownRevision} lease_ms=${membership.rightLeftMs} replica=${replica.state}"
 
     private fun basis(id: JobId): String {
         val job = replica.jobs[id]
@@ -92,7 +92,7 @@
             job.dependencies.isEmpty() -> "FREE"
             else -> job.dependencyState.name
         }
-        return "job_state=$state record=${job?.liveStamp()} ${right()}"
+        return "job_state=$state record=${job?.liveRevision()} ${right()}"
     }
 
     private fun summarize() {
@@ -101,7 +101,7 @@
     }
 
     private companion object {
-        val PACE = 60.seconds
+        val INTERVAL = 60.seconds
         val log = LoggerFactory.getLogger("decision")
     }
 }
--- a/src/main/kotlin/copperglade/observability/Latencies.kt
+++ b/src/main/kotlin/copperglade/observability/Latencies.kt
@@ -4,17 +4,17 @@
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Responder
-import kotlin.time.Duration.Companion.seconds
 import org.HdrHistogram.Histogram
 import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.seconds
 
 /** How long users wait for our answers; logged once a minute. */
 class Latencies(private val loop: EventLoop, private val what: String) {
-    private val histogram = Histogram(LONGEST_MS, DIGITS)
+    private val histogram = Histogram(MAX_MS, DIGITS)
     private var turnedAway = 0
 
     fun start() {
-        loop.after(PACE) {
+        loop.after(INTERVAL) {
             report()
             start()
         }
@@ -24,7 +24,7 @@
     fun timed(responder: Responder): Responder {
         val began = loop.now()
         return Responder { reply: Reply ->
-            histogram.recordValue((loop.now().ms - began.ms).coerceIn(0, LONGEST_MS))
+            histogram.recordValue((loop.now().ms - began.ms).coerceIn(0, MAX_MS))
             if (reply.status == HttpStatus.UNAVAILABLE) turnedAway++
             responder.send(reply)
         }
@@ -46,9 +46,9 @@
     }
 
     private companion object {
-        const val LONGEST_MS = 60_000L
+        const val MAX_MS = 60_000L
         const val DIGITS = 2
-        val PACE = 60.seconds
+        val INTERVAL = 60.seconds
         val log = LoggerFactory.getLogger("users")
     }
 }
--- a/src/main/kotlin/copperglade/observability/Workload.kt
+++ b/src/main/kotlin/copperglade/observability/Workload.kt
@@ -7,10 +7,10 @@
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
 import copperglade.transport.Responder
+import org.slf4j.LoggerFactory
 import java.util.TreeMap
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /**
  * What the event loop is busy with, by kind: how often, for how long in all, and at the longest. Logged once a minute:
@@ -26,7 +26,7 @@
     private val tallies = TreeMap<String, Tally>()
     private var since = loop.now()
 
-    fun start() = loop.again({ PACE }, ::report)
+    fun start() = loop.again({ INTERVAL }, ::report)
 
     fun measure(kind: String, action: () -> Unit) {
         val began = loop.micros()
@@ -72,7 +72,7 @@
     private companion object {
         const val MS = 1000.0
         const val MICROS_PER_MS = 1000
-        val PACE = 60.seconds
+        val INTERVAL = 60.seconds
         val log = LoggerFactory.getLogger("workload")
     }
 }
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -13,25 +13,25 @@
 import copperglade.placement.ShardPlacement
 import copperglade.placement.ShardSummary
 import copperglade.placement.StragglerRestarts
-import copperglade.protocol.ShardName
-import copperglade.protocol.ShardCapacity
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
+import copperglade.protocol.ShardCapacity
+import copperglade.protocol.ShardName
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
-import copperglade.storage.JobPage
 import copperglade.storage.StateClient
-import copperglade.tasks.ShardState
+import copperglade.storage.TaskRange
 import copperglade.tasks.Machine
 import copperglade.tasks.MistakenJobs
 import copperglade.tasks.OutcomeLog
-import copperglade.tasks.ShardContext
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
+import copperglade.tasks.ShardContext
+import copperglade.tasks.ShardState
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
@@ -67,7 +67,7 @@
     private val intake = ReportIntake(state, tracker, commands)
     private val placement = ShardPlacement(state, health, lifecycle, stopper, commands, backoff)
     private val stragglers = StragglerRestarts(state, outcomes, stopper)
-    private var nextSweep = Moment.NEVER
+    private var nextSweep = MonotonicTime.NEVER
 
     /** Jobs that fail wherever they run. */
     val mistakenJobs: MistakenJobs get() = context.mistakenJobs
@@ -81,8 +81,8 @@
     /** Nothing is commanded until the records are known to be as new as the grant. */
     val open: Boolean get() = state.open
 
-    /** Whether [stamp] is one of the fencing tokens that this owner has had. */
-    fun holds(stamp: FencingToken): Boolean = state.isOwnToken(stamp)
+    /** Whether [revision] is one of the fencing tokens that this owner has had. */
+    fun holds(revision: FencingToken): Boolean = state.isOwnToken(revision)
 
     /** The records are known to be as new as the grant: from now on workers are commanded. */
     fun open() {
@@ -107,7 +107,7 @@
     fun drop(job: JobId) = reconciler.drop(job)
 
     /** The runs of this shard's tasks on one page of a job's records. */
-    fun runsOf(place: JobPage): Collection<Run> = state.runs.of(place)
+    fun runsOf(place: TaskRange): Collection<Run> = state.runs.of(place)
 
     /**
      * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
@@ -122,7 +122,7 @@
     fun keep(report: Report): ByteArray? = intake.keep(report)
 
     /** Commands need the tracker for what they bring back, and the tracker needs commands: this ties the two together. */
-    private fun heardReply(machine: Machine, report: Report, sentAt: Moment) {
+    private fun heardReply(machine: Machine, report: Report, sentAt: MonotonicTime) {
         tracker.hearReply(machine, report, sentAt)
     }
 
@@ -137,13 +137,13 @@
         val now = context.loop.now()
         workload.measure("blocks: placement") { placement.place(now) }
         if (now < nextSweep) return
-        nextSweep = now + SWEEP_PACE
+        nextSweep = now + SWEEP_INTERVAL
         workload.measure("blocks: sweep") { sweep(now) }
         if (context.membership.mayAct) workload.measure("blocks: stragglers") { stragglers.restartWorthwhile(now) }
     }
 
     /** Whatever a report or a record changes is seen to at once; the sweep finds what only time has changed. */
-    private fun sweep(now: Moment) {
+    private fun sweep(now: MonotonicTime) {
         tracker.dropExpired(now)
         reconciler.releaseMissing(now)
         if (context.membership.mayAct) machines.values.toList().forEach(commands::settle)
@@ -159,12 +159,12 @@
     fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
 
     /** How many of the shard's machines have missed a report. */
-    fun unheardMachines(now: Moment): Int = health.countUnheard(now)
+    fun unheardMachines(now: MonotonicTime): Int = health.countUnheard(now)
 
     /** The capacity of the shard's machines, for the leader. */
     fun room(): ShardCapacity = summary.room()
 
     private companion object {
-        val SWEEP_PACE = 400.milliseconds
+        val SWEEP_INTERVAL = 400.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -1,38 +1,38 @@
 package copperglade.ownership
 
-import copperglade.protocol.ShardName
-import copperglade.protocol.ShardCapacity
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardCapacity
+import copperglade.protocol.ShardName
 import copperglade.protocol.WorkerWire
 import copperglade.shards.ShardMap
-import copperglade.storage.ShardRecord
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
+import copperglade.storage.ReplicaChanges
 import copperglade.storage.ReplicaListener
+import copperglade.storage.ShardRecord
 import copperglade.storage.StateClient
 import copperglade.storage.TokenBucket
-import copperglade.storage.Touched
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.tasks.ShardContext
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** The shards that this process owns, kept in line with the shard records. */
 class ShardOwnership(
@@ -49,14 +49,14 @@
     private val membership = context.membership
     private val owned = HashMap<ShardName, ShardOwner>()
     private val keyInFlight = HashSet<ShardName>()
-    private var unheardCheckedAt = Moment.NEVER
+    private var unheardCheckedAt = MonotonicTime.NEVER
     private var unheardTimes = 0
 
     fun start() {
-        loop.again({ TICK + TICK_A_MACHINE * machineCount }) { context.workload.measure("blocks") { tick() } }
-        loop.again({ GIVE_UP_PACE }, ::giveUpUnheard)
+        loop.again({ TICK + TICK_PER_MACHINE * machineCount }) { context.workload.measure("blocks") { tick() } }
+        loop.again({ GIVE_UP_INTERVAL }, ::giveUpUnheard)
         // At leisure: image records spare fetches after a takeover, and nothing depends on them.
-        loop.again({ REMEMBER_PACE }) {
+        loop.again({ REMEMBER_INTERVAL }) {
             if (membership.mayAct && store.writeLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
         }
     }
@@ -69,11 +69,11 @@
     private fun giveUpUnheard() {
         val now = loop.now()
         // After a pause of our own, everybody seems to have been silent: what has come meanwhile is read first.
-        val onTime = now < unheardCheckedAt + GIVE_UP_PACE * 2
+        val onTime = now < unheardCheckedAt + GIVE_UP_INTERVAL * 2
         unheardCheckedAt = now
         val shards = owned.values.filter { it.open }
         val machines = shards.sumOf { it.machines.size }
-        val unheard = machines >= FEWEST_TO_TELL && shards.sumOf { it.unheardMachines(now) } == machines && !store.isSilent()
+        val unheard = machines >= MIN_TO_TELL && shards.sumOf { it.unheardMachines(now) } == machines && !store.isSilent()
         unheardTimes = if (unheard && onTime) unheardTimes + 1 else 0
         if (unheardTimes < TIMES_TO_TELL) return
         unheardTimes = 0
@@ -90,16 +90,16 @@
         val key = Keys.images(shard.name)
         val transaction = Transaction(
             listOf(
-                Condition(Keys.shard(shard.name), Stamp(shard.fencingToken.number)),
+                Condition(Keys.shard(shard.name), Revision(shard.fencingToken.number)),
                 Condition(
                     key,
-                    present?.stamp ?: Stamp.ABSENT,
+                    present?.revision ?: Revision.ABSENT,
                 ),
             ),
             listOf(Write.Set(key, value)),
         )
-        store.commit(Urgency.CLEANING, transaction) { outcome ->
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
+        store.commit(WritePriority.CLEANUP, transaction) { outcome ->
+            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
         }
     }
 
@@ -110,9 +110,9 @@
         }
     }
 
-    override fun changed(touched: Touched) {
-        if (touched.standing) reconcile()
-        for (id in touched.jobs) {
+    override fun changed(changes: ReplicaChanges) {
+        if (changes.clusterRecordsChanged) reconcile()
+        for (id in changes.jobs) {
             val job = replica.jobs[id]
             if (job?.live == null) context.evidence.forgetJob(id)
             for (shard in owned.values) if (job == null) shard.drop(id) else shard.sync(job)
@@ -127,7 +127,7 @@
             val present = owned[name]
             val mine =
                 record != null && incarnation != null && record.value == ShardRecord(membership.self, incarnation)
-            val fencingToken = record?.let { FencingToken(it.stamp.number) }
+            val fencingToken = record?.let { FencingToken(it.revision.number) }
             if (present != null && (!mine || !present.holds(fencingToken!!)) && name !in keyInFlight) close(present)
             if (mine && name !in owned && name !in keyInFlight) open(name, fencingToken!!)
         }
@@ -142,8 +142,8 @@
 
     /** Outcomes that the former owner wrote must be known before anything is started. */
     private fun openOnceFresh(shard: ShardOwner) {
-        replica.fresh { known ->
-            if (owned[shard.name] !== shard) return@fresh
+        replica.readFresh { known ->
+            if (owned[shard.name] !== shard) return@readFresh
             if (known) shard.open() else loop.after(RETRY) { openOnceFresh(shard) }
         }
     }
@@ -163,9 +163,9 @@
                 log.info(
                     "block {} has a new baton {}: a start of unknown outcome was in the way",
                     shard.name,
-                    outcome.stamp,
+                    outcome.revision,
                 )
-                shard.renew(FencingToken(outcome.stamp.number))
+                shard.renew(FencingToken(outcome.revision.number))
             }
             settleKey(shard.name)
         }
@@ -181,7 +181,7 @@
             if (!shard.open || !keyInFlight.add(name)) continue
             close(shard)
             val key = Keys.shard(name)
-            val write = if (unheard) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Drop(key)
+            val write = if (unheard) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Delete(key)
             rewrite(name, shard.fencingToken, write) { outcome ->
                 if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, shard.fencingToken)
             }
@@ -199,14 +199,14 @@
     }
 
     private fun rewrite(name: ShardName, fencingToken: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
-        val transaction = Transaction(listOf(Condition(Keys.shard(name), Stamp(fencingToken.number))), listOf(write))
-        store.commit(Urgency.LEASE, transaction) { outcome ->
+        val transaction = Transaction(listOf(Condition(Keys.shard(name), Revision(fencingToken.number))), listOf(write))
+        store.commit(WritePriority.LEASE, transaction) { outcome ->
             done(outcome)
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.stamp)
+            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
         }
     }
 
-    private fun settleKey(name: ShardName) = replica.fresh {
+    private fun settleKey(name: ShardName) = replica.readFresh {
         keyInFlight -= name
         reconcile()
     }
@@ -245,7 +245,7 @@
             }.filter { (_, machine) ->
                 // A question may be under way to it, but no start: that would have bound a run.
                 machine.runs.isEmpty() && machine.reportedTasks.isEmpty() && !machine.deleting
-            }.take(CloudWire.MOST_DELETED)
+            }.take(CloudWire.MAX_DELETED)
         if (empty.isEmpty() || !cloudBudget.tryTake(1, loop.now())) return
         empty.forEach { (_, machine) ->
             machine.deleting = true
@@ -266,14 +266,14 @@
     private companion object {
         const val PART_OF_VALUE = 0.8
         const val PLENTY = 0.6
-        val REMEMBER_PACE = 10.seconds
-        const val FEWEST_TO_TELL = 3
+        val REMEMBER_INTERVAL = 10.seconds
+        const val MIN_TO_TELL = 3
         const val TIMES_TO_TELL = 2
-        val GIVE_UP_PACE = 250.milliseconds
+        val GIVE_UP_INTERVAL = 250.milliseconds
         val TICK = 100.milliseconds
 
         /** The more machines there are, the more is gathered: looking at each of them ten times a second would not do. */
-        val TICK_A_MACHINE = 400.microseconds
+        val TICK_PER_MACHINE = 400.microseconds
         val RETRY = 200.milliseconds
         val DELETE_TIMEOUT = 5.seconds
         val log = LoggerFactory.getLogger("owner")
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineType
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.scheduling.PlacementCost
@@ -34,7 +34,7 @@
         fun holdsYielding(spec: JobSpec): Boolean = spec.request.fitsIn(yielding.withAllBelow(spec.priority, free))
     }
 
-    fun place(waiting: List<Run>, usable: List<Machine>, now: Moment) {
+    fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
         val rooms = usable.mapNotNull { machine ->
             types[machine.typeName]?.let { Candidate(machine, it, machine.free(it, now, requestOf)) }
         }
@@ -96,7 +96,7 @@
             .map { it to cost(run.spec, it, preempts = true) }
             .sortedBy { it.second }
         val plan = costs
-            .take(MOST_PLANS)
+            .take(MAX_PLANS)
             .mapNotNull { (room, cost) -> victims(run, room)?.let { Plan(cost, it) } }
             .minWithOrNull(compareBy({ it.cost }, { it.victims.size })) ?: return false
         run.preempts(plan.victims)
@@ -127,6 +127,6 @@
 
     private companion object {
         val PATIENCE = 2.seconds
-        const val MOST_PLANS = 16
+        const val MAX_PLANS = 16
     }
 }
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -4,13 +4,13 @@
 import copperglade.agents.RunStopper
 import copperglade.agents.WorkerCommands
 import copperglade.membership.Membership
-import copperglade.protocol.Moment
-import copperglade.tasks.ShardState
+import copperglade.protocol.MonotonicTime
 import copperglade.tasks.Machine
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 
 /**
@@ -40,7 +40,7 @@
     )
 
     /** Starts what waits and fits. Runs that find no room for too long are given back to the leader. */
-    fun place(now: Moment) {
+    fun place(now: MonotonicTime) {
         if (!state.context.membership.mayStart) return
         giveBackAllButOneTrial()
         val waiting = state.runs.waiting.filter { mayStart(it, now) }
@@ -51,7 +51,7 @@
         placedOn.clear()
     }
 
-    private fun mayStart(run: Run, now: Moment): Boolean {
+    private fun mayStart(run: Run, now: MonotonicTime): Boolean {
         val job = run.task.job
         if (now < run.notBefore || isRefused(run)) return false
         return job !in mistakenJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -1,15 +1,15 @@
 package copperglade.placement
 
 import copperglade.agents.MachineHealth
-import copperglade.protocol.ShardCapacity
 import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineType
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
+import copperglade.protocol.ShardCapacity
 import copperglade.scheduling.YieldingCapacity
 import copperglade.storage.ImageRecord
-import copperglade.tasks.ShardState
 import copperglade.tasks.Machine
+import copperglade.tasks.ShardState
 
 /**
  * Describes a shard's machines to others: their free and preemptible capacity to the leader, their cached images to a
@@ -33,7 +33,7 @@
         return ShardCapacity(state.name, state.token, rooms)
     }
 
-    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: Moment): MachineAvailability {
+    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: MonotonicTime): MachineAvailability {
         val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
         val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineAvailability(
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -1,10 +1,10 @@
 package copperglade.placement
 
 import copperglade.agents.RunStopper
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.secondsSince
-import copperglade.tasks.ShardState
 import copperglade.tasks.OutcomeLog
+import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 
 /**
@@ -15,7 +15,7 @@
     private val watch = StragglerWatch(state.context, state::requestOf)
 
     /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
-    fun restartWorthwhile(now: Moment) = watch.look(state.machines.values, now).forEach(::restart)
+    fun restartWorthwhile(now: MonotonicTime) = watch.look(state.machines.values, now).forEach(::restart)
 
     private fun restart(decision: RestartDecision) {
         val run = decision.run
--- a/src/main/kotlin/copperglade/placement/StragglerWatch.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerWatch.kt
@@ -6,27 +6,27 @@
 import copperglade.prediction.Verdict
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.protocol.secondsSince
 import copperglade.tasks.Machine
-import copperglade.tasks.ShardContext
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
-import kotlin.time.Duration.Companion.seconds
+import copperglade.tasks.ShardContext
 import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.seconds
 
 class RestartDecision(val run: Run, val target: MachineName)
 
 /** Looks for stragglers in one shard and weighs restarting them on another of its machines (section 6 and DESIGN). */
 class StragglerWatch(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
-    private var nextLook = Moment.NEVER
+    private var nextLook = MonotonicTime.NEVER
     private var turns = 0
 
-    fun look(machines: Collection<Machine>, now: Moment): List<RestartDecision> {
+    fun look(machines: Collection<Machine>, now: MonotonicTime): List<RestartDecision> {
         if (now < nextLook) return emptyList()
-        nextLook = now + PACE
+        nextLook = now + INTERVAL
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
@@ -39,14 +39,14 @@
         val late = machines.flatMap { it.runs }.filter { eligible(it) && isLate(it, now) }
         if (late.isEmpty()) return emptyList()
         val turn = turns % late.size
-        turns += MOST_WEIGHED
-        return (late.drop(turn) + late.take(turn)).take(MOST_WEIGHED).mapNotNull { run ->
+        turns += MAX_WEIGHED
+        return (late.drop(turn) + late.take(turn)).take(MAX_WEIGHED).mapNotNull { run ->
             decide(run, machines, free, now)?.also { free.merge(it.target, run.spec.request) { a, b -> a - b } }
         }
     }
 
     /** Past its job's average run time. */
-    private fun isLate(run: Run, now: Moment): Boolean {
+    private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
         val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
         return elapsed > average * context.tuning.stragglerMargin
@@ -55,7 +55,7 @@
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
     private fun eligible(run: Run) = run.state == RunState.RUNNING && run.spec.kind == JobKind.ARRAY && !run.restarted
 
-    private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: Moment): RestartDecision? {
+    private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
         val home = run.machine ?: return null
         val elapsed = now.secondsSince(run.runningSince ?: return null)
         val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return null
@@ -69,7 +69,7 @@
             room != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(room) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }
-        val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MOST_OPTIONS).mapNotNull { machine ->
+        val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = context.types[machine.typeName] ?: return@mapNotNull null
             val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
             val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
@@ -109,14 +109,14 @@
 
     private companion object {
         const val TINY = 1e-6
-        const val MOST_WEIGHED = 4
+        const val MAX_WEIGHED = 4
 
         /**
          * Weighing hundreds of machines for each straggler was a quarter of the processor on a grown day, and sixteen, every
          * second, still an eighth on a fleet day.
          */
-        const val MOST_OPTIONS = 8
-        val PACE = 2.seconds
+        const val MAX_OPTIONS = 8
+        val INTERVAL = 2.seconds
         val log = LoggerFactory.getLogger("risk")
     }
 }
--- a/src/main/kotlin/copperglade/prediction/Profiles.kt
+++ b/src/main/kotlin/copperglade/prediction/Profiles.kt
@@ -178,7 +178,7 @@
             distances[place] = distance
             times[place] = one.averageMachineS
         }
-        if (found < FEWEST) return null
+        if (found < MIN) return null
         val speed = speedOf(machine)
         return Prediction(times.take(found).map { it / speed }.sorted())
     }
@@ -208,8 +208,8 @@
             val logs = tasks
                 .mapNotNull { task ->
                     ofJob[task.factors.job]
-                        ?.takeIf { it.count >= FEWEST }
-                        ?.let { ln(it.sumS / it.count / task.runS.coerceAtLeast(SHORTEST_S)) }
+                        ?.takeIf { it.count >= MIN }
+                        ?.let { ln(it.sumS / it.count / task.runS.coerceAtLeast(MIN_S)) }
                 }.sorted()
             if (logs.size < ENOUGH_FOR_SPEED) continue
             val median = logs[logs.size / 2]
@@ -229,7 +229,7 @@
 
     /** The average run time of the job's finished tasks, or of its load's where too few have finished. */
     fun averageRunS(job: JobId, load: String): Double? {
-        val base = ofJob[job]?.takeIf { it.count >= FEWEST } ?: ofLoad[load]?.takeIf { it.count >= FEWEST }
+        val base = ofJob[job]?.takeIf { it.count >= MIN } ?: ofLoad[load]?.takeIf { it.count >= MIN }
         return base?.let { it.sumS / it.count }
     }
 
@@ -239,13 +239,13 @@
     }
 
     private companion object {
-        const val FEWEST = 3
+        const val MIN = 3
         const val MEASURED_EVERY = 10
         const val ENOUGH_FOR_SPEED = 8
 
         /** So many times its likely error a median must be off before it counts, and as far as that it doesn't. */
         const val CHANCES = 2.5
-        const val SHORTEST_S = 0.1
+        const val MIN_S = 0.1
         val UNFITTED = Weights(0.0)
         val ANY_MACHINE = MachineName("")
     }
--- a/src/main/kotlin/copperglade/protocol/CloudWire.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudWire.kt
@@ -28,8 +28,8 @@
 class MachinePage(val machines: List<ListedMachine>, val more: Boolean)
 
 object CloudWire {
-    const val MOST_RENTED = 50
-    const val MOST_DELETED = 100
+    const val MAX_RENTED = 50
+    const val MAX_DELETED = 100
     const val LIST_LIMIT = 500
     private const val ANSWER = "answer of the cloud"
 
--- a/src/main/kotlin/copperglade/protocol/Decoding.kt
+++ b/src/main/kotlin/copperglade/protocol/Decoding.kt
@@ -1,7 +1,7 @@
 package copperglade.protocol
 
-import java.util.concurrent.ConcurrentHashMap
 import org.slf4j.LoggerFactory
+import java.util.concurrent.ConcurrentHashMap
 
 /**
  * Reads what other processes sent or stored. Reading changes no state, so a fault in it means malformed input and nothing more; it
--- a/src/main/kotlin/copperglade/protocol/Ids.kt
+++ b/src/main/kotlin/copperglade/protocol/Ids.kt
@@ -61,17 +61,17 @@
 
 /** The revision of a key's last change; 0 means that the key does not exist. */
 @JvmInline
-value class Stamp(val number: Long) : Comparable<Stamp> {
-    override fun compareTo(other: Stamp) = number.compareTo(other.number)
+value class Revision(val number: Long) : Comparable<Revision> {
+    override fun compareTo(other: Revision) = number.compareTo(other.number)
 
     override fun toString() = number.toString()
 
     companion object {
-        val ABSENT = Stamp(0)
+        val ABSENT = Revision(0)
     }
 }
 
-/** The right to command a shard's workers: the stamp of the shard's key. */
+/** The right to command a shard's workers: the revision of the shard's key. */
 @JvmInline
 value class FencingToken(val number: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = number.compareTo(other.number)
@@ -103,20 +103,20 @@
 
 /** A reading of this process's steady clock, in milliseconds. */
 @JvmInline
-value class Moment(val ms: Long) : Comparable<Moment> {
-    override fun compareTo(other: Moment) = ms.compareTo(other.ms)
+value class MonotonicTime(val ms: Long) : Comparable<MonotonicTime> {
+    override fun compareTo(other: MonotonicTime) = ms.compareTo(other.ms)
 
-    operator fun plus(span: kotlin.time.Duration) = Moment(ms + span.inWholeMilliseconds)
+    operator fun plus(span: kotlin.time.Duration) = MonotonicTime(ms + span.inWholeMilliseconds)
 
-    operator fun minus(span: kotlin.time.Duration) = Moment(ms - span.inWholeMilliseconds)
+    operator fun minus(span: kotlin.time.Duration) = MonotonicTime(ms - span.inWholeMilliseconds)
 
     companion object {
-        val NEVER = Moment(Long.MIN_VALUE / 4)
+        val NEVER = MonotonicTime(Long.MIN_VALUE / 4)
     }
 }
 
 /** Seconds from [earlier] to this moment. */
-fun Moment.secondsSince(earlier: Moment): Double = (ms - earlier.ms) / 1000.0
+fun MonotonicTime.secondsSince(earlier: MonotonicTime): Double = (ms - earlier.ms) / 1000.0
 
 /** Host and port. */
 data class Endpoint(val host: String, val port: Int) {
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -109,9 +109,9 @@
 object JobSpecCodec {
     /** The jobs that have to be done before this one; the stored record of a job uses the same name. */
     const val DEPENDENCIES = "awaits"
-    private const val MOST_TASKS = 100_000
-    private const val MOST_AMOUNT = 1e9
-    private const val MOST_TEXT = 200
+    private const val MAX_TASKS = 100_000
+    private const val MAX_AMOUNT = 1e9
+    private const val MAX_TEXT = 200
 
     private class Refused(val why: BadField) : Exception(null, null, false, false)
 
@@ -171,7 +171,7 @@
 
     private fun text(root: JsonNode, name: String): String {
         val value = root.text(name) ?: refuse(name, "missing or not a string")
-        if (value.isEmpty() || value.length > MOST_TEXT) refuse(name, "empty or too long")
+        if (value.isEmpty() || value.length > MAX_TEXT) refuse(name, "empty or too long")
         return value
     }
 
@@ -180,13 +180,13 @@
 
     private fun amount(root: JsonNode, name: String): Double {
         val value = root.number(name) ?: refuse(name, "missing or not a number")
-        if (!value.isFinite() || value < 0.0 || value > MOST_AMOUNT) refuse(name, "out of range")
+        if (!value.isFinite() || value < 0.0 || value > MAX_AMOUNT) refuse(name, "out of range")
         return value
     }
 
     private fun taskCount(root: JsonNode): Int {
         val value = root.long("boxes") ?: refuse("boxes", "missing or not an integer")
-        if (value !in 1..MOST_TASKS) refuse("boxes", "not between 1 and $MOST_TASKS")
+        if (value !in 1..MAX_TASKS) refuse("boxes", "not between 1 and $MAX_TASKS")
         return value.toInt()
     }
 
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -31,7 +31,7 @@
     val member: MemberId,
     val incarnation: Incarnation,
     /** Everything up to this revision of the state service is in the status. */
-    val cursor: Stamp,
+    val knownRevision: Revision,
     val stateSilentMs: Long,
     val isLeader: Boolean,
     val shards: List<ShardCapacity>,
@@ -44,7 +44,7 @@
 ) {
     /** The machines with most room, without their images, as many as fit into about [bytes]. */
     fun shortened(bytes: Int): PeerStatus {
-        val most = (bytes - BYTES_BESIDE) / BYTES_A_MACHINE
+        val most = (bytes - BYTES_BESIDE) / BYTES_PER_MACHINE
         val chosen = shards
             .flatMap { it.machines }
             .filter { it.usable && it.free.cpus > 0.0 }
@@ -54,19 +54,19 @@
         val left = shards.map { shard ->
             ShardCapacity(shard.shard, shard.fencingToken, shard.machines.filter { it in chosen }.map { it.withoutImages() })
         }
-        return PeerStatus(member, incarnation, cursor, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
+        return PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
 
-    fun brief() = PeerStatus(member, incarnation, cursor, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
+    fun brief() = PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
 
     private companion object {
         const val BYTES_BESIDE = 400
-        const val BYTES_A_MACHINE = 100
+        const val BYTES_PER_MACHINE = 100
     }
 }
 
-/** That a job's cancelled mark was written, with [stamp]. */
-class Cancellation(val job: JobId, val stamp: Stamp)
+/** That a job's cancelled mark was written, with [revision]. */
+class Cancellation(val job: JobId, val revision: Revision)
 
 /** Messages between controllers in binary, through Okio buffers. */
 object PeerWire {
@@ -79,14 +79,14 @@
     const val CANCELLED_PATH = "/cancelled"
     private const val VERSION = 2
     private const val CANCELLED_VERSION = 1
-    private const val MOST_ITEMS = 100_000
+    private const val MAX_ITEMS = 100_000
 
     fun encode(status: PeerStatus): ByteArray {
         val out = Buffer()
         out.writeByte(VERSION)
         out.text(status.member.text)
         out.writeLong(status.incarnation.number)
-        out.writeLong(status.cursor.number)
+        out.writeLong(status.knownRevision.number)
         out.writeLong(status.stateSilentMs)
         out.flag(status.isLeader)
         // Types, zones and images recur on hundreds of machines: they are written once and then by number.
@@ -115,7 +115,7 @@
             PeerStatus(
                 member = MemberId(source.text()),
                 incarnation = Incarnation(source.readLong()),
-                cursor = Stamp(source.readLong()),
+                knownRevision = Revision(source.readLong()),
                 stateSilentMs = source.readLong(),
                 isLeader = source.flag(),
                 shards = source.let {
@@ -134,7 +134,7 @@
         out.writeByte(CANCELLED_VERSION)
         out.items(cancellations) {
             text(it.job.text)
-            writeLong(it.stamp.number)
+            writeLong(it.revision.number)
         }
         return out.readByteArray()
     }
@@ -143,7 +143,7 @@
     fun decodeCancelled(bytes: ByteArray): List<Cancellation>? = reading {
         val source = Buffer().write(bytes)
         require(source.readByte().toInt() == CANCELLED_VERSION)
-        source.items { Cancellation(requireNotNull(JobId.parse(text())), Stamp(readLong())) }
+        source.items { Cancellation(requireNotNull(JobId.parse(text())), Revision(readLong())) }
     }
 
     /** What [read] makes of a message, or null where it is no such message. */
@@ -206,7 +206,7 @@
 
     private fun Buffer.text(): String {
         val size = readInt()
-        require(size in 0..MOST_ITEMS)
+        require(size in 0..MAX_ITEMS)
         return readUtf8(size.toLong())
     }
 
@@ -221,7 +221,7 @@
 
     private fun <T> Buffer.items(read: Buffer.() -> T): List<T> {
         val size = readInt()
-        require(size in 0..MOST_ITEMS)
+        require(size in 0..MAX_ITEMS)
         return List(size) { read() }
     }
 }
--- a/src/main/kotlin/copperglade/safety/Violations.kt
+++ b/src/main/kotlin/copperglade/safety/Violations.kt
@@ -1,7 +1,7 @@
 package copperglade.safety
 
-import java.util.EnumMap
 import org.slf4j.LoggerFactory
+import java.util.EnumMap
 
 /** What must hold whenever something is done, whatever path led there. */
 enum class Invariant {
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -2,29 +2,29 @@
 
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.membership.Leadership
-import copperglade.protocol.ShardName
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
+import copperglade.protocol.ShardName
 import copperglade.protocol.TeamName
 import copperglade.settings.Objectives
 import copperglade.settings.Team
 import copperglade.storage.Assignment
 import copperglade.storage.Job
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
+import copperglade.storage.TaskRange
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** What the leader counts of a team while it decides. */
 private class TeamUse(val team: Team) {
@@ -53,10 +53,10 @@
 ) {
     private val writer = AssignmentWriter(loop, store, replica, leadership, capacityTable)
     private val guaranteePreemption = GuaranteePreemption(teams)
-    private var recalledAt = Moment.NEVER
+    private var recalledAt = MonotonicTime.NEVER
 
-    private var unhurriedFrom = Moment.NEVER
-    private var hurriedFrom = Moment.NEVER
+    private var unhurriedFrom = MonotonicTime.NEVER
+    private var hurriedFrom = MonotonicTime.NEVER
 
     /** A job's standing assignments at the beginning of a round. */
     private class Candidate(val job: Job, val spec: JobSpec, val standing: List<Assignment>, val guaranteed: Boolean) {
@@ -78,7 +78,7 @@
         // The scarcer the budget, the longer is gathered, and the more is decided at a time. Also what is urgent: a write
         // for each new service took the whole budget of a grown day's burst, and for 90 s no array was assigned.
         hurriedFrom = now + HURRIED_GATHERING * (1.0 - store.writeLevel())
-        if (unhurried) unhurriedFrom = now + SHORTEST_GATHERING + LONGEST_GATHERING * (1.0 - store.writeLevel())
+        if (unhurried) unhurriedFrom = now + MIN_GATHERING + MAX_GATHERING * (1.0 - store.writeLevel())
         val capacities = RoundCapacity(capacityTable.capacities(statusOf).filter { it.machine.usable })
         if (capacities.all.isEmpty()) return
         val decisions = Decisions()
@@ -86,12 +86,12 @@
         val (urgent, others) = order(waiting, poolCpus).partition { it.urgent }
         val fairShares = fairShare.of(others.map(::waitingJob), poolCpus)
         val first = fairShares.mapTo(HashSet()) { it.first }
-        val inOrder = urgent.map { it to MOST_TASKS } + fairShares + others.filter { it !in first }.map { it to MOST_TASKS }
+        val inOrder = urgent.map { it to MAX_TASKS } + fairShares + others.filter { it !in first }.map { it to MAX_TASKS }
         for ((candidate, most) in inOrder) {
             val use = uses[candidate.spec.team] ?: continue
             assign(candidate, use, capacities, decisions, minOf(most, candidate.left - candidate.standing.size))
         }
-        if (unhurried && now >= recalledAt + RECALL_PACE) {
+        if (unhurried && now >= recalledAt + RECALL_INTERVAL) {
             recalledAt = now
             recallBorrowed(all, uses, decisions)
         }
@@ -110,9 +110,9 @@
             .map { Borrowed(it.job, it.spec, it.standing) }
         val used = uses.mapValues { it.value.used.cpus }
         for ((job, tasks) in guaranteePreemption.choose(claims, lent, used)) {
-            tasks.groupBy { it.task / Keys.PAGE_TASKS }.forEach { (page, its) ->
+            tasks.groupBy { it.task / Keys.TASKS_PER_RANGE }.forEach { (page, its) ->
                 if (writer.ready(job, page)) {
-                    decisions.recalls[JobPage(job.id, page)] = BitSet().apply { its.forEach { set(it.task) } }
+                    decisions.recalls[TaskRange(job.id, page)] = BitSet().apply { its.forEach { set(it.task) } }
                 }
             }
             log.info("{} tasks of {} are recalled for a guarantee", tasks.size, job.id)
@@ -231,8 +231,8 @@
             choices += Choice(task, place.room)
             task = taken.nextClearBit(task + 1)
         }
-        for ((page, chosen) in choices.groupBy { it.task / Keys.PAGE_TASKS }) {
-            if (writer.ready(candidate.job, page)) decisions.choices[JobPage(candidate.job.id, page)] = chosen
+        for ((page, chosen) in choices.groupBy { it.task / Keys.TASKS_PER_RANGE }) {
+            if (writer.ready(candidate.job, page)) decisions.choices[TaskRange(candidate.job.id, page)] = chosen
         }
     }
 
@@ -246,7 +246,7 @@
 
         /** No place is left for a task of [spec]; nothing makes room in a round. */
         fun fullFor(spec: JobSpec) {
-            if (!spec.oneZone && !spec.spread && unplaced.size < MOST_UNPLACED) unplaced += spec
+            if (!spec.oneZone && !spec.spread && unplaced.size < MAX_UNPLACED) unplaced += spec
         }
 
         /** Whether a task that asks for no more, and may go wherever this one may, has found no place. */
@@ -328,8 +328,8 @@
 
     private companion object {
         val ONCE = listOf(1.0)
-        const val MOST_TASKS = 2000
-        const val MOST_UNPLACED = 16
+        const val MAX_TASKS = 2000
+        const val MAX_UNPLACED = 16
         const val MS = 1000.0
         const val SMALLEST_CPUS = 0.01
 
@@ -340,9 +340,9 @@
         const val FURTHER_SHARD_S = 0.4
         const val FIRST_SHARDS = 2
         val HURRIED_GATHERING = 500.milliseconds
-        val SHORTEST_GATHERING = 150.milliseconds
-        val LONGEST_GATHERING = 1000.milliseconds
-        val RECALL_PACE = 1.seconds
+        val MIN_GATHERING = 150.milliseconds
+        val MAX_GATHERING = 1000.milliseconds
+        val RECALL_INTERVAL = 1.seconds
         const val RECALL_AFTER_S = 3.0
         val log = LoggerFactory.getLogger("assigner")
 
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -4,43 +4,43 @@
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.storage.AssignmentGroup
-import copperglade.storage.AssignmentPage
+import copperglade.storage.AssignmentRange
 import copperglade.storage.Condition
 import copperglade.storage.Job
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
 import copperglade.storage.PackedWrite
 import copperglade.storage.RecordCodec
 import copperglade.storage.RecordPacker
 import copperglade.storage.Replica
+import copperglade.storage.ShardTaskRange
 import copperglade.storage.StateClient
+import copperglade.storage.TaskRange
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
 import copperglade.storage.UnresolvedWrites
-import copperglade.storage.Urgency
-import copperglade.storage.WorkPlace
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
-import org.slf4j.LoggerFactory
 
 /** A task and the room that it is given. */
 class Choice(val task: Int, val room: CapacityTable.MachineCapacity)
 
 /** What a round of the leader has chosen, by the pages to be written. */
 class Decisions {
-    val choices = LinkedHashMap<JobPage, List<Choice>>()
-    val recalls = LinkedHashMap<JobPage, BitSet>()
+    val choices = LinkedHashMap<TaskRange, List<Choice>>()
+    val recalls = LinkedHashMap<TaskRange, BitSet>()
     val places get() = choices.keys + recalls.keys
 }
 
 /** A page as it is to be written, and those of the choices that went into it. */
-private class FittingPage(val choices: List<Choice>, val bytes: ByteArray)
+private class FittingRange(val choices: List<Choice>, val bytes: ByteArray)
 
 /** Writes the leader's decisions down, and keeps count of those whose outcome is not known yet. */
 class AssignmentWriter(
@@ -61,19 +61,19 @@
         )
     }
 
-    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.ASSIGNMENT) { leadership.condition }
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.condition }
 
     /** Tasks whose assignment is on its way or of unknown outcome: they count as assigned. */
     private val pending = HashMap<JobId, Int>()
 
     /** The leadership term that [pending] belongs to. */
-    private var term = Stamp.ABSENT
-    private var unhurriedWrittenAt = Moment.NEVER
+    private var term = Revision.ABSENT
+    private var unhurriedWrittenAt = MonotonicTime.NEVER
 
-    /** What an earlier leadership term left behind can't be applied any more: its stamp was a condition of all. */
+    /** What an earlier leadership term left behind can't be applied any more: its revision was a condition of all. */
     fun beginRound() {
-        if (term == leadership.stamp) return
-        term = leadership.stamp
+        if (term == leadership.revision) return
+        term = leadership.revision
         pending.clear()
         packers.values.forEach { it.endAll() }
     }
@@ -86,8 +86,8 @@
     fun ready(job: Job, page: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, page) } ?: false
 
     /** The page with the [choices] added, and without the tasks that are done or given back. */
-    private fun pageWith(job: Job, page: Int, choices: List<Choice>, recalls: BitSet?): AssignmentPage {
-        val present = job.pages[page]?.value ?: AssignmentPage.EMPTY
+    private fun pageWith(job: Job, page: Int, choices: List<Choice>, recalls: BitSet?): AssignmentRange {
+        val present = job.pages[page]?.value ?: AssignmentRange.EMPTY
         val groups = standingGroups(job, page, present)
         val generation = present.lastGeneration + 1
         var frontier = present.frontier
@@ -95,7 +95,7 @@
             val fencingToken = FencingToken(
                 replica.shards
                     .getValue(shard)
-                    .stamp.number,
+                    .revision.number,
             )
             val again = BitSet()
             val first = BitSet()
@@ -117,15 +117,15 @@
         val recalled = present.recalled.clone() as BitSet
         choices.forEach { recalled.clear(it.task) }
         recalls?.let(recalled::or)
-        return AssignmentPage(groups, recalled, generation, frontier, present.version + 1)
+        return AssignmentRange(groups, recalled, generation, frontier, present.version + 1)
     }
 
-    private fun standingGroups(job: Job, page: Int, present: AssignmentPage): ArrayList<AssignmentGroup> {
+    private fun standingGroups(job: Job, page: Int, present: AssignmentRange): ArrayList<AssignmentGroup> {
         val groups = ArrayList<AssignmentGroup>()
         for (group in present.groups) {
             val tasks = group.tasks.clone() as BitSet
             tasks.andNot(job.done)
-            job.works[WorkPlace(page, group.shard)]
+            job.works[ShardTaskRange(page, group.shard)]
                 ?.value
                 ?.returned
                 ?.get(group.generation)
@@ -136,8 +136,8 @@
     }
 
     fun write(decisions: Decisions) {
-        val changes = LinkedHashMap<JobPage, ByteArray>()
-        val chosen = HashMap<JobPage, List<Choice>>()
+        val changes = LinkedHashMap<TaskRange, ByteArray>()
+        val chosen = HashMap<TaskRange, List<Choice>>()
         for (place in decisions.places) {
             val choices = decisions.choices[place].orEmpty()
             if (choices.any { it.room.shard !in replica.shards }) continue
@@ -152,7 +152,7 @@
             val urgent = packedWrite.places.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
             if (!urgent) {
                 // However little there is, some of it is theirs.
-                if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + LONGEST_WITHOUT) {
+                if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + MAX_WITHOUT) {
                     store.missed(1)
                     continue
                 }
@@ -167,13 +167,13 @@
      * The page with as many of the [choices] as a value of the service can hold; the other tasks are assigned once some
      * of the page's are over. Null where it could not hold even the page as it stands, or nothing would change.
      */
-    private fun fittingPage(place: JobPage, choices: List<Choice>, recalls: BitSet?): FittingPage? {
+    private fun fittingPage(place: TaskRange, choices: List<Choice>, recalls: BitSet?): FittingRange? {
         val job = replica.jobs.getValue(place.job)
         val packer = packers.getValue(job.spec?.kind ?: return null)
         var kept = choices
         while (true) {
             val bytes = RecordCodec.encode(pageWith(job, place.page, kept, recalls))
-            if (packer.fitsValue(place, bytes)) return FittingPage(kept, bytes)
+            if (packer.fitsValue(place, bytes)) return FittingRange(kept, bytes)
             if (kept.isEmpty()) return null
             kept = kept.take(kept.size / 2)
             if (kept.isEmpty() && recalls == null) return null
@@ -181,17 +181,17 @@
     }
 
     /** Services first: they are the urgent ones as a rule. */
-    private fun pack(changes: Map<JobPage, ByteArray>): List<PackedWrite> = packers.entries
+    private fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> = packers.entries
         .sortedBy { it.key != JobKind.SERVICE }
         .flatMap { (kind, packer) -> packer.pack(changes.filterKeys { replica.jobs[it.job]?.spec?.kind == kind }) }
 
-    private fun commit(packedWrite: PackedWrite, choices: Map<JobPage, List<Choice>>) {
+    private fun commit(packedWrite: PackedWrite, choices: Map<TaskRange, List<Choice>>) {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
         conditions += packedWrite.condition
         for ((place, chosen) in choices) {
-            conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveStamp())
-            chosen.mapTo(conditions) { Condition(Keys.shard(it.room.shard), replica.shards.getValue(it.room.shard).stamp) }
+            conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveRevision())
+            chosen.mapTo(conditions) { Condition(Keys.shard(it.room.shard), replica.shards.getValue(it.room.shard).revision) }
         }
         if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
@@ -200,21 +200,21 @@
         counts.forEach { (job, count) -> pending.merge(job, count, Int::plus) }
         packedWrite.packer.begin(packedWrite)
         val spell = term
-        store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
+        store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
             if (spell != term) return@commit
             when (outcome) {
                 is TransactionOutcome.Applied -> {
                     log.debug("{} assigned", counts)
                     for ((place, chosen) in choices) {
                         val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
-                        chosen.forEach { capacityTable.reserve(it.room, outcome.stamp, request) }
+                        chosen.forEach { capacityTable.reserve(it.room, outcome.revision, request) }
                     }
-                    replica.applied(transaction, outcome.stamp)
+                    replica.applied(transaction, outcome.revision)
                     settled(packedWrite, counts)
                 }
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(packedWrite, counts) }
                 // Somebody cancelled, a shard changed hands: surely not applied, but what stood in the way must be known.
-                is TransactionOutcome.Conflict -> replica.fresh { if (spell == term) settled(packedWrite, counts) }
+                is TransactionOutcome.Conflict -> replica.readFresh { if (spell == term) settled(packedWrite, counts) }
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
                 TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
@@ -224,7 +224,7 @@
     }
 
     /** Too many jobs or shards for one transaction: the first half of them now, the others in a later round. */
-    private fun commitPart(choices: Map<JobPage, List<Choice>>) {
+    private fun commitPart(choices: Map<TaskRange, List<Choice>>) {
         val part = firstHalf(choices)
         if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
         val changes = part.mapValues { (place, chosen) ->
@@ -234,7 +234,7 @@
     }
 
     /** Half of the pages, or half of the tasks where there is one page. */
-    private fun firstHalf(choices: Map<JobPage, List<Choice>>): Map<JobPage, List<Choice>> {
+    private fun firstHalf(choices: Map<TaskRange, List<Choice>>): Map<TaskRange, List<Choice>> {
         if (choices.size > 1) return choices.entries.take(choices.size / 2).associate { it.key to it.value }
         return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
     }
@@ -245,7 +245,7 @@
     }
 
     private companion object {
-        val LONGEST_WITHOUT = 1500.milliseconds
+        val MAX_WITHOUT = 1500.milliseconds
         val AFTER_REFUSAL = 200.milliseconds
         val log = LoggerFactory.getLogger("assigner")
     }
--- a/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -1,19 +1,19 @@
 package copperglade.scheduling
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.JobSpec
-import copperglade.protocol.MachineName
 import copperglade.protocol.MachineAvailability
+import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.shards.ShardMap
 import copperglade.storage.Replica
 
 /** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
 class CapacityTable(private val replica: Replica, private val shardMap: ShardMap) {
-    private class Reservation(val stamp: Stamp, val request: Resources)
+    private class Reservation(val revision: Revision, val request: Resources)
 
     class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, var free: Resources, yielding: List<Resources>) {
         private val yielding = YieldingCapacity(yielding)
@@ -40,9 +40,9 @@
             val record = replica.shards[shard] ?: continue
             val status = statusOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
             val room =
-                status.shards.firstOrNull { it.shard == shard && it.fencingToken.number == record.stamp.number } ?: continue
+                status.shards.firstOrNull { it.shard == shard && it.fencingToken.number == record.revision.number } ?: continue
             for (machine in room.machines) {
-                val unconfirmed = unconfirmedReservations(machine.name, status.cursor)
+                val unconfirmed = unconfirmedReservations(machine.name, status.knownRevision)
                 val free = unconfirmed.fold(machine.free) { left, reservation -> left - reservation.request }
                 capacities += MachineCapacity(shard, machine, free, machine.yielding)
             }
@@ -51,14 +51,14 @@
     }
 
     /** What the owner didn't know of yet when it wrote its status. */
-    private fun unconfirmedReservations(machine: MachineName, cursor: Stamp): List<Reservation> {
+    private fun unconfirmedReservations(machine: MachineName, knownRevision: Revision): List<Reservation> {
         val machineReservations = reservations[machine] ?: return emptyList()
-        machineReservations.removeIf { it.stamp <= cursor }
+        machineReservations.removeIf { it.revision <= knownRevision }
         if (machineReservations.isEmpty()) reservations.remove(machine)
         return machineReservations
     }
 
-    fun reserve(room: MachineCapacity, stamp: Stamp, request: Resources) {
-        reservations.getOrPut(room.machine.name) { ArrayList() } += Reservation(stamp, request)
+    fun reserve(room: MachineCapacity, revision: Revision, request: Resources) {
+        reservations.getOrPut(room.machine.name) { ArrayList() } += Reservation(revision, request)
     }
 }
--- a/src/main/kotlin/copperglade/shards/ShardMap.kt
+++ b/src/main/kotlin/copperglade/shards/ShardMap.kt
@@ -2,25 +2,25 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.LeaseEndorsement
-import copperglade.protocol.ShardName
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
-import copperglade.storage.ShardRecord
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
+import copperglade.storage.ShardRecord
 import copperglade.storage.StateClient
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
-import copperglade.storage.Urgency
 import copperglade.storage.Write
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** Which shard a machine belongs to: a pure function, so that a machine needs no record and has exactly one shard. */
 class ShardMap(private val zones: List<String>, private val perZone: Int) {
@@ -63,10 +63,10 @@
     /** The last grant of each shard, and since when it is known. */
     private val grants = HashMap<ShardName, Grant>()
 
-    private class Grant(val stamp: Stamp, val since: Moment)
+    private class Grant(val revision: Revision, val since: MonotonicTime)
 
     /** Members that hear no workers, and until when they are given no shards. */
-    private val unheardUntil = HashMap<MemberId, Moment>()
+    private val unheardUntil = HashMap<MemberId, MonotonicTime>()
 
     /** Shards whose owners should give them up, so that every member has its part. */
     var release: List<ShardName> = emptyList()
@@ -80,7 +80,7 @@
         replica.shards.values
             .filter { it.value.givenUp }
             .forEach { unheardUntil[it.value.member] = now + UNHEARD }
-        val hearing = replica.members.keys.filter { now >= (unheardUntil[it] ?: Moment.NEVER) }
+        val hearing = replica.members.keys.filter { now >= (unheardUntil[it] ?: MonotonicTime.NEVER) }
         val load = hearing.ifEmpty { replica.members.keys }.associateWithTo(HashMap()) { 0 }
         val orphans = ArrayList<ShardName>()
         for (shard in shards.all) {
@@ -133,7 +133,7 @@
     private fun observeGrants() {
         val now = loop.now()
         for ((shard, record) in replica.shards) {
-            if (grants[shard]?.stamp != record.stamp) grants[shard] = Grant(record.stamp, now)
+            if (grants[shard]?.revision != record.revision) grants[shard] = Grant(record.revision, now)
         }
     }
 
@@ -142,19 +142,19 @@
         val present = replica.shards[shard]
         val conditions = ArrayList<Condition>()
         conditions += leadership.condition
-        conditions += Condition(Keys.member(to), member.stamp)
-        conditions += Condition(Keys.shard(shard), present?.stamp ?: Stamp.ABSENT)
+        conditions += Condition(Keys.member(to), member.revision)
+        conditions += Condition(Keys.shard(shard), present?.revision ?: Revision.ABSENT)
         present?.value?.takeIf { it.member != to && !it.givenUp }?.member?.let { holder ->
-            conditions += Condition(Keys.member(holder), replica.members[holder]?.stamp ?: Stamp.ABSENT)
+            conditions += Condition(Keys.member(holder), replica.members[holder]?.revision ?: Revision.ABSENT)
         }
         val record = RecordCodec.encode(ShardRecord(to, member.value.incarnation))
         val transaction = Transaction(conditions, listOf(Write.Set(Keys.shard(shard), record)))
         inFlight += shard
-        store.commit(Urgency.LEASE, transaction) { outcome ->
+        store.commit(WritePriority.LEASE, transaction) { outcome ->
             inFlight -= shard
             if (outcome is TransactionOutcome.Applied) {
-                log.info("block {} granted to {} with baton {}", shard, to, outcome.stamp)
-                replica.applied(transaction, outcome.stamp)
+                log.info("block {} granted to {} with baton {}", shard, to, outcome.revision)
+                replica.applied(transaction, outcome.revision)
             }
         }
     }
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import kotlin.math.abs
 
 /** How far a job's dependencies are. Moves from [BLOCKED] to one of the others, and never back. */
@@ -57,7 +57,7 @@
 class DependencyGraph(
     private val jobs: Map<JobId, Job>,
     private val endOf: (JobId) -> EndRecord?,
-    private val knownUpTo: () -> Stamp,
+    private val knownUpTo: () -> Revision,
     private val wallMillis: () -> Long,
     private val predictRunS: (JobSpec) -> Double,
 ) {
@@ -107,9 +107,9 @@
 
     private fun isSurelyMarked(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.markedAfter(knownUpTo())
 
-    /** Takes in that the records of [touched] have changed; returns the jobs for which something else follows now. */
-    fun update(touched: Collection<JobId>): Set<JobId> {
-        val relevant = touched.filter { it in dependentsOf || it in dependenciesOf || hasDependencies(it) }
+    /** Takes in that the records of [changes] have changed; returns the jobs for which something else follows now. */
+    fun update(changes: Collection<JobId>): Set<JobId> {
+        val relevant = changes.filter { it in dependentsOf || it in dependenciesOf || hasDependencies(it) }
         if (relevant.isEmpty()) return emptySet()
         val urgencyChanged = LinkedHashSet<JobId>()
         for (id in relevant) {
--- a/src/main/kotlin/copperglade/storage/EndedJobs.kt
+++ b/src/main/kotlin/copperglade/storage/EndedJobs.kt
@@ -9,14 +9,14 @@
 /**
  * The ends of jobs that are over: the latest used of them are remembered, the others are looked up in the state service.
  *
- * @param pace between look-ups where the budget for readings is used up.
+ * @param interval between look-ups where the budget for readings is used up.
  * @param most so many are remembered.
  * @param learned called when an end that was not known before has been read.
  */
 class EndedJobs(
     private val loop: EventLoop,
     private val store: StateClient,
-    private val pace: Duration,
+    private val interval: Duration,
     private val most: Int,
     private val learned: (JobId) -> Unit,
 ) {
@@ -41,8 +41,8 @@
     fun read(id: JobId, done: (ReadOutcome) -> Unit) {
         val waiting = asked[id]
         when {
-            waiting != null && waiting.size < MOST_ASKERS -> waiting += done
-            waiting != null || asked.size >= MOST_ASKED -> done(ReadOutcome.Failed)
+            waiting != null && waiting.size < MAX_ASKERS -> waiting += done
+            waiting != null || asked.size >= MAX_ASKED -> done(ReadOutcome.Failed)
             else -> {
                 asked[id] = arrayListOf(done)
                 readNext()
@@ -65,7 +65,7 @@
         }
         if (asked.isEmpty() || readingLater) return
         readingLater = true
-        loop.after(pace) {
+        loop.after(interval) {
             readingLater = false
             readNext()
         }
@@ -75,7 +75,7 @@
     fun loadOnce() {
         if (loading) return
         loading = true
-        loop.after(LOADING_PACE) { load(null) }
+        loop.after(LOADING_INTERVAL) { load(null) }
     }
 
     private fun load(from: String?) {
@@ -86,24 +86,24 @@
                 learned(id)
             }
             val next = if (listing == null) from else listing.entries.lastOrNull()?.key
-            if ((listing == null || listing.more) && remembered.size < most) loop.after(LOADING_PACE) { load(next) }
+            if ((listing == null || listing.more) && remembered.size < most) loop.after(LOADING_INTERVAL) { load(next) }
         }
     }
 
     companion object {
         private const val INITIAL_CAPACITY = 64
         private const val LOAD_FACTOR = 0.75f
-        private const val MOST_ASKED = 500
-        private const val MOST_ASKERS = 8
-        private val LOADING_PACE = 1.seconds
+        private const val MAX_ASKED = 500
+        private const val MAX_ASKERS = 8
+        private val LOADING_INTERVAL = 1.seconds
 
         /** About what a remembered end takes, with its id and its place among the others. */
         private const val BYTES_AN_END = 200
         private const val PART_OF_HEAP = 16
-        private const val FEWEST = 10_000
+        private const val MIN = 10_000
 
         /** A sixteenth of the heap: 36,700 ends in 112 MB. */
         fun endsThatFitInto(heapBytes: Long): Int =
-            (heapBytes / PART_OF_HEAP / BYTES_AN_END).coerceIn(FEWEST.toLong(), Int.MAX_VALUE.toLong()).toInt()
+            (heapBytes / PART_OF_HEAP / BYTES_AN_END).coerceIn(MIN.toLong(), Int.MAX_VALUE.toLong()).toInt()
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -1,12 +1,12 @@
 package copperglade.storage
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Priority
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import java.util.BitSet
 
 /** One task's standing assignment. */
@@ -20,7 +20,7 @@
 
 /** Everything the state service holds of one job that is not over. */
 class Job(val id: JobId) {
-    var live: Stamped<LiveRecord>? = null
+    var live: StoredRecord<LiveRecord>? = null
         set(record) {
             field = record
             scheduledSpec = record?.value?.spec?.let { it.withPriority(inheritedPriority ?: it.priority) }
@@ -33,8 +33,8 @@
     /** Kept by [DependencyGraph]; until that has looked at the job, one with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
         private set
-    private val pageRecords = HashMap<Int, PackedPart<AssignmentPage>>()
-    private val workRecords = HashMap<WorkPlace, PackedPart<WorkRecord>>()
+    private val pageRecords = HashMap<Int, PackedPart<AssignmentRange>>()
+    private val workRecords = HashMap<ShardTaskRange, PackedPart<OutcomeRecord>>()
 
     /** What is assigned and neither done nor given back, as worked out last; null after a change. */
     private var standing: List<Assignment>? = null
@@ -42,8 +42,8 @@
     /** Tasks that are done. Only ever grows while the job is live. */
     val done = BitSet()
 
-    val pages: Map<Int, PackedPart<AssignmentPage>> get() = pageRecords
-    val works: Map<WorkPlace, PackedPart<WorkRecord>> get() = workRecords
+    val pages: Map<Int, PackedPart<AssignmentRange>> get() = pageRecords
+    val works: Map<ShardTaskRange, PackedPart<OutcomeRecord>> get() = workRecords
 
     /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
     val spec: JobSpec? get() = scheduledSpec
@@ -94,19 +94,19 @@
         return true
     }
 
-    fun setPage(page: Int, record: PackedPart<AssignmentPage>?) {
+    fun setPage(page: Int, record: PackedPart<AssignmentRange>?) {
         standing = null
         if (record == null) pageRecords.remove(page) else pageRecords[page] = record
     }
 
-    fun setWork(place: WorkPlace, record: PackedPart<WorkRecord>?) {
+    fun setWork(place: ShardTaskRange, record: PackedPart<OutcomeRecord>?) {
         standing = null
         if (record == null) workRecords.remove(place) else workRecords[place] = record
         record?.let { done.or(it.value.done) }
     }
 
     /**
-     * Done goes before cancelled: the mark of a cancellation changes the live record's stamp, which every write of
+     * Done goes before cancelled: the mark of a cancellation changes the live record's revision, which every write of
      * finished tasks has as a condition. So nothing can become done after the mark, and neither answer is ever taken
      * back.
      */
@@ -127,7 +127,7 @@
         val found = ArrayList<Assignment>()
         for ((number, page) in pageRecords) {
             for (group in page.value.groups) {
-                val returned = workRecords[WorkPlace(number, group.shard)]?.value?.returned?.get(group.generation)
+                val returned = workRecords[ShardTaskRange(number, group.shard)]?.value?.returned?.get(group.generation)
                 var task = group.tasks.nextSetBit(0)
                 while (task >= 0) {
                     if (!done.get(task) && returned?.get(task) != true) {
@@ -141,13 +141,13 @@
     }
 
     fun restarted(task: Int): Boolean = workRecords.any { (place, work) ->
-        place.page == task / Keys.PAGE_TASKS && work.value.restarted.get(task)
+        place.page == task / Keys.TASKS_PER_RANGE && work.value.restarted.get(task)
     }
 
-    /** Whether its cancelled mark is newer than [stamp]. */
-    fun markedAfter(stamp: Stamp): Boolean = live?.let { it.value.cancelled && it.stamp > stamp } ?: false
+    /** Whether its cancelled mark is newer than [revision]. */
+    fun markedAfter(revision: Revision): Boolean = live?.let { it.value.cancelled && it.revision > revision } ?: false
 
-    fun liveStamp(): Stamp = live?.stamp ?: Stamp.ABSENT
+    fun liveRevision(): Revision = live?.revision ?: Revision.ABSENT
 
     private companion object {
         const val MISTAKEN_TRIALS = 1
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -15,7 +14,8 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.flag
@@ -35,7 +35,7 @@
     const val LEADER = "cg/now/lead"
 
     /** Tasks a page: a page of the most scattered ranges stays far below the smallest value limit. */
-    const val PAGE_TASKS = 256
+    const val TASKS_PER_RANGE = 256
 
     fun live(job: JobId) = "${NOW}live/$job"
 
@@ -75,15 +75,15 @@
 }
 
 /** A page's tasks in a shard. */
-data class WorkPlace(val page: Int, val shard: ShardName)
+data class ShardTaskRange(val page: Int, val shard: ShardName)
 
 /** A page of a job, as a packed record names it: `job-000412/0`. */
-data class JobPage(val job: JobId, val page: Int) {
+data class TaskRange(val job: JobId, val page: Int) {
     override fun toString() = "$job/$page"
 
     companion object {
         // A page is named like a task: job and number.
-        fun parse(text: String): JobPage? = TaskId.parse(text)?.let { JobPage(it.job, it.index) }
+        fun parse(text: String): TaskRange? = TaskId.parse(text)?.let { TaskRange(it.job, it.index) }
     }
 }
 
--- a/src/main/kotlin/copperglade/storage/PackedParts.kt
+++ b/src/main/kotlin/copperglade/storage/PackedParts.kt
@@ -22,10 +22,10 @@
 }
 
 internal class OutcomeParts(private val shard: ShardName) : PackedParts {
-    override fun present(job: Job, page: Int) = job.works[WorkPlace(page, shard)]
+    override fun present(job: Job, page: Int) = job.works[ShardTaskRange(page, shard)]
 
     override fun set(job: Job, page: Int, value: JsonNode, recordKey: String) =
-        job.setWork(WorkPlace(page, shard), PackedPart(RecordCodec.decodeWork(value), recordKey, RecordCodec::encode))
+        job.setWork(ShardTaskRange(page, shard), PackedPart(RecordCodec.decodeWork(value), recordKey, RecordCodec::encode))
 
-    override fun remove(job: Job, page: Int) = job.setWork(WorkPlace(page, shard), null)
+    override fun remove(job: Job, page: Int) = job.setWork(ShardTaskRange(page, shard), null)
 }
--- a/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.Decoding
 import copperglade.protocol.JobId
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 
-/** A packed record: its stamp, and which pages it tells of. */
-class PackedRecord(val stamp: Stamp, val places: Set<JobPage>)
+/** A packed record: its revision, and which pages it tells of. */
+class PackedRecord(val revision: Revision, val places: Set<TaskRange>)
 
 /** How a packed record's parts reach the jobs that they tell of. */
 internal interface JobRecords {
@@ -29,20 +29,20 @@
     fun clear() = records.clear()
 
     /** Takes in a packed record; a malformed part counts as not written. */
-    fun put(key: String, value: JsonNode, stamp: Stamp, parts: PackedParts, jobs: JobRecords) {
+    fun put(key: String, value: JsonNode, revision: Revision, parts: PackedParts, jobs: JobRecords) {
         val before = records[key]
-        if (before != null && before.stamp >= stamp) return
-        val places = HashSet<JobPage>()
+        if (before != null && before.revision >= revision) return
+        val places = HashSet<TaskRange>()
         for ((name, part) in value.properties()) {
-            val place = JobPage.parse(name) ?: continue
+            val place = TaskRange.parse(name) ?: continue
             places += place
             putPart(key, place, part, parts, jobs)
         }
         before?.places?.forEach { if (it !in places) removePart(key, it, parts, jobs) }
-        records[key] = PackedRecord(stamp, places)
+        records[key] = PackedRecord(revision, places)
     }
 
-    private fun putPart(key: String, place: JobPage, part: JsonNode, parts: PackedParts, jobs: JobRecords) {
+    private fun putPart(key: String, place: TaskRange, part: JsonNode, parts: PackedParts, jobs: JobRecords) {
         val known = jobs.present(place.job)?.let { parts.present(it, place.page) }
         Decoding.orNull("record") {
             // The same, or older than what stands in another packed record.
@@ -51,14 +51,14 @@
         }
     }
 
-    fun drop(key: String, stamp: Stamp, parts: PackedParts, jobs: JobRecords) {
-        val before = records[key]?.takeIf { it.stamp < stamp } ?: return
+    fun drop(key: String, revision: Revision, parts: PackedParts, jobs: JobRecords) {
+        val before = records[key]?.takeIf { it.revision < revision } ?: return
         before.places.forEach { removePart(key, it, parts, jobs) }
         records.remove(key)
     }
 
     /** A part that has moved to another record meanwhile stays. */
-    private fun removePart(key: String, place: JobPage, parts: PackedParts, jobs: JobRecords) = jobs.edit(place.job) {
+    private fun removePart(key: String, place: TaskRange, parts: PackedParts, jobs: JobRecords) = jobs.edit(place.job) {
         if (parts.present(it, place.page)?.recordKey == key) parts.remove(it, place.page)
     }
 }
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -15,7 +14,8 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.flag
@@ -46,7 +46,7 @@
         return LiveRecord(spec, node.long("at") ?: 0, node.flag("cancelled") ?: false, dependencies)
     }
 
-    fun encode(record: AssignmentPage): ByteArray = Json.write {
+    fun encode(record: AssignmentRange): ByteArray = Json.write {
         obj {
             array("g") {
                 for (group in record.groups) {
@@ -54,7 +54,7 @@
                     writeString(group.shard.text)
                     writeNumber(group.fencingToken.number)
                     writeNumber(group.generation)
-                    writeString(Ranges.format(group.tasks))
+                    writeString(TaskIndexRanges.format(group.tasks))
                     writeEndArray()
                 }
             }
@@ -65,19 +65,19 @@
         }
     }
 
-    fun decodePage(node: JsonNode): AssignmentPage {
+    fun decodePage(node: JsonNode): AssignmentRange {
         val groups = node.get("g").map {
             AssignmentGroup(
                 ShardName(it[0].asText()),
                 FencingToken(it[1].asLong()),
                 it[2].asInt(),
-                Ranges.parse(it[3].asText()),
+                TaskIndexRanges.parse(it[3].asText()),
             )
         }
-        return AssignmentPage(groups, node.ranges("r"), node.get("n").asInt(), node.get("f").asInt(), versionOf(node))
+        return AssignmentRange(groups, node.ranges("r"), node.get("n").asInt(), node.get("f").asInt(), versionOf(node))
     }
 
-    fun encode(record: WorkRecord): ByteArray = Json.write {
+    fun encode(record: OutcomeRecord): ByteArray = Json.write {
         obj {
             ranges("d", record.done)
             if (record.returned.isNotEmpty()) {
@@ -90,17 +90,17 @@
         }
     }
 
-    fun decodeWork(node: JsonNode): WorkRecord {
+    fun decodeWork(node: JsonNode): OutcomeRecord {
         val returned = HashMap<Int, BitSet>()
         node.get("b")?.properties()?.forEach { (generation, tasks) ->
             returned[generation.toInt()] =
-                Ranges.parse(tasks.asText())
+                TaskIndexRanges.parse(tasks.asText())
         }
-        return WorkRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.flag("m") ?: false)
+        return OutcomeRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.flag("m") ?: false)
     }
 
     /** A packed record: its parts under the pages' names, as they were encoded. */
-    fun encodePackedRecord(parts: Map<JobPage, ByteArray>): ByteArray = Json.write {
+    fun encodePackedRecord(parts: Map<TaskRange, ByteArray>): ByteArray = Json.write {
         obj {
             for ((place, part) in parts) {
                 writeFieldName(place.toString())
@@ -173,8 +173,8 @@
     }
 
     private fun JsonGenerator.ranges(name: String, set: BitSet) {
-        if (!set.isEmpty) writeStringField(name, Ranges.format(set))
+        if (!set.isEmpty) writeStringField(name, TaskIndexRanges.format(set))
     }
 
-    private fun JsonNode.ranges(name: String): BitSet = Ranges.parse(text(name).orEmpty())
+    private fun JsonNode.ranges(name: String): BitSet = TaskIndexRanges.parse(text(name).orEmpty())
 }
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -1,10 +1,10 @@
 package copperglade.storage
 
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import org.slf4j.LoggerFactory
 
 /** The write of one packed record, its condition, and the pages that it changes. */
-class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val places: Set<JobPage>)
+class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val places: Set<TaskRange>)
 
 /**
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
@@ -42,15 +42,15 @@
      * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
      * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
-    private val busyPages = HashSet<JobPage>()
+    private val busyPages = HashSet<TaskRange>()
 
     /** Pages that were logged as too large. */
-    private val tooLarge = HashSet<JobPage>()
+    private val tooLarge = HashSet<TaskRange>()
 
     /** A packed record as it would be written: what counts of its present content, with changes. */
     private inner class Draft(val key: String) {
-        private val parts = LinkedHashMap<JobPage, ByteArray>()
-        val changed = HashSet<JobPage>()
+        private val parts = LinkedHashMap<TaskRange, ByteArray>()
+        val changed = HashSet<TaskRange>()
         var bytes = BYTES_AROUND
             private set
 
@@ -65,40 +65,40 @@
         private val writable = bytes <= valueBytes
 
         /** Whether the packed record, where [place] stands already, still fits into a value with [part] in its stead. */
-        fun holds(place: JobPage, part: ByteArray): Boolean {
+        fun holds(place: TaskRange, part: ByteArray): Boolean {
             val after = bytes - (parts[place]?.let { sizeOf(place, it.size) } ?: 0) + sizeOf(place, part.size)
             val alone = parts.keys.all { it == place }
             return writable && after <= if (alone) valueBytes else fullBytes
         }
 
-        fun change(place: JobPage, part: ByteArray) {
+        fun change(place: TaskRange, part: ByteArray) {
             put(place, part)
             changed += place
         }
 
-        private fun put(place: JobPage, part: ByteArray) {
+        private fun put(place: TaskRange, part: ByteArray) {
             parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
             parts[place] = part
             bytes += sizeOf(place, part.size)
         }
 
         fun write(): PackedWrite {
-            val condition = Condition(key, replica.packedRecords[key]?.stamp ?: Stamp.ABSENT)
+            val condition = Condition(key, replica.packedRecords[key]?.revision ?: Revision.ABSENT)
             return PackedWrite(this@RecordPacker, condition, Write.Set(key, RecordCodec.encodePackedRecord(parts)), changed)
         }
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
+    fun ready(job: Job, page: Int): Boolean = TaskRange(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
 
     /** Whether a value can hold [part] at all. */
-    fun fitsValue(place: JobPage, part: ByteArray): Boolean = BYTES_AROUND + sizeOf(place, part.size) <= valueBytes
+    fun fitsValue(place: TaskRange, part: ByteArray): Boolean = BYTES_AROUND + sizeOf(place, part.size) <= valueBytes
 
     /**
      * The writes that bring about [changes], each with a higher version than the page has now; those of packed records
      * under way are left out, and those that no value can hold. In order of the changes.
      */
-    fun pack(changes: Map<JobPage, ByteArray>): List<PackedWrite> {
+    fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         for ((place, part) in changes) {
             val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
@@ -115,12 +115,12 @@
     }
 
     /**
-     * Writes the packed record of [write] as it is, only to change its stamp: a late copy of [write] dies of that. Its
+     * Writes the packed record of [write] as it is, only to change its revision: a late copy of [write] dies of that. Its
      * present content fits into a value, as it did when [write] was made: nobody else has written it since.
      */
     fun same(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
-    private fun draftWithRoom(place: JobPage, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
+    private fun draftWithRoom(place: TaskRange, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
         drafts.values.firstOrNull { fits(it.bytes, place, part) }?.let { return it }
         val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), place, part)
@@ -135,7 +135,7 @@
         return "$prefix$number"
     }
 
-    private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+    private fun fits(bytes: Int, place: TaskRange, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
 
     /** What of a packed record still counts. */
     private fun bytesOf(key: String): Int {
@@ -147,7 +147,7 @@
         return sum
     }
 
-    private fun sizeOf(place: JobPage, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
+    private fun sizeOf(place: TaskRange, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
 
     fun begin(write: PackedWrite) {
         busy += write.write.key
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -15,7 +14,8 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.flag
@@ -26,7 +26,7 @@
 import java.util.BitSet
 
 /** A record as it stands in the state service. */
-class Stamped<T>(val value: T, val stamp: Stamp)
+class StoredRecord<T>(val value: T, val revision: Revision)
 
 /**
  * An accepted job that is not over.
@@ -40,7 +40,7 @@
 /**
  * Tasks that the leader gave to a shard.
  *
- * @property fencingToken the shard's stamp at that time: an owner that still holds it knows that nobody before it can have
+ * @property fencingToken the shard's revision at that time: an owner that still holds it knows that nobody before it can have
  * started these tasks.
  * @property generation tells apart repeated assignments of a task to the same shard.
  */
@@ -58,7 +58,7 @@
  * for that of a new assignment.
  * @property frontier no task from here on has ever been assigned, so none can have been given back either.
  */
-class AssignmentPage(
+class AssignmentRange(
     val groups: List<AssignmentGroup>,
     val recalled: BitSet,
     val lastGeneration: Int,
@@ -66,7 +66,7 @@
     override val version: Int,
 ) : Versioned {
     companion object {
-        val EMPTY = AssignmentPage(emptyList(), BitSet(), 0, 0, 0)
+        val EMPTY = AssignmentRange(emptyList(), BitSet(), 0, 0, 0)
     }
 }
 
@@ -76,7 +76,7 @@
  * @property returned by generation, the tasks that are surely on no machine of the shard any more.
  * @property mistaken whether the shard's owner has found that the job fails on whichever machine it runs.
  */
-class WorkRecord(
+class OutcomeRecord(
     val done: BitSet,
     val returned: Map<Int, BitSet>,
     val restarted: BitSet,
@@ -84,13 +84,13 @@
     val mistaken: Boolean = false,
 ) : Versioned {
     companion object {
-        val EMPTY = WorkRecord(BitSet(), emptyMap(), BitSet(), 0)
+        val EMPTY = OutcomeRecord(BitSet(), emptyMap(), BitSet(), 0)
     }
 }
 
 class EndRecord(val status: JobStatus, val tasksDone: Int)
 
-/** Who owns a shard; the stamp of the record is the fencing token of the shard's workers. */
+/** Who owns a shard; the revision of the record is the fencing token of the shard's workers. */
 data class ShardRecord(val member: MemberId, val incarnation: Incarnation) {
     /** Nobody owns it: [member] gave it up and had better not get it back at once. */
     val givenUp: Boolean get() = incarnation == NO_LIFE
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -1,27 +1,27 @@
 package copperglade.storage
 
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.ShardName
 import copperglade.protocol.Decoding
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /** What a round of changes touched. */
-class Touched {
+class ReplicaChanges {
     val jobs = HashSet<JobId>()
-    var standing = false
+    var clusterRecordsChanged = false
 
     /** Members whose keys were dropped, though they may have been written anew since. */
-    val membersGone = HashSet<MemberId>()
+    val removedMembers = HashSet<MemberId>()
 
     /** Everything was read anew: what came and went before is not known. */
     var reloaded = false
@@ -31,55 +31,55 @@
 }
 
 fun interface ReplicaListener {
-    fun changed(touched: Touched)
+    fun changed(changes: ReplicaChanges)
 }
 
 enum class ReplicaState { LOADING, CURRENT }
 
 /**
  * A copy of the live records, kept up by one watch. The watch is reopened at a pace, since every opening costs a
- * request; whoever must not answer from the past asks for [fresh] first, and many such questions share one request.
+ * request; whoever must not answer from the past asks for [readFresh] first, and many such questions share one request.
  */
 class Replica(
     private val loop: EventLoop,
     private val store: StateClient,
     readers: Int = 1,
     /** How old what is known may become before something is asked, though nobody has asked for it. */
-    private val quiet: Duration = QUIET,
+    private val idleRefreshInterval: Duration = IDLE_REFRESH_INTERVAL,
     /**
      * So long after the last reading, changes that can't be read (one answer holds all of them, and there is no bound on its size) are no
      * longer asked for: the records are loaded anew, by pages.
      */
-    private val longestCatchUp: Duration = LONGEST_CATCH_UP,
+    private val maxCatchUp: Duration = MAX_CATCH_UP,
     /** The ends of so many jobs are remembered; beyond them, the state service is asked. */
-    mostEnded: Int = EndedJobs.endsThatFitInto(Runtime.getRuntime().maxMemory()),
+    maxEndedJobs: Int = EndedJobs.endsThatFitInto(Runtime.getRuntime().maxMemory()),
     /** How long a job's tasks are predicted to run, in seconds. */
     predictRunS: (JobSpec) -> Double = { it.estimateS },
 ) {
     /** All readers together take at most half of the service's requests. */
-    private val pace = maxOf(SHORTEST_PACE, (readers / (store.limits.requestsPerS * READING_SHARE)).seconds)
+    private val interval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerS * READING_SHARE)).seconds)
     val jobs = HashMap<JobId, Job>()
-    val shards = HashMap<ShardName, Stamped<ShardRecord>>()
-    val members = HashMap<MemberId, Stamped<MemberRecord>>()
-    val images = HashMap<ShardName, Stamped<ImageRecord>>()
-    var leader: Stamped<LeaderRecord>? = null
+    val shards = HashMap<ShardName, StoredRecord<ShardRecord>>()
+    val members = HashMap<MemberId, StoredRecord<MemberRecord>>()
+    val images = HashMap<ShardName, StoredRecord<ImageRecord>>()
+    var leader: StoredRecord<LeaderRecord>? = null
         private set
-    private val endedJobs = EndedJobs(loop, store, pace, mostEnded) { id ->
-        if (dependencies.isAwaited(id)) announce(Touched().also { it.jobs += id })
+    private val endedJobs = EndedJobs(loop, store, interval, maxEndedJobs) { id ->
+        if (dependencies.isAwaited(id)) announce(ReplicaChanges().also { it.jobs += id })
     }
 
     /** Which of [jobs] wait for others, and what follows from that. */
-    val dependencies = DependencyGraph(jobs, ::endOf, { cursor }, loop::wallMillis, predictRunS)
+    val dependencies = DependencyGraph(jobs, ::endOf, { knownRevision }, loop::wallMillis, predictRunS)
 
     /** Stamps of keys that are not there: a late event must not bring them back. */
-    private val dropped = HashMap<String, Stamp>()
+    private val dropped = HashMap<String, Revision>()
     private val listeners = ArrayList<ReplicaListener>()
     private val packedRecordTable = PackedRecordTable()
-    private var waiting = ArrayList<(Boolean) -> Unit>()
-    private var pulling = false
+    private var waiters = ArrayList<(Boolean) -> Unit>()
+    private var readInFlight = false
     private var watching = false
-    private var lastReading = Moment.NEVER
-    private var takingTook = Duration.ZERO
+    private var lastReading = MonotonicTime.NEVER
+    private var applyDuration = Duration.ZERO
 
     /** Readings that failed one after the other. */
     private var failedReadings = 0
@@ -91,11 +91,11 @@
         private set
 
     /** When the last reading was asked for: everything that had been changed by then is known. */
-    var asOf = Moment.NEVER
+    var readTime = MonotonicTime.NEVER
         private set
 
     /** All changes up to this revision are known. */
-    var cursor = Stamp.ABSENT
+    var knownRevision = Revision.ABSENT
         private set
 
     fun listen(listener: ReplicaListener) {
@@ -104,8 +104,8 @@
 
     fun start() {
         load(null, null)
-        loop.again({ quiet }, ::keepCurrent)
-        loop.again({ LOOK_UP_PACE }, ::lookUpDependencies)
+        loop.again({ idleRefreshInterval }, ::keepCurrent)
+        loop.again({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
     }
 
     /** Only live jobs are kept here, so a dependency that ended before this process began has to be looked up. */
@@ -115,7 +115,7 @@
 
     /** The open watch does not say how old its silence is, so something is asked now and then. */
     private fun keepCurrent() {
-        if (loop.now() >= asOf + quiet && state == ReplicaState.CURRENT && !pulling) fresh {}
+        if (loop.now() >= readTime + idleRefreshInterval && state == ReplicaState.CURRENT && !readInFlight) readFresh {}
     }
 
     private fun moveTo(next: ReplicaState, why: String) {
@@ -123,28 +123,28 @@
         state = next
     }
 
-    private fun load(from: String?, since: Stamp?) {
+    private fun load(from: String?, since: Revision?) {
         store.list(Keys.NOW, from) { listing ->
             if (listing == null) {
                 loop.after(RETRY) { load(null, null) }
                 return@list
             }
             if (from == null) forget()
-            val touched = Touched()
-            listing.entries.forEach { put(it.key, it.value, it.stamp, touched) }
-            val start = since ?: listing.ledger
+            val changes = ReplicaChanges()
+            listing.entries.forEach { put(it.key, it.value, it.revision, changes) }
+            val start = since ?: listing.storeRevision
             if (listing.more) {
                 load(listing.entries.last().key, start)
             } else {
-                cursor = start
+                knownRevision = start
                 moveTo(ReplicaState.CURRENT, "${jobs.size} live jobs read at revision $start")
                 dependencies.rebuild()
-                touched.reloaded = true
-                touched.standing = true
-                announce(touched)
+                changes.reloaded = true
+                changes.clusterRecordsChanged = true
+                announce(changes)
                 watch()
                 endedJobs.loadOnce()
-                pullIfAsked()
+                readIfRequested()
             }
         }
     }
@@ -166,58 +166,58 @@
     private fun watch() {
         if (state != ReplicaState.CURRENT) return
         watching = true
-        val asked = if (pulling) emptyList() else takeWaiting()
+        val asked = if (readInFlight) emptyList() else takeWaiters()
         read(asked, if (asked.isEmpty()) WATCH_WAIT else 0.seconds) { outcome ->
             watching = false
             when (outcome) {
                 is ChangesOutcome.Received -> loop.after(pause()) { watch() }
                 ChangesOutcome.Failed -> if (cannotCatchUp()) {
                     reload(
-                        "changes since $cursor can't be read",
+                        "changes since $knownRevision can't be read",
                     )
                 } else {
                     loop.after(RETRY) { watch() }
                 }
-                ChangesOutcome.TooOld -> reload("the service no longer has the changes since $cursor")
+                ChangesOutcome.TooOld -> reload("the service no longer has the changes since $knownRevision")
             }
         }
     }
 
-    private fun takeWaiting(): List<(Boolean) -> Unit> = waiting.also { waiting = ArrayList() }
+    private fun takeWaiters(): List<(Boolean) -> Unit> = waiters.also { waiters = ArrayList() }
 
     private fun read(asked: List<(Boolean) -> Unit>, wait: Duration, after: (ChangesOutcome) -> Unit) {
         val sent = loop.now()
         lastReading = sent
-        store.changes(Keys.ROOT, cursor, wait) { outcome ->
+        store.changes(Keys.ROOT, knownRevision, wait) { outcome ->
             val began = loop.now()
             failedReadings = if (outcome is ChangesOutcome.Received) 0 else failedReadings + 1
             logReading(outcome, sent)
             take(outcome)
-            takingTook = (loop.now().ms - began.ms).milliseconds
+            applyDuration = (loop.now().ms - began.ms).milliseconds
             // What comes amid a new loading is not taken in, so it must not make what is known look newer than it is.
-            if (outcome is ChangesOutcome.Received && sent > asOf && state == ReplicaState.CURRENT) asOf = sent
+            if (outcome is ChangesOutcome.Received && sent > readTime && state == ReplicaState.CURRENT) readTime = sent
             after(outcome)
             asked.forEach { it(outcome is ChangesOutcome.Received && state == ReplicaState.CURRENT) }
         }
     }
 
-    private fun logReading(outcome: ChangesOutcome, sent: Moment) {
+    private fun logReading(outcome: ChangesOutcome, sent: MonotonicTime) {
         if (!log.isDebugEnabled) return
         val received = outcome as? ChangesOutcome.Received
         log.debug(
             "reading from={} to={} changes={} took_ms={} knowledge_ms={} state={}",
-            cursor,
-            received?.ledger,
+            knownRevision,
+            received?.storeRevision,
             received?.changes?.size,
             loop.now().ms - sent.ms,
-            loop.now().ms - asOf.ms,
+            loop.now().ms - readTime.ms,
             state,
         )
     }
 
     /** Whether readings fail though the service answers other requests, for so long that nothing may be done on what is known. */
     private fun cannotCatchUp() =
-        failedReadings >= MOST_FAILED_READINGS && loop.now() >= asOf + longestCatchUp && !store.isSilent()
+        failedReadings >= MAX_FAILED_READINGS && loop.now() >= readTime + maxCatchUp && !store.isSilent()
 
     private fun reload(why: String) {
         if (state == ReplicaState.LOADING) return
@@ -227,104 +227,104 @@
     }
 
     /** Calls back once every change made before this call is known; with false where that can't be had now. */
-    fun fresh(done: (Boolean) -> Unit) {
-        if (state != ReplicaState.CURRENT || waiting.size >= maxOf(MOST_WAITING, jobs.size * QUESTIONS_A_JOB)) {
+    fun readFresh(done: (Boolean) -> Unit) {
+        if (state != ReplicaState.CURRENT || waiters.size >= maxOf(MAX_WAITERS, jobs.size * QUESTIONS_PER_JOB)) {
             done(false)
             return
         }
-        waiting += done
-        pullIfAsked()
+        waiters += done
+        readIfRequested()
     }
 
     /** Asks beside the open watch; where the watch is about to be reopened, that will do. */
-    private fun pullIfAsked() {
-        if (pulling || !watching || waiting.isEmpty() || state != ReplicaState.CURRENT) return
-        pulling = true
+    private fun readIfRequested() {
+        if (readInFlight || !watching || waiters.isEmpty() || state != ReplicaState.CURRENT) return
+        readInFlight = true
         val left = pause().inWholeMilliseconds - (loop.now().ms - lastReading.ms)
-        if (left > 0) loop.after(left.milliseconds) { pull() } else pull()
+        if (left > 0) loop.after(left.milliseconds) { readNow() } else readNow()
     }
 
     /** The longer it took to take the latest changes in, the longer the next ones are gathered. */
-    private fun pause(): Duration = maxOf(pace, minOf(takingTook * REST, LONGEST_PAUSE))
+    private fun pause(): Duration = maxOf(interval, minOf(applyDuration * REST, MAX_PAUSE))
 
-    private fun pull() = read(takeWaiting(), 0.seconds) {
-        pulling = false
-        pullIfAsked()
+    private fun readNow() = read(takeWaiters(), 0.seconds) {
+        readInFlight = false
+        readIfRequested()
     }
 
     private fun take(outcome: ChangesOutcome) {
         if (outcome !is ChangesOutcome.Received || state != ReplicaState.CURRENT) return
-        val touched = Touched()
+        val changes = ReplicaChanges()
         for (change in outcome.changes) {
             // Known already: an answer that comes after a new loading must not bring back what has been dropped since.
-            if (change.stamp <= cursor) continue
+            if (change.revision <= knownRevision) continue
             when (change) {
-                is Change.Set -> put(change.key, change.value, change.stamp, touched)
-                is Change.Dropped -> drop(change.key, change.stamp, touched)
+                is Change.Set -> put(change.key, change.value, change.revision, changes)
+                is Change.Deleted -> drop(change.key, change.revision, changes)
             }
         }
-        if (outcome.ledger > cursor) cursor = outcome.ledger
-        dropped.values.removeIf { it <= cursor }
-        announce(touched)
+        if (outcome.storeRevision > knownRevision) knownRevision = outcome.storeRevision
+        dropped.values.removeIf { it <= knownRevision }
+        announce(changes)
     }
 
     /** Takes over what a transaction of our own has changed, without waiting for the watch. */
-    fun applied(transaction: Transaction, stamp: Stamp) {
+    fun applied(transaction: Transaction, revision: Revision) {
         if (state != ReplicaState.CURRENT) return
-        val touched = Touched()
+        val changes = ReplicaChanges()
         for (write in transaction.writes) {
             when (write) {
-                is Write.Set -> Json.read(write.value)?.let { put(write.key, it, stamp, touched) }
-                is Write.Drop -> drop(write.key, stamp, touched)
+                is Write.Set -> Json.read(write.value)?.let { put(write.key, it, revision, changes) }
+                is Write.Delete -> drop(write.key, revision, changes)
             }
         }
-        announce(touched)
+        announce(changes)
     }
 
     /**
-     * Another controller says that it has written the cancelled mark of [id] with [stamp]. The mark is durable, so it may be
+     * Another controller says that it has written the cancelled mark of [id] with [revision]. The mark is durable, so it may be
      * acted on before the watch brings it; nothing relies on being told.
      */
-    fun cancelledElsewhere(id: JobId, stamp: Stamp) {
+    fun cancelledElsewhere(id: JobId, revision: Revision) {
         val live = jobs[id]?.live ?: return
-        if (state != ReplicaState.CURRENT || live.value.cancelled || stamp <= live.stamp) return
-        val touched = Touched()
-        job(id, touched).live = Stamped(live.value.withCancelledMark(), stamp)
-        announce(touched)
+        if (state != ReplicaState.CURRENT || live.value.cancelled || revision <= live.revision) return
+        val changes = ReplicaChanges()
+        job(id, changes).live = StoredRecord(live.value.withCancelledMark(), revision)
+        announce(changes)
     }
 
-    private fun announce(touched: Touched) {
-        if (touched.jobs.isEmpty() && !touched.standing && touched.peerStatuses.isEmpty()) return
-        touched.jobs += dependencies.update(touched.jobs)
-        listeners.forEach { it.changed(touched) }
+    private fun announce(changes: ReplicaChanges) {
+        if (changes.jobs.isEmpty() && !changes.clusterRecordsChanged && changes.peerStatuses.isEmpty()) return
+        changes.jobs += dependencies.update(changes.jobs)
+        listeners.forEach { it.changed(changes) }
     }
 
-    private fun put(key: String, value: JsonNode, stamp: Stamp, touched: Touched) {
-        if (dropped[key]?.let { it >= stamp } == true) return
+    private fun put(key: String, value: JsonNode, revision: Revision, changes: ReplicaChanges) {
+        if (dropped[key]?.let { it >= revision } == true) return
         when (val parsed = decoded { Keys.parse(key) }) {
             null -> return
             is ParsedKey.Live -> {
-                val job = job(parsed.job, touched)
-                if (stamp > job.liveStamp()) decoded { RecordCodec.decodeLive(value) }?.let { job.live = Stamped(it, stamp) }
+                val job = job(parsed.job, changes)
+                if (revision > job.liveRevision()) decoded { RecordCodec.decodeLive(value) }?.let { job.live = StoredRecord(it, revision) }
             }
-            ParsedKey.Assignments -> packedRecordTable.put(key, value, stamp, AssignmentParts, TouchedJobs(touched))
-            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, stamp, OutcomeParts(parsed.shard), TouchedJobs(touched))
-            is ParsedKey.Over -> rememberEnd(parsed.job, value, touched)
-            is ParsedKey.Shard -> if (newer(stamp, shards[parsed.name])) {
-                touched.standing = true
-                decoded { RecordCodec.decodeShard(value) }?.let { shards[parsed.name] = Stamped(it, stamp) }
+            ParsedKey.Assignments -> packedRecordTable.put(key, value, revision, AssignmentParts, ChangedJobs(changes))
+            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, revision, OutcomeParts(parsed.shard), ChangedJobs(changes))
+            is ParsedKey.Over -> rememberEnd(parsed.job, value, changes)
+            is ParsedKey.Shard -> if (newer(revision, shards[parsed.name])) {
+                changes.clusterRecordsChanged = true
+                decoded { RecordCodec.decodeShard(value) }?.let { shards[parsed.name] = StoredRecord(it, revision) }
             }
-            is ParsedKey.Member -> if (newer(stamp, members[parsed.id])) {
-                touched.standing = true
-                decoded { RecordCodec.decodeMember(value) }?.let { members[parsed.id] = Stamped(it, stamp) }
+            is ParsedKey.Member -> if (newer(revision, members[parsed.id])) {
+                changes.clusterRecordsChanged = true
+                decoded { RecordCodec.decodeMember(value) }?.let { members[parsed.id] = StoredRecord(it, revision) }
             }
-            is ParsedKey.Images -> if (newer(stamp, images[parsed.shard])) {
-                decoded { RecordCodec.decodeImages(value) }?.let { images[parsed.shard] = Stamped(it, stamp) }
+            is ParsedKey.Images -> if (newer(revision, images[parsed.shard])) {
+                decoded { RecordCodec.decodeImages(value) }?.let { images[parsed.shard] = StoredRecord(it, revision) }
             }
-            is ParsedKey.Room -> decoded { RecordCodec.decodePeerStatus(value) }?.let { touched.peerStatuses += it }
-            ParsedKey.Leader -> if (newer(stamp, leader)) {
-                touched.standing = true
-                decoded { RecordCodec.decodeLeader(value) }?.let { leader = Stamped(it, stamp) }
+            is ParsedKey.Room -> decoded { RecordCodec.decodePeerStatus(value) }?.let { changes.peerStatuses += it }
+            ParsedKey.Leader -> if (newer(revision, leader)) {
+                changes.clusterRecordsChanged = true
+                decoded { RecordCodec.decodeLeader(value) }?.let { leader = StoredRecord(it, revision) }
             }
         }
     }
@@ -332,59 +332,59 @@
     /** What a record says, or null where it is malformed: then it counts as not written. */
     private fun <T : Any> decoded(decode: () -> T?): T? = Decoding.orNull("record", decode)
 
-    private fun rememberEnd(id: JobId, value: JsonNode, touched: Touched) {
+    private fun rememberEnd(id: JobId, value: JsonNode, changes: ReplicaChanges) {
         endedJobs.remember(id, value)
-        if (dependencies.isAwaited(id)) touched.jobs += id
+        if (dependencies.isAwaited(id)) changes.jobs += id
     }
 
-    private fun drop(key: String, stamp: Stamp, touched: Touched) {
-        if (stamp > cursor) dropped[key] = stamp
+    private fun drop(key: String, revision: Revision, changes: ReplicaChanges) {
+        if (revision > knownRevision) dropped[key] = revision
         when (val parsed = decoded { Keys.parse(key) }) {
             null, is ParsedKey.Over, is ParsedKey.Room -> return
-            is ParsedKey.Live -> editJob(parsed.job, touched) { if (older(it.live, stamp)) it.live = null }
-            ParsedKey.Assignments -> packedRecordTable.drop(key, stamp, AssignmentParts, TouchedJobs(touched))
-            is ParsedKey.Outcomes -> packedRecordTable.drop(key, stamp, OutcomeParts(parsed.shard), TouchedJobs(touched))
-            is ParsedKey.Shard -> if (older(shards[parsed.name], stamp)) {
-                touched.standing = true
+            is ParsedKey.Live -> editJob(parsed.job, changes) { if (older(it.live, revision)) it.live = null }
+            ParsedKey.Assignments -> packedRecordTable.drop(key, revision, AssignmentParts, ChangedJobs(changes))
+            is ParsedKey.Outcomes -> packedRecordTable.drop(key, revision, OutcomeParts(parsed.shard), ChangedJobs(changes))
+            is ParsedKey.Shard -> if (older(shards[parsed.name], revision)) {
+                changes.clusterRecordsChanged = true
                 shards.remove(parsed.name)
             }
-            is ParsedKey.Member -> if (older(members[parsed.id], stamp)) {
-                touched.standing = true
-                touched.membersGone += parsed.id
+            is ParsedKey.Member -> if (older(members[parsed.id], revision)) {
+                changes.clusterRecordsChanged = true
+                changes.removedMembers += parsed.id
                 members.remove(parsed.id)
             }
-            is ParsedKey.Images -> if (older(images[parsed.shard], stamp)) images.remove(parsed.shard)
-            ParsedKey.Leader -> if (older(leader, stamp)) {
-                touched.standing = true
+            is ParsedKey.Images -> if (older(images[parsed.shard], revision)) images.remove(parsed.shard)
+            ParsedKey.Leader -> if (older(leader, revision)) {
+                changes.clusterRecordsChanged = true
                 leader = null
             }
         }
     }
 
     /** The jobs, for those who change them in a round of changes. */
-    private inner class TouchedJobs(private val touched: Touched) : JobRecords {
+    private inner class ChangedJobs(private val changes: ReplicaChanges) : JobRecords {
         override fun present(id: JobId) = jobs[id]
 
-        override fun touch(id: JobId) = job(id, touched)
+        override fun touch(id: JobId) = job(id, changes)
 
-        override fun edit(id: JobId, change: (Job) -> Unit) = editJob(id, touched, change)
+        override fun edit(id: JobId, change: (Job) -> Unit) = editJob(id, changes, change)
     }
 
-    private fun job(id: JobId, touched: Touched): Job {
-        touched.jobs += id
+    private fun job(id: JobId, changes: ReplicaChanges): Job {
+        changes.jobs += id
         return jobs.getOrPut(id) { Job(id) }
     }
 
-    private inline fun editJob(id: JobId, touched: Touched, edit: (Job) -> Unit) {
+    private inline fun editJob(id: JobId, changes: ReplicaChanges, edit: (Job) -> Unit) {
         val job = jobs[id] ?: return
-        touched.jobs += id
+        changes.jobs += id
         edit(job)
         if (job.empty) jobs.remove(id)
     }
 
-    private fun newer(stamp: Stamp, present: Stamped<*>?) = present == null || stamp > present.stamp
+    private fun newer(revision: Revision, present: StoredRecord<*>?) = present == null || revision > present.revision
 
-    private fun older(present: Stamped<*>?, stamp: Stamp) = present != null && present.stamp < stamp
+    private fun older(present: StoredRecord<*>?, revision: Revision) = present != null && present.revision < revision
 
     /** The end of a job, as far as it is remembered here. It never changes once written. */
     fun endOf(id: JobId): EndRecord? = endedJobs[id]
@@ -394,18 +394,18 @@
 
     companion object {
         /** So many questions may wait for a reading, or two for each live job where that is more. */
-        private const val MOST_WAITING = 2_000
-        private const val QUESTIONS_A_JOB = 2
-        private val LOOK_UP_PACE = 500.milliseconds
+        private const val MAX_WAITERS = 2_000
+        private const val QUESTIONS_PER_JOB = 2
+        private val LOOK_UP_INTERVAL = 500.milliseconds
         private val RETRY = 250.milliseconds
         private val WATCH_WAIT = 10.seconds
-        val QUIET = 1500.milliseconds
-        private val LONGEST_CATCH_UP = 10.seconds
-        private const val MOST_FAILED_READINGS = 3
+        val IDLE_REFRESH_INTERVAL = 1500.milliseconds
+        private val MAX_CATCH_UP = 10.seconds
+        private const val MAX_FAILED_READINGS = 3
         private const val READING_SHARE = 0.5
         private const val REST = 8
-        private val LONGEST_PAUSE = 200.milliseconds
-        private val SHORTEST_PACE = 50.milliseconds
+        private val MAX_PAUSE = 200.milliseconds
+        private val MIN_INTERVAL = 50.milliseconds
         private val log = LoggerFactory.getLogger("replica")
     }
 }
