--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -4,8 +4,8 @@
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
 import copperglade.protocol.LeaseId
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
 import copperglade.protocol.array
 import copperglade.protocol.flag
 import copperglade.protocol.long
@@ -17,10 +17,10 @@
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
+import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.slf4j.LoggerFactory
 
 /**
  * The state service as this controller may use it: within its share of the budgets that all controllers have together.
@@ -35,17 +35,17 @@
 ) {
     private class Queued(val transaction: Transaction, val done: (TransactionOutcome) -> Unit)
 
-    private val queues = Urgency.entries.associateWith { ArrayDeque<Queued>() }
+    private val queues = WritePriority.entries.associateWith { ArrayDeque<Queued>() }
     private val requests = TokenBucket(limits.requestsPerS * firstShare, BURST_S, loop.now())
     private val writes = TokenBucket(limits.writesPerS * firstShare, BURST_S, loop.now())
     private val demand = RecentRate(DEMAND_S)
     private var inFlight = 0
     private var draining = false
     private var malformed = 0
-    private var malformedReportedAt = Moment.NEVER
+    private var malformedReportedAt = MonotonicTime.NEVER
 
     /** When the service last answered as it should. */
-    var lastGood: Moment = Moment.NEVER
+    var lastGood: MonotonicTime = MonotonicTime.NEVER
         private set
 
     /** Whether the service has not answered lately. */
@@ -68,7 +68,9 @@
      * clearing up kept this below 0, nothing was assigned any more, and 28 machines stood idle.
      */
     fun affordableAssignments(): Int {
-        val ahead = queues.filterKeys { it <= Urgency.ASSIGNMENT }.values.sumOf { queue -> queue.sumOf { it.transaction.writes.size } }
+        val ahead = queues.filterKeys { it <= WritePriority.ASSIGNMENT }.values.sumOf { queue ->
+            queue.sumOf { it.transaction.writes.size }
+        }
         return writes.available(loop.now()) - ahead
     }
 
@@ -79,11 +81,11 @@
     fun missed(changes: Int) = demand.add(changes, loop.now())
 
     /** Whether a further transaction of a user would have to wait for long. */
-    fun crowded(): Boolean = queues.getValue(Urgency.USER).size >= MOST_QUEUED
+    fun crowded(): Boolean = queues.getValue(WritePriority.USER).size >= MAX_QUEUED
 
-    fun commit(urgency: Urgency, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
+    fun commit(urgency: WritePriority, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
         val queue = queues.getValue(urgency)
-        if (urgency != Urgency.LEASE && queue.size >= MOST_QUEUED) {
+        if (urgency != WritePriority.LEASE && queue.size >= MAX_QUEUED) {
             done(TransactionOutcome.Refused)
             return
         }
@@ -96,9 +98,9 @@
         for ((urgency, queue) in queues) {
             while (queue.isNotEmpty()) {
                 val next = queue.first()
-                if (urgency == Urgency.LEASE) {
+                if (urgency == WritePriority.LEASE) {
                     writes.take(next.transaction.writes.size, loop.now())
-                } else if (inFlight >= MOST_IN_FLIGHT ||
+                } else if (inFlight >= MAX_IN_FLIGHT ||
                     !writes.tryTake(next.transaction.writes.size, loop.now(), reserveFor(urgency, next.transaction))
                 ) {
                     drainLater()
@@ -115,10 +117,10 @@
      * reserve is less than that: on a quiet simulated day with 21 changes a second for three controllers, outcomes took every change as
      * soon as it was to be had, and 8% of the submissions waited for longer than 300 ms.
      */
-    private fun reserveFor(urgency: Urgency, transaction: Transaction): Double {
-        if (urgency <= Urgency.ASSIGNMENT) return urgency.reserve
+    private fun reserveFor(urgency: WritePriority, transaction: Transaction): Double {
+        if (urgency <= WritePriority.ASSIGNMENT) return urgency.reserve
         val withOneMore = (transaction.writes.size + 1) / writes.capacity
-        return maxOf(urgency.reserve, minOf(withOneMore, MOST_RESERVED))
+        return maxOf(urgency.reserve, minOf(withOneMore, MAX_RESERVED))
     }
 
     private fun drainLater() {
@@ -142,7 +144,7 @@
 
     private fun outcomeOf(reply: Reply?): TransactionOutcome = when (reply?.status) {
         null -> TransactionOutcome.Unknown
-        HttpStatus.OK -> Json.read(reply.body)?.long("ledger")?.let { TransactionOutcome.Applied(Stamp(it)) }
+        HttpStatus.OK -> Json.read(reply.body)?.long("ledger")?.let { TransactionOutcome.Applied(Revision(it)) }
             ?: TransactionOutcome.Unknown
         HttpStatus.CONFLICT -> TransactionOutcome.Conflict(
             Json
@@ -170,7 +172,7 @@
     /** Transactions that don't fit the service's limits are tried again and again: one line now and then tells of them. */
     private fun reportMalformed(problem: String) {
         malformed++
-        if (loop.now() < malformedReportedAt + MALFORMED_REPORT_PACE) return
+        if (loop.now() < malformedReportedAt + MALFORMED_REPORT_INTERVAL) return
         log.error("the state service calls a transaction malformed ({} so far): {}", malformed, problem)
         malformedReportedAt = loop.now()
     }
@@ -186,10 +188,10 @@
         request(Request(Method.GET, "/kv/$key"), TIMEOUT, counted = true) { reply ->
             val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
             val value = node?.get("data")
-            val stamp = node?.long("stamp")
+            val revision = node?.long("stamp")
             done(
                 when {
-                    value != null && stamp != null -> ReadOutcome.Present(value, Stamp(stamp))
+                    value != null && revision != null -> ReadOutcome.Present(value, Revision(revision))
                     reply?.status == HttpStatus.NOT_FOUND -> ReadOutcome.Absent
                     else -> ReadOutcome.Failed
                 },
@@ -201,27 +203,27 @@
         val after = if (from == null) "" else "&from=$from"
         request(Request(Method.GET, "/kv?starts=$prefix$after&limit=$LIST_LIMIT"), LIST_TIMEOUT) { reply ->
             val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
-            val ledger = node?.long("ledger")
+            val storeRevision = node?.long("ledger")
             val entries = node?.get("entries")?.mapNotNull { entry ->
                 val key = entry.text("k")
                 val value = entry.get("data")
-                val stamp = entry.long("stamp")
-                if (key == null || value == null || stamp == null) null else Entry(key, value, Stamp(stamp))
+                val revision = entry.long("stamp")
+                if (key == null || value == null || revision == null) null else Entry(key, value, Revision(revision))
             }
             done(
-                if (ledger == null ||
+                if (storeRevision == null ||
                     entries == null
                 ) {
                     null
                 } else {
-                    Listing(entries, node.flag("truncated") ?: false, Stamp(ledger))
+                    Listing(entries, node.flag("truncated") ?: false, Revision(storeRevision))
                 },
             )
         }
     }
 
     /** Changes since [from]; waits up to [wait] for the first one. */
-    fun changes(prefix: String, from: Stamp, wait: Duration, done: (ChangesOutcome) -> Unit) {
+    fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) {
         val path = "/changes?starts=$prefix&from=$from&waitMs=${wait.inWholeMilliseconds}"
         request(Request(Method.GET, path), TIMEOUT + wait) { reply ->
             done(
@@ -235,15 +237,15 @@
     }
 
     private fun decodeChanges(node: JsonNode?): ChangesOutcome {
-        val ledger = node?.long("ledger") ?: return ChangesOutcome.Failed
+        val storeRevision = node?.long("ledger") ?: return ChangesOutcome.Failed
         val changes = node.get("events")?.mapNotNull { event ->
-            val stamp = Stamp(event.long("stamp") ?: return@mapNotNull null)
+            val revision = Revision(event.long("stamp") ?: return@mapNotNull null)
             val dropped = event.text("drop")
-            if (dropped != null) return@mapNotNull Change.Dropped(dropped, stamp)
+            if (dropped != null) return@mapNotNull Change.Deleted(dropped, revision)
             val key = event.text("set") ?: return@mapNotNull null
-            Change.Set(key, event.get("data") ?: return@mapNotNull null, stamp)
+            Change.Set(key, event.get("data") ?: return@mapNotNull null, revision)
         }
-        return ChangesOutcome.Received(Stamp(ledger), changes.orEmpty())
+        return ChangesOutcome.Received(Revision(storeRevision), changes.orEmpty())
     }
 
     fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) {
@@ -283,7 +285,7 @@
                 for (condition in transaction.conditions) {
                     obj {
                         writeStringField("k", condition.key)
-                        writeNumberField("stamp", condition.stamp.number)
+                        writeNumberField("stamp", condition.revision.number)
                     }
                 }
             }
@@ -291,7 +293,7 @@
                 for (write in transaction.writes) {
                     obj {
                         when (write) {
-                            is Write.Drop -> writeStringField("drop", write.key)
+                            is Write.Delete -> writeStringField("drop", write.key)
                             is Write.Set -> {
                                 writeStringField("set", write.key)
                                 writeFieldName("data")
@@ -307,16 +309,16 @@
 
     companion object {
         private const val NO_SUCH_LEASE = "no such lease"
-        private val MALFORMED_REPORT_PACE = 10.seconds
+        private val MALFORMED_REPORT_INTERVAL = 10.seconds
         private const val BURST_S = 0.8
         private const val DEMAND_S = 2.0
         private const val KEPT_FOR_URGENT = 0.2
 
         /** However small a budget is, what is less urgent gets its turn when so much of the bucket is full. */
-        private const val MOST_RESERVED = 0.8
+        private const val MAX_RESERVED = 0.8
         private const val LIST_LIMIT = 1000
-        private const val MOST_QUEUED = 400
-        private const val MOST_IN_FLIGHT = 12
+        private const val MAX_QUEUED = 400
+        private const val MAX_IN_FLIGHT = 12
         private val SILENCE = 1.seconds
         private val TIMEOUT = 2.seconds
         private val LIST_TIMEOUT = 5.seconds
--- a/src/main/kotlin/copperglade/storage/Ranges.kt
+++ b/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
@@ -15,7 +14,8 @@
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.flag
@@ -26,7 +26,7 @@
 import java.util.BitSet
 
 /** Sets of task numbers as text, such as `0-3,7`. */
-object Ranges {
+object TaskIndexRanges {
     fun format(set: BitSet): String = buildString {
         var start = set.nextSetBit(0)
         while (start >= 0) {
--- a/src/main/kotlin/copperglade/storage/TokenBucket.kt
+++ b/src/main/kotlin/copperglade/storage/TokenBucket.kt
@@ -1,18 +1,18 @@
 package copperglade.storage
 
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.secondsSince
 import kotlin.math.exp
 import kotlin.math.max
 import kotlin.math.min
 
 /** A budget of so many per second, with a burst of [burstS] seconds' worth. */
-class TokenBucket(perSecond: Double, private val burstS: Double, private var at: Moment) {
+class TokenBucket(perSecond: Double, private val burstS: Double, private var at: MonotonicTime) {
     var perSecond = perSecond
         private set
     private var tokens = perSecond * burstS
 
-    fun setRate(rate: Double, now: Moment) {
+    fun setRate(rate: Double, now: MonotonicTime) {
         refill(now)
         perSecond = rate
         tokens = min(tokens, rate * burstS)
@@ -24,7 +24,7 @@
      *
      * @param reserve how full the bucket must be beforehand, from 0 to 1: what can wait leaves that to others.
      */
-    fun tryTake(count: Int, now: Moment, reserve: Double = 0.0): Boolean {
+    fun tryTake(count: Int, now: MonotonicTime, reserve: Double = 0.0): Boolean {
         refill(now)
         if (tokens < max(min(count.toDouble(), capacity * LARGE_PASSES), capacity * reserve)) return false
         tokens -= count
@@ -32,12 +32,12 @@
     }
 
     /** Takes [count] in any case; what comes later pays for it. */
-    fun take(count: Int, now: Moment) {
+    fun take(count: Int, now: MonotonicTime) {
         refill(now)
         tokens -= count
     }
 
-    fun available(now: Moment): Int {
+    fun available(now: MonotonicTime): Int {
         refill(now)
         return tokens.toInt().coerceAtLeast(0)
     }
@@ -46,7 +46,7 @@
     val capacity: Double get() = perSecond * burstS
 
     /** How full the bucket is, from 0 to 1. */
-    fun level(now: Moment): Double {
+    fun level(now: MonotonicTime): Double {
         refill(now)
         return (tokens / (perSecond * burstS)).coerceIn(0.0, 1.0)
     }
@@ -55,7 +55,7 @@
         const val LARGE_PASSES = 0.5
     }
 
-    private fun refill(now: Moment) {
+    private fun refill(now: MonotonicTime) {
         tokens = min(perSecond * burstS, tokens + perSecond * now.secondsSince(at).coerceAtLeast(0.0))
         at = now
     }
@@ -64,19 +64,19 @@
 /** How often something has happened a second, fading over about [overS] seconds. */
 class RecentRate(private val overS: Double) {
     private var sum = 0.0
-    private var at = Moment.NEVER
+    private var at = MonotonicTime.NEVER
 
-    fun add(count: Int, now: Moment) {
+    fun add(count: Int, now: MonotonicTime) {
         fade(now)
         sum += count
     }
 
-    fun rate(now: Moment): Double {
+    fun rate(now: MonotonicTime): Double {
         fade(now)
         return sum / overS
     }
 
-    private fun fade(now: Moment) {
+    private fun fade(now: MonotonicTime) {
         sum *= exp(-now.secondsSince(at).coerceAtLeast(0.0) / overS)
         at = now
     }
--- a/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
+++ b/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
@@ -1,6 +1,6 @@
 package copperglade.storage
 
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.transport.EventLoop
 import kotlin.time.Duration.Companion.milliseconds
 
@@ -15,23 +15,23 @@
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val urgency: Urgency,
+    private val urgency: WritePriority,
     /** What makes the packed record ours to write. */
     private val condition: () -> Condition,
 ) {
     /** Calls [resolved] once no copy of [packedWrite] can be applied any more, unless [ours] has come to be false before. */
     fun resolve(packedWrite: PackedWrite, ours: () -> Boolean, resolved: () -> Unit) {
         val again = { loop.after(PAUSE) { resolve(packedWrite, ours, resolved) } }
-        replica.fresh { known ->
-            if (!ours()) return@fresh
-            if (!known) return@fresh again()
-            if (changed(packedWrite.condition)) return@fresh resolved()
+        replica.readFresh { known ->
+            if (!ours()) return@readFresh
+            if (!known) return@readFresh again()
+            if (changed(packedWrite.condition)) return@readFresh resolved()
             val same = packedWrite.packer.same(packedWrite)
             val transaction = Transaction(listOf(condition(), same.condition), listOf(same.write))
             store.commit(urgency, transaction) { outcome ->
                 if (!ours()) return@commit
                 if (outcome is TransactionOutcome.Applied) {
-                    replica.applied(transaction, outcome.stamp)
+                    replica.applied(transaction, outcome.revision)
                     resolved()
                 } else {
                     again()
@@ -42,7 +42,7 @@
 
     private fun changed(before: Condition): Boolean {
         val present = replica.packedRecords[before.key]
-        return if (present == null) before.stamp != Stamp.ABSENT else present.stamp != before.stamp
+        return if (present == null) before.revision != Revision.ABSENT else present.revision != before.revision
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import kotlin.time.Duration.Companion.seconds
 
 /**
@@ -19,13 +19,13 @@
  */
 class FailureEvidence(private val machinesToBlameJob: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
-    private val failuresByMachine = HashMap<MachineName, HashMap<JobId, Moment>>()
+    private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
     /** Once blamed, a job stays so until one of its tasks is completed, whatever fails beside it later. */
     private val blamedJobs = HashSet<JobId>()
 
     /** A task of [job] has failed on [machine]. */
-    fun failed(job: JobId, machine: MachineName, now: Moment) {
+    fun failed(job: JobId, machine: MachineName, now: MonotonicTime) {
         machinesByJob.getOrPut(job) { HashSet() } += machine
         failuresByMachine.getOrPut(machine) { HashMap() }[job] = now
         if (failsEverywhere(job)) blamedJobs += job
@@ -55,7 +55,7 @@
      * Whether [job] has failed on [machine] so lately that its tasks had better go elsewhere. Other jobs may go there: where
      * the machine is faulty that shows with the next of them, and where the job is mistaken the machine stays in use.
      */
-    fun separates(job: JobId, machine: MachineName, now: Moment): Boolean =
+    fun separates(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
         failuresByMachine[machine]?.get(job)?.let { now < it + SEPARATION } ?: false
 
     /** The job is over: what is still open between it and the machines it failed on is not held against them. */
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -7,7 +7,7 @@
 import copperglade.protocol.ImageName
 import copperglade.protocol.MachineName
 import copperglade.protocol.MachineType
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Report
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
@@ -24,8 +24,8 @@
     val attempt: Attempt,
     val session: Long,
     val fencingToken: FencingToken,
-    val since: Moment,
-    val actsUntil: Moment?,
+    val since: MonotonicTime,
+    val actsUntil: MonotonicTime?,
 )
 
 /** A machine of a shard, as its worker last described it. */
@@ -35,7 +35,7 @@
     val spot: Boolean,
     val typeName: String,
     var endpoint: Endpoint,
-    now: Moment,
+    now: MonotonicTime,
     /** Whether its present session surely began under the present owner, so that no former owner's command can act. */
     val ours: Boolean = false,
 ) {
@@ -55,7 +55,7 @@
         private set
 
     /** When the numbers of the latest report were taken in. */
-    var takenAt = Moment.NEVER
+    var takenAt = MonotonicTime.NEVER
         private set
 
     /** The numbers of the latest report that the worker sent by itself. */
@@ -63,7 +63,7 @@
     private var sentTally = -1L
 
     /** When the worker's own reports last arrived; answers to direct commands say nothing of its lease. */
-    var reportedAt = Moment.NEVER
+    var reportedAt = MonotonicTime.NEVER
         private set
 
     /** The highest numbers of an earlier life, before the machine began anew. */
@@ -85,13 +85,13 @@
     /** The runs bound to this machine. */
     val runs: Collection<Run> get() = runsByAttempt.values
     val unresolvedStarts = ArrayList<UnresolvedStart>()
-    val removalSentAt = HashMap<Attempt, Moment>()
-    var lastRemovalSentAt = Moment.NEVER
+    val removalSentAt = HashMap<Attempt, MonotonicTime>()
+    var lastRemovalSentAt = MonotonicTime.NEVER
     var commandInFlight = false
-    var commandSentAt = Moment.NEVER
+    var commandSentAt = MonotonicTime.NEVER
 
     /** Since when direct commands have gone unanswered; then commands go out with the answers to reports. */
-    var unresponsiveSince: Moment? = null
+    var unresponsiveSince: MonotonicTime? = null
     val unresponsive: Boolean get() = unresponsiveSince != null
     var draining = false
     var deleting = false
@@ -119,26 +119,26 @@
     }
 
     /** Reports come, though what they say is in doubt: a machine that began anew may count from the start for minutes. */
-    fun reportsArrive(now: Moment) {
+    fun reportsArrive(now: MonotonicTime) {
         reportedAt = now
     }
 
     /** Takes note that the worker itself sent [report] and waits for the answer. */
-    fun sentBy(report: Report, now: Moment) {
+    fun sentBy(report: Report, now: MonotonicTime) {
         reportedAt = now
         sentSession = report.session
         sentTally = report.tally
     }
 
     /** Takes in a report; false where a newer one is known already: it says nothing, not even that the machine lives. */
-    fun update(report: Report, now: Moment): Boolean {
+    fun update(report: Report, now: MonotonicTime): Boolean {
         if (!report.newerThan(session, tally)) return false
         take(report, now)
         return true
     }
 
     /** The machine has begun anew and counts from the start again. */
-    fun beginAnew(report: Report, now: Moment) {
+    fun beginAnew(report: Report, now: MonotonicTime) {
         doubtUpTo(session, tally)
         doubtUpTo(sentSession, sentTally)
         sentSession = 0
@@ -147,7 +147,7 @@
         take(report, now)
     }
 
-    private fun take(report: Report, now: Moment) {
+    private fun take(report: Report, now: MonotonicTime) {
         heardAt = now
         takenAt = now
         if (report.session != session) answeredAt = now
@@ -175,7 +175,7 @@
 
     /** To be told when a run of this machine has changed its state. */
     fun runChanged() {
-        freeAsOf = Moment.NEVER
+        freeComputedAt = MonotonicTime.NEVER
     }
 
     fun runOf(reportedTask: ReportedTask): Run? = runsByAttempt[reportedTask.attempt]?.takeIf { it.task == reportedTask.task }
@@ -198,19 +198,19 @@
         while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
     }
 
-    private var freeAsOf = Moment.NEVER
-    private var lastFree = Resources.ZERO
+    private var freeComputedAt = MonotonicTime.NEVER
+    private var cachedFree = Resources.ZERO
 
     /**
      * What is free for further tasks, counting starts that have not arrived yet. Asked for ten times a second for every
      * machine, so it is worked out only after a change, and now and then for strays, whose requests are others' records.
      */
-    fun free(type: MachineType, now: Moment, requestOf: (TaskId) -> Resources?): Resources {
-        if (now >= freeAsOf + FREE_KEPT) {
-            lastFree = workOutFree(type, requestOf)
-            freeAsOf = now
+    fun free(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources {
+        if (now >= freeComputedAt + FREE_KEPT) {
+            cachedFree = workOutFree(type, requestOf)
+            freeComputedAt = now
         }
-        return lastFree
+        return cachedFree
     }
 
     private fun workOutFree(type: MachineType, requestOf: (TaskId) -> Resources?): Resources {
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -1,24 +1,24 @@
 package copperglade.tasks
 
 import copperglade.ownership.ShardOwner
-import copperglade.protocol.Moment
-import copperglade.protocol.Stamp
-import copperglade.storage.AssignmentPage
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
+import copperglade.storage.AssignmentRange
 import copperglade.storage.Condition
 import copperglade.storage.Job
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
+import copperglade.storage.OutcomeRecord
 import copperglade.storage.PackedWrite
 import copperglade.storage.RecordCodec
 import copperglade.storage.RecordPacker
 import copperglade.storage.Replica
+import copperglade.storage.ShardTaskRange
 import copperglade.storage.StateClient
+import copperglade.storage.TaskRange
 import copperglade.storage.Transaction
 import copperglade.storage.TransactionOutcome
 import copperglade.storage.UnresolvedWrites
-import copperglade.storage.Urgency
-import copperglade.storage.WorkPlace
-import copperglade.storage.WorkRecord
+import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
@@ -38,20 +38,20 @@
         replica,
         store.limits,
         Keys.outcomeRecords(owner.name),
-        { job, page -> job.works[WorkPlace(page, owner.name)] },
-        { job, page -> job.works[WorkPlace(page, owner.name)]?.let { RecordCodec.encode(it.value) } },
+        { job, page -> job.works[ShardTaskRange(page, owner.name)] },
+        { job, page -> job.works[ShardTaskRange(page, owner.name)]?.let { RecordCodec.encode(it.value) } },
     )
-    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.OUTCOME, ::ownership)
-    private val dirtySince = LinkedHashMap<JobPage, Moment>()
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.OUTCOME, ::ownership)
+    private val dirtySince = LinkedHashMap<TaskRange, MonotonicTime>()
 
     /** Pages with tasks given back, which somebody else could run. */
-    private val hasty = HashSet<JobPage>()
+    private val hasty = HashSet<TaskRange>()
 
     /** A transaction's conditions are the shard, the packed record and a job for each page. */
     private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
 
     fun record(run: Run) {
-        val place = JobPage(run.task.job, run.task.index / Keys.PAGE_TASKS)
+        val place = TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE)
         dirtySince.putIfAbsent(place, loop.now())
         if (run.state == RunState.GONE) hasty += place
     }
@@ -66,12 +66,12 @@
         val now = loop.now()
         val scarcity = 1.0 - store.writeLevel()
         val due = dirtySince.any { (place, since) ->
-            val pause = if (place in hasty || !moreToCome(place)) SHORTEST_PAUSE else LONGER_PAUSE
+            val pause = if (place in hasty || !moreToCome(place)) MIN_PAUSE else LONGER_PAUSE
             now >= since + pause + WIDEST_PAUSE * scarcity
         }
         if (!due) return
         hasty.clear()
-        val changes = LinkedHashMap<JobPage, ByteArray>()
+        val changes = LinkedHashMap<TaskRange, ByteArray>()
         for (place in dirtySince.keys.toList()) {
             if (changes.size == mostPages) break
             val job = replica.jobs[place.job]?.takeIf { it.live != null }
@@ -85,23 +85,23 @@
         packer.pack(changes).forEach(::write)
     }
 
-    private fun ownership() = Condition(Keys.shard(owner.name), Stamp(owner.fencingToken.number))
+    private fun ownership() = Condition(Keys.shard(owner.name), Revision(owner.fencingToken.number))
 
-    private fun moreToCome(place: JobPage): Boolean = owner.runsOf(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
+    private fun moreToCome(place: TaskRange): Boolean = owner.runsOf(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
 
     private fun write(packedWrite: PackedWrite) {
         val conditions = LinkedHashSet<Condition>()
         conditions += ownership()
         conditions += packedWrite.condition
         // The live record changes with a cancellation, after which nothing may become done any more.
-        packedWrite.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveStamp()) }
+        packedWrite.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveRevision()) }
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
         packer.begin(packedWrite)
         val since = packedWrite.places.associateWith { dirtySince.remove(it) ?: loop.now() }
-        store.commit(Urgency.OUTCOME, transaction) { outcome ->
+        store.commit(WritePriority.OUTCOME, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
                 packer.end(packedWrite)
-                replica.applied(transaction, outcome.stamp)
+                replica.applied(transaction, outcome.revision)
                 return@commit
             }
             // Whatever stood in the way, or became of the write: read first, then try what is still new.
@@ -112,20 +112,20 @@
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
                 TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { owner.open }, again)
-                else -> replica.fresh { loop.after(AFTER_CONFLICT, again) }
+                else -> replica.readFresh { loop.after(AFTER_CONFLICT, again) }
             }
         }
     }
 
     /** The record that says all that is known, or null where it says nothing new. */
-    private fun updatedRecord(job: Job, page: Int): WorkRecord? {
-        val present = job.works[WorkPlace(page, owner.name)]?.value ?: WorkRecord.EMPTY
+    private fun updatedRecord(job: Job, page: Int): OutcomeRecord? {
+        val present = job.works[ShardTaskRange(page, owner.name)]?.value ?: OutcomeRecord.EMPTY
         val done = present.done.clone() as BitSet
         val restarted = present.restarted.clone() as BitSet
         val returned = HashMap<Int, BitSet>()
         present.returned.forEach { (generation, tasks) -> returned[generation] = tasks.clone() as BitSet }
         var changed = false
-        for (run in owner.runsOf(JobPage(job.id, page))) {
+        for (run in owner.runsOf(TaskRange(job.id, page))) {
             val index = run.task.index
             val gone = run.state == RunState.GONE || (run.state == RunState.DONE && job.cancelled)
             if (run.state == RunState.DONE && !gone) {
@@ -144,11 +144,11 @@
         }
         val mistaken = done.isEmpty && (present.mistaken || job.id in owner.mistakenJobs)
         if (!changed && mistaken == present.mistaken) return null
-        return WorkRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, mistaken)
+        return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, mistaken)
     }
 
     /** Give-backs matter only as long as the leader's page still names the assignment. */
-    private fun stillNeeded(returned: Map<Int, BitSet>, page: AssignmentPage?): Map<Int, BitSet> {
+    private fun stillNeeded(returned: Map<Int, BitSet>, page: AssignmentRange?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in page?.groups.orEmpty()) {
             if (group.shard != owner.name) continue
@@ -161,7 +161,7 @@
 
     private companion object {
         const val CONDITIONS_BESIDE = 2
-        val SHORTEST_PAUSE = 60.milliseconds
+        val MIN_PAUSE = 60.milliseconds
         val LONGER_PAUSE = 350.milliseconds
         val WIDEST_PAUSE = 1800.milliseconds
         val AFTER_CONFLICT = 20.milliseconds
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.Attempt
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
 import copperglade.safety.Refusal
 import org.slf4j.LoggerFactory
@@ -39,7 +39,7 @@
     val generation: Int,
     val acceptedAtMs: Long,
     first: RunState,
-    now: Moment,
+    now: MonotonicTime,
     private val moved: (Run) -> Unit = {},
 ) {
     /** The job as it is scheduled now; jobs that come to depend on it may raise its priority. */
@@ -56,15 +56,15 @@
 
     /** Whether a report has shown this attempt on its machine. */
     var wasReported = false
-    var runningSince: Moment? = null
+    var runningSince: MonotonicTime? = null
         private set
     var stopReason: StopReason? = null
         private set
-    var startSentAt = Moment.NEVER
-    var stopSentAt = Moment.NEVER
+    var startSentAt = MonotonicTime.NEVER
+    var stopSentAt = MonotonicTime.NEVER
 
     /** Not to be started before; set after failures. */
-    var notBefore = Moment.NEVER
+    var notBefore = MonotonicTime.NEVER
     val avoid = HashSet<MachineName>()
 
     /** Why it was not started when that was last looked at. */
@@ -105,7 +105,7 @@
             RunState.MISSING, RunState.WAITING, RunState.DONE, RunState.GONE -> false
         }
 
-    fun moveTo(next: RunState, why: String, now: Moment) {
+    fun moveTo(next: RunState, why: String, now: MonotonicTime) {
         if (next == state) return
         log.debug("{} {} -> {} on {}: {}", task, state, next, machine?.name, why)
         if (next == RunState.RUNNING && runningSince == null) runningSince = now
@@ -123,15 +123,15 @@
         yieldsTo = null
         wasReported = false
         runningSince = null
-        startSentAt = Moment.NEVER
-        stopSentAt = Moment.NEVER
+        startSentAt = MonotonicTime.NEVER
+        stopSentAt = MonotonicTime.NEVER
     }
 
     /** Bound as it is, it has to be started once more under the same attempt. */
-    fun startAgain(now: Moment) {
+    fun startAgain(now: MonotonicTime) {
         wasReported = false
         runningSince = null
-        startSentAt = Moment.NEVER
+        startSentAt = MonotonicTime.NEVER
         if (state != RunState.STOPPING) moveTo(RunState.STARTING, "its machine began anew", now)
     }
 
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -2,8 +2,8 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.TaskId
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
+import copperglade.storage.TaskRange
 
 /**
  * The runs of a shard, by task and, where that is asked for all the time, by state. With hundreds of runs on a hundred
@@ -24,7 +24,7 @@
     fun of(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
 
     /** The runs of the tasks on one page of a job's records: outcomes are written page by page. */
-    fun of(place: JobPage): Collection<Run> = byJob[place.job]?.get(place.page)?.values.orEmpty()
+    fun of(place: TaskRange): Collection<Run> = byJob[place.job]?.get(place.page)?.values.orEmpty()
 
     fun add(run: Run) {
         val pages = byJob.getOrPut(run.task.job) { HashMap() }
@@ -41,7 +41,7 @@
         if (pages.isEmpty()) byJob.remove(run.task.job)
     }
 
-    private fun pageOf(task: TaskId) = task.index / Keys.PAGE_TASKS
+    private fun pageOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
 
     /** To be told of every change of a run's state. */
     fun moved(run: Run) {
--- a/src/main/kotlin/copperglade/tasks/ShardState.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardState.kt
@@ -1,10 +1,10 @@
 package copperglade.tasks
 
 import copperglade.protocol.Attempt
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.MachineName
 import copperglade.protocol.Resources
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 
 /**
--- a/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
@@ -1,6 +1,6 @@
 package copperglade.transport
 
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import io.netty.channel.EventLoopGroup
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.SelectStrategy
@@ -16,12 +16,12 @@
 /**
  * Lets messages gather under load, so that one look finds several. Waking up costs a small machine more than most messages
  * do: with some 300 messages a second to each controller, one at a time, a fleet day didn't end within its processor
- * time. The more a look finds, the later the next one, up to [LONGEST_PAUSE]; timers are late by no more than that. Where
+ * time. The more a look finds, the later the next one, up to [MAX_PAUSE]; timers are late by no more than that. Where
  * messages come one by one, none of them waits.
  */
 private class GatheringSelectStrategy : SelectStrategy {
-    private var pause = SHORTEST_PAUSE
-    private var lastLook = System.nanoTime() - LONGEST_PAUSE
+    private var pause = MIN_PAUSE
+    private var lastLook = System.nanoTime() - MAX_PAUSE
 
     override fun calculateStrategy(selectSupplier: IntSupplier, hasTasks: Boolean): Int {
         if (!hasTasks) {
@@ -31,14 +31,14 @@
         }
         val found = selectSupplier.get()
         if (hasTasks) return found
-        if (found >= MANY) pause = min(pause + pause / STEPS, LONGEST_PAUSE)
-        if (found < FEW) pause = max(pause - pause / STEPS, SHORTEST_PAUSE)
+        if (found >= MANY) pause = min(pause + pause / STEPS, MAX_PAUSE)
+        if (found < FEW) pause = max(pause - pause / STEPS, MIN_PAUSE)
         return if (found > 0) found else SelectStrategy.SELECT
     }
 
     private companion object {
-        const val SHORTEST_PAUSE = 3_000_000L
-        const val LONGEST_PAUSE = 25_000_000L
+        const val MIN_PAUSE = 3_000_000L
+        const val MAX_PAUSE = 25_000_000L
         const val STEPS = 8
         const val FEW = 2
         const val MANY = 3
@@ -50,7 +50,7 @@
     val group: EventLoopGroup =
         MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider()) { GatheringSelectStrategy() })
 
-    override fun now() = Moment(System.nanoTime() / NANOS_PER_MS)
+    override fun now() = MonotonicTime(System.nanoTime() / NANOS_PER_MS)
 
     override fun micros() = System.nanoTime() / NANOS_PER_MICRO
 
--- a/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
@@ -20,10 +20,10 @@
 import io.netty.handler.codec.http.HttpObjectAggregator
 import io.netty.handler.codec.http.HttpUtil
 import io.netty.handler.codec.http.HttpVersion
+import org.slf4j.LoggerFactory
 import java.util.concurrent.ScheduledFuture
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
-import org.slf4j.LoggerFactory
 
 /**
  * Keeps connections open and reuses them, one request at a time on each. A request that got no answer in time takes
@@ -40,7 +40,7 @@
      * A sixteenth of the heap: an answer is held several times over while it is read as a tree. A larger one counts as none; the
      * state service's changes after a long absence are the only answer without a bound.
      */
-    private val longestAnswer = (heapBytes / PART_OF_HEAP).coerceIn(SHORTEST_LIMIT, Int.MAX_VALUE.toLong()).toInt()
+    private val longestAnswer = (heapBytes / PART_OF_HEAP).coerceIn(MIN_LIMIT, Int.MAX_VALUE.toLong()).toInt()
 
     private val group = loop.group
     private val idle = HashMap<Endpoint, ArrayDeque<Exchange>>()
@@ -86,7 +86,7 @@
         idleConnections.add(exchange)
         // Machines come and go by the hundred, and one without power never closes its connection.
         while (true) {
-            val longest = idleConnections.longest(LONGEST_IDLE_NANOS) ?: break
+            val longest = idleConnections.longest(MAX_IDLE_NANOS) ?: break
             unlist(longest)
             longest.channel.close()
         }
@@ -228,8 +228,8 @@
 
     companion object {
         private const val PART_OF_HEAP = 16
-        private const val SHORTEST_LIMIT = 4L * 1024 * 1024
-        private const val LONGEST_IDLE_NANOS = 60_000_000_000L
+        private const val MIN_LIMIT = 4L * 1024 * 1024
+        private const val MAX_IDLE_NANOS = 60_000_000_000L
         private val log = LoggerFactory.getLogger("http.caller")
     }
 }
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -28,8 +28,8 @@
 import io.netty.handler.timeout.IdleState
 import io.netty.handler.timeout.IdleStateEvent
 import io.netty.handler.timeout.IdleStateHandler
-import java.net.InetSocketAddress
 import org.slf4j.LoggerFactory
+import java.net.InetSocketAddress
 
 /**
  * An HTTP/1.1 server on one address.
@@ -42,7 +42,7 @@
 class NettyHttpServer(
     private val loop: NettyEventLoop,
     private val connectionLimit: Int,
-    private val longestBody: Int = LONGEST_PROTOCOL_BODY,
+    private val longestBody: Int = MAX_PROTOCOL_BODY,
     private val handler: RequestHandler,
 ) {
     private var open = 0
@@ -83,13 +83,13 @@
         channel
             .pipeline()
             .addLast(IdleStateHandler(if (refused) REFUSED_IDLE_S else IDLE_S, 0, 0))
-            .addLast(HttpServerCodec(LONGEST_LINE, LONGEST_HEADERS, LONGEST_CHUNK))
+            .addLast(HttpServerCodec(MAX_LINE, MAX_HEADERS, MAX_CHUNK))
             .addLast(BoundedAggregator())
             .addLast(Conversation(refused))
     }
 
     private fun closeLongestIdle() {
-        val longest = idle.longest(SHORTEST_IDLE_NANOS) ?: return
+        val longest = idle.longest(MIN_IDLE_NANOS) ?: return
         idle.remove(longest)
         longest.close()
     }
@@ -153,16 +153,16 @@
 
         /** This part of the limit may be refused at a time. */
         private const val SPARE = 0.1
-        private const val LONGEST_LINE = 4096
-        private const val LONGEST_HEADERS = 8192
-        private const val LONGEST_CHUNK = 8192
+        private const val MAX_LINE = 4096
+        private const val MAX_HEADERS = 8192
+        private const val MAX_CHUNK = 8192
         private const val KIB = 1024
 
         /** By the protocol with users and workers. */
-        const val LONGEST_PROTOCOL_BODY = 64 * KIB
+        const val MAX_PROTOCOL_BODY = 64 * KIB
 
         /** A connection that has just been answered may bring its next request at once. */
-        private const val SHORTEST_IDLE_NANOS = 300_000_000L
+        private const val MIN_IDLE_NANOS = 300_000_000L
         private val log = LoggerFactory.getLogger("http.server")
 
         private fun response(reply: Reply, keep: Boolean): DefaultFullHttpResponse {
--- a/src/main/kotlin/copperglade/transport/Ports.kt
+++ b/src/main/kotlin/copperglade/transport/Ports.kt
@@ -1,12 +1,12 @@
 package copperglade.transport
 
 import copperglade.protocol.Endpoint
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import kotlin.time.Duration
 
 /** The steady clock. The only source of time for decisions, so that tests can turn it by hand. */
 interface Clock {
-    fun now(): Moment
+    fun now(): MonotonicTime
 
     /** The same clock, finer: for measuring how long something takes, never for decisions. */
     fun micros(): Long = now().ms * 1000
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -15,25 +15,23 @@
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
 import copperglade.sim.Simulation
 import copperglade.standin.StandInState
-import copperglade.storage.AssignmentPage
-import copperglade.storage.ShardRecord
-import copperglade.storage.JobPage
+import copperglade.storage.AssignmentRange
 import copperglade.storage.LeaderRecord
 import copperglade.storage.LiveRecord
 import copperglade.storage.MemberRecord
-import copperglade.storage.Ranges
+import copperglade.storage.OutcomeRecord
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
+import copperglade.storage.ShardRecord
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
-import copperglade.storage.WorkRecord
-import java.io.ByteArrayOutputStream
-import java.io.DataOutputStream
+import copperglade.storage.TaskIndexRanges
+import copperglade.storage.TaskRange
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -42,6 +40,8 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
+import java.io.ByteArrayOutputStream
+import java.io.DataOutputStream
 
 /**
  * The version in production and this one run side by side: each must read what the other has written, and write what the
@@ -98,7 +98,7 @@
     }
 
     private fun packedRecord(value: JsonNode, part: (JsonNode) -> ByteArray): ByteArray =
-        RecordCodec.encodePackedRecord(value.properties().associate { (name, node) -> JobPage.parse(name)!! to part(node) })
+        RecordCodec.encodePackedRecord(value.properties().associate { (name, node) -> TaskRange.parse(name)!! to part(node) })
 
     @Test
     fun `a live array with all optional fields`() {
@@ -188,13 +188,13 @@
     fun `an assignment that is recalled`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
         val page = RecordCodec.decodePage(sample.value.get("job-701/0"))
-        assertEquals("0-15", Ranges.format(page.recalled))
+        assertEquals("0-15", TaskIndexRanges.format(page.recalled))
         assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
         assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.frontier, page.version))
     }
 
-    private fun groups(page: AssignmentPage) =
-        page.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${Ranges.format(it.tasks)}" }
+    private fun groups(page: AssignmentRange) =
+        page.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${TaskIndexRanges.format(it.tasks)}" }
 
     @Test
     fun `packed records of work with done, returned and restarted tasks`() {
@@ -208,9 +208,11 @@
 
     private fun work(record: RecordSample, page: String) = RecordCodec.decodeWork(record.value.get(page))
 
-    private fun described(work: WorkRecord): String {
-        val returned = work.returned.mapValues { Ranges.format(it.value) }
-        return "done ${Ranges.format(work.done)}, returned $returned, restarted ${Ranges.format(work.restarted)}, version ${work.version}"
+    private fun described(work: OutcomeRecord): String {
+        val returned = work.returned.mapValues { TaskIndexRanges.format(it.value) }
+        return "done ${TaskIndexRanges.format(
+            work.done,
+        )}, returned $returned, restarted ${TaskIndexRanges.format(work.restarted)}, version ${work.version}"
     }
 
     @Test
@@ -269,7 +271,7 @@
         val status = peerStatus("note full machines to replace images yielding")
         assertEquals(MemberId("lorry-2"), status.member)
         assertEquals(Incarnation(2), status.incarnation)
-        assertEquals(Stamp(51), status.cursor)
+        assertEquals(Revision(51), status.knownRevision)
         assertEquals(458, status.stateSilentMs)
         assertFalse(status.isLeader)
         assertEquals(0.10845220000923077, status.writesWanted)
@@ -299,7 +301,7 @@
     @Test
     fun `brief statuses, and what the leader adds`() {
         val brief = peerStatus("note brief")
-        assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.cursor.toString()))
+        assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.knownRevision.toString()))
         assertEquals(emptyList<Any>(), brief.shards)
         assertFalse(brief.isLeader)
         assertTrue(peerStatus("note brief lead").isLeader)
@@ -314,7 +316,7 @@
         assertEquals("lorry-2", ProductionFiles.message("vouch").decodeToString())
         val bytes = ProductionFiles.message("cancelled")
         val cancellation = PeerWire.decodeCancelled(bytes)!!.single()
-        assertEquals(JobId("job-605") to Stamp(37), cancellation.job to cancellation.stamp)
+        assertEquals(JobId("job-605") to Revision(37), cancellation.job to cancellation.revision)
         assertArrayEquals(bytes, PeerWire.encodeCancelled(listOf(cancellation)))
     }
 
@@ -347,7 +349,7 @@
         }
         val status = PeerWire.decode(bytes.toByteArray())!!
         assertArrayEquals(bytes.toByteArray(), PeerWire.encode(status))
-        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.cursor.number, status.stateSilentMs))
+        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.knownRevision.number, status.stateSilentMs))
         assertEquals(listOf("z.1"), status.release.map { it.text })
         assertEquals(listOf("i-2"), status.retire.map { it.text })
         assertEquals(12.5, status.writesWanted)
@@ -412,7 +414,7 @@
                 .map { it.text }
                 .toSet() - live.keys,
         )
-        assertEquals("0-5", Ranges.format(replica.jobs.getValue(JobId("job-1")).done))
+        assertEquals("0-5", TaskIndexRanges.format(replica.jobs.getValue(JobId("job-1")).done))
         assertEquals(JobStatus.DONE, replica.endOf(JobId("job-1"))?.status)
         assertEquals(JobStatus.CANCELLED, replica.endOf(JobId("job-501"))?.status)
     }
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -152,7 +152,7 @@
             // The tree's text is what was sent, byte for byte.
             check("\"data\":$value" in text) { "$value is not in $text" }
             val kept = records.getOrPut(recordKind(key, value)) { ArrayList() }
-            if (kept.size < MOST_OF_A_KIND) kept += Record(key, value)
+            if (kept.size < MAX_PER_KIND) kept += Record(key, value)
         }
     }
 
@@ -187,7 +187,7 @@
     }
 
     private companion object {
-        const val MOST_OF_A_KIND = 1
+        const val MAX_PER_KIND = 1
     }
 }
 
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -1,7 +1,6 @@
 package copperglade.compat
 
 import copperglade.protocol.Attempt
-import copperglade.protocol.ShardName
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Command
 import copperglade.protocol.ExitCause
@@ -15,6 +14,7 @@
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Priority
 import copperglade.protocol.ReportedTaskState
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.protocol.UserWire
 import copperglade.protocol.WorkerWire
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a page is 256 tasks`() = assertEquals(256, Keys.PAGE_TASKS)
+    fun `a page is 256 tasks`() = assertEquals(256, Keys.TASKS_PER_RANGE)
 
     @Test
     fun `what a key names`() {
--- a/src/test/kotlin/copperglade/membership/PeerMessengerTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerMessengerTest.kt
@@ -1,18 +1,18 @@
 package copperglade.membership
 
-import copperglade.protocol.ShardName
-import copperglade.protocol.ShardCapacity
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Incarnation
 import copperglade.protocol.Json
-import copperglade.protocol.MachineName
 import copperglade.protocol.MachineAvailability
+import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardCapacity
+import copperglade.protocol.ShardName
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
 import copperglade.sim.Simulation
@@ -50,7 +50,7 @@
     private fun status() = PeerStatus(
         SELF,
         Incarnation(3),
-        Stamp(9),
+        Revision(9),
         12,
         isLeader = false,
         listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::room))),
--- a/src/test/kotlin/copperglade/membership/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessTest.kt
@@ -3,12 +3,12 @@
 import copperglade.controller.Controller
 import copperglade.settings.BadSetting
 import copperglade.settings.Tuning
-import java.util.Random
-import kotlin.time.Duration.Companion.milliseconds
-import kotlin.time.DurationUnit
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.Random
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.DurationUnit
 
 /** The age of knowledge and the workers' lease together stay below `cancel_s`, clocks included, or the settings are refused. */
 class StalenessTest {
--- a/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
+++ b/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
@@ -3,13 +3,13 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
 import copperglade.protocol.Resources
-import kotlin.math.sqrt
 import org.junit.jupiter.api.Assertions.assertArrayEquals
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotNull
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import kotlin.math.sqrt
 
 /** The paper's formulas, worked through by hand. */
 class RiskAssessmentTest {
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -2,7 +2,6 @@
 
 import copperglade.settings.BadSetting
 import copperglade.settings.PlatformSettings
-import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -11,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
+import java.util.Random
 
 class WireTest {
     private val job = """{"nameId":"job-7","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":3,"vcpus":1.0,
@@ -54,9 +54,9 @@
 
     @Test
     fun `cancellations survive their own wire form, and other bytes are none`() {
-        val sent = listOf(Cancellation(JobId("job-7"), Stamp(12)), Cancellation(JobId("job-000412"), Stamp(1L shl 40)))
+        val sent = listOf(Cancellation(JobId("job-7"), Revision(12)), Cancellation(JobId("job-000412"), Revision(1L shl 40)))
         val bytes = PeerWire.encodeCancelled(sent)
-        assertEquals(sent.map { it.job to it.stamp }, PeerWire.decodeCancelled(bytes)!!.map { it.job to it.stamp })
+        assertEquals(sent.map { it.job to it.revision }, PeerWire.decodeCancelled(bytes)!!.map { it.job to it.revision })
         val random = Random(2)
         repeat(2000) {
             val broken = bytes.copyOf(random.nextInt(bytes.size))
@@ -146,7 +146,7 @@
         val status = PeerStatus(
             MemberId("m"),
             Incarnation(3),
-            Stamp(9),
+            Revision(9),
             12,
             isLeader = true,
             listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(room))),
@@ -156,7 +156,7 @@
         )
         val bytes = PeerWire.encode(status)
         val again = PeerWire.decode(bytes)!!
-        assertEquals(status.cursor, again.cursor)
+        assertEquals(status.knownRevision, again.knownRevision)
         assertEquals(room.yielding, again.shards[0].machines[0].yielding)
         assertEquals(status.retire, again.retire)
         for (cut in 0 until bytes.size) assertNull(PeerWire.decode(bytes.copyOf(cut)))
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -2,7 +2,6 @@
 
 import copperglade.membership.RightToAct
 import copperglade.protocol.Attempt
-import copperglade.protocol.ShardName
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
@@ -13,6 +12,7 @@
 import copperglade.protocol.Report
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
+import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
@@ -20,21 +20,21 @@
 import copperglade.sim.Simulation
 import copperglade.standin.StandInState
 import copperglade.storage.AssignmentGroup
-import copperglade.storage.AssignmentPage
+import copperglade.storage.AssignmentRange
 import copperglade.storage.EndRecord
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
 import copperglade.storage.LiveRecord
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
-import java.util.BitSet
+import copperglade.storage.TaskRange
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.BitSet
 
 /** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
 class ActionGuardTest {
@@ -69,8 +69,8 @@
         state.put(Keys.over(over), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
         state.put(Keys.over(called), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
         val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
-        val page = RecordCodec.encode(AssignmentPage(listOf(group), BitSet(), 1, 1, 1))
-        state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(JobPage(cancelled, 0) to page)))
+        val page = RecordCodec.encode(AssignmentRange(listOf(group), BitSet(), 1, 1, 1))
+        state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(TaskRange(cancelled, 0) to page)))
         val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), AT, StateLimits(1e3, 1e3, 4.0, 12)))
         replica.start()
         sim.run(500.0)
--- a/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
@@ -1,11 +1,11 @@
 package copperglade.scheduling
 
 import copperglade.protocol.TeamName
-import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.Random
 
 class DeadlinePlanTest {
     /** How many of [order] are in time on a pool of one CPU. */
--- a/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
@@ -1,10 +1,10 @@
 package copperglade.settings
 
-import java.util.Properties
-import kotlin.time.Duration.Companion.seconds
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
+import java.util.Properties
+import kotlin.time.Duration.Companion.seconds
 
 class OperatorPropertiesTest {
     private fun parse(vararg entries: Pair<String, String>) =
--- a/src/test/kotlin/copperglade/shards/ShardMapTest.kt
+++ b/src/test/kotlin/copperglade/shards/ShardMapTest.kt
@@ -1,7 +1,7 @@
 package copperglade.shards
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.MachineName
+import copperglade.protocol.ShardName
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/copperglade/sim/CatchUpTest.kt
+++ b/src/test/kotlin/copperglade/sim/CatchUpTest.kt
@@ -19,7 +19,7 @@
         run(35.0)
         var refused = 0
         network.tamperAnswer = { passage, request, reply ->
-            val tooLarge = passage.to == "lorry-$node" && request.path.startsWith("/changes") && reply.body.size > LONGEST_ANSWER
+            val tooLarge = passage.to == "lorry-$node" && request.path.startsWith("/changes") && reply.body.size > MAX_ANSWER
             if (tooLarge) refused++
             if (tooLarge) Reply(GATEWAY_TIMEOUT) else reply
         }
@@ -40,7 +40,7 @@
     }
 
     private companion object {
-        const val LONGEST_ANSWER = 8_000
+        const val MAX_ANSWER = 8_000
         const val GATEWAY_TIMEOUT = 504
     }
 }
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -1,41 +1,41 @@
 package copperglade.sim
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.Json
+import copperglade.protocol.ShardName
 import copperglade.protocol.long
 import copperglade.protocol.obj
 import copperglade.storage.AssignmentGroup
-import copperglade.storage.AssignmentPage
-import copperglade.storage.JobPage
+import copperglade.storage.AssignmentRange
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
+import copperglade.storage.TaskRange
 import copperglade.transport.Method
 import copperglade.transport.Request
-import java.util.BitSet
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.BitSet
 
 /** What an owner does with assignments that no leader of this version writes, as one that ignores dependencies would. */
 class EarlierLeaderTest {
-    private fun SimSite.stampOf(key: String): Long {
-        var stamp = 0L
-        state.handle(Request(Method.GET, "/kv/$key")) { stamp = Json.read(it.body)!!.long("stamp")!! }
-        return stamp
+    private fun SimSite.revisionOf(key: String): Long {
+        var revision = 0L
+        state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.long("stamp")!! }
+        return revision
     }
 
     /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
     private fun SimSite.assignEverywhere(job: JobId) {
         val shards = state.keys("${Keys.NOW}block/")
         val groups = shards.mapIndexed { task, key ->
-            val token = FencingToken(stampOf(key))
+            val token = FencingToken(revisionOf(key))
             AssignmentGroup(ShardName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
         }
-        val page = AssignmentPage(groups, BitSet(), 1, shards.size, 1)
-        val record = RecordCodec.encodePackedRecord(mapOf(JobPage(job, 0) to RecordCodec.encode(page)))
+        val page = AssignmentRange(groups, BitSet(), 1, shards.size, 1)
+        val record = RecordCodec.encodePackedRecord(mapOf(TaskRange(job, 0) to RecordCodec.encode(page)))
         val body = Json.write {
             obj {
                 writeArrayFieldStart("writes")
--- a/src/test/kotlin/copperglade/sim/FaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FaultsTest.kt
@@ -1,10 +1,10 @@
 package copperglade.sim
 
 import copperglade.protocol.JobId
-import java.util.stream.LongStream
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
+import java.util.stream.LongStream
 
 /**
  * Decisions that end in a fault midway, as where memory runs out: at any point, in any controller, while jobs wait for each
@@ -31,9 +31,9 @@
         site.run(15.0)
         var faults = 0
         repeat(FAULTS) {
-            site.injectFault(random.nextInt(site.nodes), random.nextInt(MOST_READINGS))
+            site.injectFault(random.nextInt(site.nodes), random.nextInt(MAX_READINGS))
             faults++
-            site.run(FAULT_PACE_S)
+            site.run(FAULT_INTERVAL_S)
         }
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
         site.assertKept(240.0)
@@ -53,7 +53,7 @@
         site.onReadingsOf(CANCELLED_MARK) { node ->
             if (random.nextInt(FAULT_ONE_IN) == 0) {
                 faults++
-                site.injectFault(node, random.nextInt(READINGS_OF_A_TURN))
+                site.injectFault(node, random.nextInt(READINGS_PER_TURN))
             }
         }
         val cancelled = (0 until JOBS).filter { it % 4 == 1 || JobId("job-$it").isMistaken() }
@@ -124,7 +124,7 @@
         val faulty = HashSet<Int>()
         site.fails = { task, _ -> task.job.isMistaken() }
         site.onReadingsOf(CANCELLED_MARK) { node ->
-            if (random.nextInt(FAULT_ONE_IN) == 0 && faulty.add(node)) site.injectFault(node, random.nextInt(READINGS_OF_A_SMALL_TURN))
+            if (random.nextInt(FAULT_ONE_IN) == 0 && faulty.add(node)) site.injectFault(node, random.nextInt(READINGS_PER_SMALL_TURN))
         }
         repeat(JOBS) { number ->
             val tasks = if (JobId("job-$number").isMistaken()) 1 else 6
@@ -157,12 +157,12 @@
         const val CANCELLED_MARK = "\"cancelled\":true"
         const val OUTCOME_RECORD = "cg/now/work/"
         const val JOBS = 40
-        const val READINGS_OF_A_SMALL_TURN = 5
-        const val READINGS_OF_A_TURN = 25
+        const val READINGS_PER_SMALL_TURN = 5
+        const val READINGS_PER_TURN = 25
         const val FAULT_ONE_IN = 3
         const val FAULTS = 12
-        const val MOST_READINGS = 600
-        const val FAULT_PACE_S = 6.0
+        const val MAX_READINGS = 600
+        const val FAULT_INTERVAL_S = 6.0
 
         @JvmStatic
         fun anywhereSeeds(): LongStream = LongStream.range(7000, 7020)
--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
@@ -1,10 +1,10 @@
 package copperglade.sim
 
 import copperglade.protocol.JobId
-import java.util.stream.LongStream
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
+import java.util.stream.LongStream
 
 /** Two or three troubles at once, by seed, four times a day, while users submit, ask and cancel. */
 class MixedTroublesTest {
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -44,7 +44,7 @@
         }
         assertEquals(48, site.runningTasks().size)
         assertTrue(lostReplicaS > 0.0, "no lease ran out")
-        assertTrue(lostReplicaS < MOST_LOST_REPLICA_S, "$lostReplicaS s of replicas were lost")
+        assertTrue(lostReplicaS < MAX_LOST_REPLICA_S, "$lostReplicaS s of replicas were lost")
         site.assertKept()
     }
 
@@ -90,6 +90,6 @@
         const val RETURN_MS = 12_000.0
 
         /** Seconds in which one replica doesn't run, all added up. */
-        const val MOST_LOST_REPLICA_S = 205.0
+        const val MAX_LOST_REPLICA_S = 205.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -1,7 +1,7 @@
 package copperglade.sim
 
 import copperglade.protocol.Endpoint
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
 import copperglade.transport.Reply
@@ -61,9 +61,9 @@
         if (faultIn >= 0 && faultIn-- == 0) throw OutOfMemoryError("injected")
     }
 
-    override fun now(): Moment {
+    override fun now(): MonotonicTime {
         mayFail()
-        return Moment(clockMs().toLong())
+        return MonotonicTime(clockMs().toLong())
     }
 
     /** How the process takes a fault in one of its decisions. By default it comes out, and the test fails. */
--- a/src/test/kotlin/copperglade/soak/ControllerProcess.kt
+++ b/src/test/kotlin/copperglade/soak/ControllerProcess.kt
@@ -38,7 +38,7 @@
 
     fun kill() {
         ending = true
-        process?.destroyForcibly()?.waitFor(LONGEST_END_S, TimeUnit.SECONDS)
+        process?.destroyForcibly()?.waitFor(MAX_END_S, TimeUnit.SECONDS)
     }
 
     /** Stops it where it stands, its clocks running on. */
@@ -54,7 +54,7 @@
 
     companion object {
         const val LOG_LEVEL_PROPERTY = "soak.log"
-        private const val LONGEST_END_S = 5L
+        private const val MAX_END_S = 5L
 
         /** The start command of `deploy/service.toml`, with another heap where one is asked for. */
         fun startCommand(repository: Path, heapMb: Int?): List<String> {
--- a/src/test/kotlin/copperglade/soak/SoakRun.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRun.kt
@@ -66,7 +66,7 @@
                     }
                 }
             }
-            Thread.sleep(HEALTH_PACE_MS)
+            Thread.sleep(HEALTH_INTERVAL_MS)
             if (healthy.get() == options.nodes) return true
         }
         return false
@@ -95,8 +95,8 @@
 
     private fun awaitCalm(site: SoakSite) {
         val began = System.nanoTime()
-        Thread.sleep(SHORTEST_CALM_MS)
-        while (System.nanoTime() - began < LONGEST_CALM_MS * NANOS_PER_MS &&
+        Thread.sleep(MIN_CALM_MS)
+        while (System.nanoTime() - began < MAX_CALM_MS * NANOS_PER_MS &&
             site.onLoop { site.referee.unfinished().isNotEmpty() }
         ) {
             Thread.sleep(TICK_MS)
@@ -109,7 +109,7 @@
         val fault = site.fault
         return when {
             fault != null -> result(site, schedule, Verdict.INCONCLUSIVE, "the harness itself failed: $fault")
-            longestStallMs > LONGEST_STALL_MS -> result(
+            longestStallMs > MAX_STALL_MS -> result(
                 site,
                 schedule,
                 Verdict.INCONCLUSIVE,
@@ -160,11 +160,11 @@
         const val TICK_MS = 200L
         const val SETTLING_MS = 5_000L
         const val LAST_TROUBLE_MS = 4_000L
-        const val SHORTEST_CALM_MS = 18_000L
-        const val LONGEST_CALM_MS = 100_000L
-        const val LONGEST_STALL_MS = 1_200L
+        const val MIN_CALM_MS = 18_000L
+        const val MAX_CALM_MS = 100_000L
+        const val MAX_STALL_MS = 1_200L
         const val HEALTH_TRIES = 30
-        const val HEALTH_PACE_MS = 700L
+        const val HEALTH_INTERVAL_MS = 700L
         const val SHOWN = 6
     }
 }
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -84,7 +84,7 @@
         override fun spec(task: TaskId) = referee.jobs[task.job]?.spec?.takeIf { task.index < it.tasks }
 
         override fun workS(task: TaskId) =
-            if (spec(task)?.kind == JobKind.ARRAY) workSeconds.getOrPut(task) { SHORTEST_WORK_S + random.nextDouble() * WORK_S } else null
+            if (spec(task)?.kind == JobKind.ARRAY) workSeconds.getOrPut(task) { MIN_WORK_S + random.nextDouble() * WORK_S } else null
 
         override fun started(worker: StandInWorker, task: TaskId) = referee.started(task, placeOf(worker))
 
@@ -115,11 +115,11 @@
     fun <T> onLoop(action: () -> T): T {
         val done = CompletableFuture<T>()
         loop.after(Duration.ZERO) { done.complete(action()) }
-        return done.get(LONGEST_TURN_S, TimeUnit.SECONDS)
+        return done.get(MAX_TURN_S, TimeUnit.SECONDS)
     }
 
     private fun listen(handler: () -> RequestHandler): Endpoint =
-        NettyHttpServer(loop, CONNECTIONS, LONGEST_BODY, handler()).listen(Endpoint(HOST, 0))
+        NettyHttpServer(loop, CONNECTIONS, MAX_BODY, handler()).listen(Endpoint(HOST, 0))
 
     private fun place(from: Int, to: String, handler: RequestHandler) = listen { network.link(name(from), to, handler) }
 
@@ -249,12 +249,12 @@
         private const val STATE_RPS = 200.0
         private const val STATE_WRITE_RPS = 50.0
         private const val FETCH_GB_PER_S = 3.0
-        private const val SHORTEST_WORK_S = 0.5
+        private const val MIN_WORK_S = 0.5
         private const val WORK_S = 8.0
         private const val SPARE_PART = 4
         private const val CONNECTIONS = 4_000
-        private const val LONGEST_BODY = 16 * 1024 * 1024
-        private const val LONGEST_TURN_S = 30L
+        private const val MAX_BODY = 16 * 1024 * 1024
+        private const val MAX_TURN_S = 30L
         private val PEER_TIMEOUT = 5.seconds
         private val USER_TIMEOUT = 5.seconds
         private val OWN_END_PAUSE = 1.seconds
--- a/src/test/kotlin/copperglade/soak/SoakTroubles.kt
+++ b/src/test/kotlin/copperglade/soak/SoakTroubles.kt
@@ -139,11 +139,11 @@
     /** Waves of two or three troubles at once, within [lengthMs]. */
     fun schedule(random: java.util.Random, lengthMs: Int): List<Scheduled> = (0 until lengthMs step WAVE_MS).flatMap { wave ->
         all.shuffled(random).take(2 + random.nextInt(2)).map { trouble ->
-            Scheduled(wave + random.nextInt(WAVE_MS / 3), trouble, SHORTEST_MS + random.nextInt(LONGEST_MS - SHORTEST_MS))
+            Scheduled(wave + random.nextInt(WAVE_MS / 3), trouble, MIN_MS + random.nextInt(MAX_MS - MIN_MS))
         }
     }
 
     private const val WAVE_MS = 8_000
-    private const val SHORTEST_MS = 1_500
-    private const val LONGEST_MS = 9_000
+    private const val MIN_MS = 1_500
+    private const val MAX_MS = 9_000
 }
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -25,8 +25,8 @@
         if (!submitting) return
         submit()
         if (random.nextInt(ODD_ONE_IN) == 0) sendOdd()
-        val pace = maxOf(SHORTEST_PACE_MS, USUAL_PACE_MS * USUAL_WORKERS / site.options.workers)
-        site.loop.after(pace.milliseconds) { submitNext() }
+        val interval = maxOf(MIN_INTERVAL_MS, USUAL_INTERVAL_MS * USUAL_WORKERS / site.options.workers)
+        site.loop.after(interval.milliseconds) { submitNext() }
     }
 
     private fun submit() {
@@ -58,7 +58,7 @@
                 HttpStatus.OK, HttpStatus.CREATED -> {
                     if (!job.accepted) {
                         referee.accepted(id)
-                        site.loop.after(ASK_PACE) { ask(id) }
+                        site.loop.after(ASK_INTERVAL) { ask(id) }
                         // Looked at closely, right after it was accepted.
                         repeat(site.options.nodes) { askOnce(id, it) }
                     }
@@ -73,7 +73,7 @@
     private fun ask(id: JobId) {
         askOnce(id, anyNode())
         val job = referee.jobs.getValue(id)
-        site.loop.after(if (job.finished) ASK_FINISHED_PACE else ASK_PACE) { ask(id) }
+        site.loop.after(if (job.finished) ASK_FINISHED_INTERVAL else ASK_INTERVAL) { ask(id) }
     }
 
     fun askOnce(id: JobId, node: Int) {
@@ -127,9 +127,9 @@
     }
 
     private companion object {
-        const val USUAL_PACE_MS = 400
+        const val USUAL_INTERVAL_MS = 400
         const val USUAL_WORKERS = 12
-        const val SHORTEST_PACE_MS = 120
+        const val MIN_INTERVAL_MS = 120
         const val SERVICE_ONE_IN = 12
         const val CANCEL_ONE_IN = 5
         const val REPEAT_ONE_IN = 10
@@ -138,7 +138,7 @@
         const val LATEST_CANCEL_MS = 12_000
         const val ODD_FROM = 500_000
         val RETRY = 1.seconds
-        val ASK_PACE = 1.seconds
-        val ASK_FINISHED_PACE = 5.seconds
+        val ASK_INTERVAL = 1.seconds
+        val ASK_FINISHED_INTERVAL = 5.seconds
     }
 }
--- a/src/test/kotlin/copperglade/standin/StandInCloud.kt
+++ b/src/test/kotlin/copperglade/standin/StandInCloud.kt
@@ -1,7 +1,7 @@
 package copperglade.standin
 
 import copperglade.protocol.Json
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.array
 import copperglade.protocol.flag
 import copperglade.protocol.long
@@ -40,7 +40,7 @@
         val type: CloudType,
         val zone: String,
         val spot: Boolean,
-        val at: Moment,
+        val at: MonotonicTime,
     ) {
         var up = false
         var gone = false
--- a/src/test/kotlin/copperglade/standin/StandInState.kt
+++ b/src/test/kotlin/copperglade/standin/StandInState.kt
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.Json
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.array
 import copperglade.protocol.long
 import copperglade.protocol.obj
@@ -36,21 +36,21 @@
 
 /** The state service, written from the protocol: plain and slow. */
 class StandInState(private val loop: EventLoop) : RequestHandler {
-    private class Value(val data: JsonNode, val stamp: Long, val leaseId: Long?)
+    private class Value(val data: JsonNode, val revision: Long, val leaseId: Long?)
 
-    private class Event(val key: String, val data: JsonNode?, val stamp: Long)
+    private class Event(val key: String, val data: JsonNode?, val revision: Long)
 
-    private class Lease(val ttlMs: Long, var until: Moment)
+    private class Lease(val ttlMs: Long, var until: MonotonicTime)
 
-    private class Watcher(val prefix: String, val from: Long, val until: Moment, val responder: Responder)
+    private class Watcher(val prefix: String, val from: Long, val until: MonotonicTime, val responder: Responder)
 
     private val values = TreeMap<String, Value>()
     private val events = ArrayDeque<Event>()
     private val leases = HashMap<Long, Lease>()
     private val watchers = ArrayList<Watcher>()
-    private var ledger = 1L
+    private var storeRevision = 1L
     private var lastLeaseId = 0L
-    private var outageBegan: Moment? = null
+    private var outageBegan: MonotonicTime? = null
 
     /** Null: there are none. May be changed at any time; what is stored stays. */
     var limits: ServiceLimits? = null
@@ -88,7 +88,7 @@
 
     /** Puts a value there as from an earlier day. */
     fun put(key: String, value: ByteArray) {
-        values[key] = Value(Json.read(value)!!, ledger, null)
+        values[key] = Value(Json.read(value)!!, storeRevision, null)
     }
 
     /** The value of [key] as text, or null. */
@@ -112,13 +112,13 @@
         leases.remove(leaseId) ?: return
         val attached = values.filterValues { it.leaseId == leaseId }.keys.toList()
         if (attached.isNotEmpty()) {
-            ledger++
+            storeRevision++
             attached.forEach(::drop)
         }
     }
 
     private fun drop(key: String) {
-        if (values.remove(key) != null) event(Event(key, null, ledger))
+        if (values.remove(key) != null) event(Event(key, null, storeRevision))
     }
 
     private fun event(event: Event) {
@@ -168,7 +168,7 @@
     }
 
     private fun get(key: String): Reply {
-        val value = values[key] ?: return Reply(404, Json.write { obj { writeNumberField("ledger", ledger) } })
+        val value = values[key] ?: return Reply(404, Json.write { obj { writeNumberField("ledger", storeRevision) } })
         return Reply(200, Json.write { obj { entry(key, value) } })
     }
 
@@ -176,7 +176,7 @@
         writeStringField("k", key)
         writeFieldName("data")
         writeRawValue(value.data.toString())
-        writeNumberField("stamp", value.stamp)
+        writeNumberField("stamp", value.revision)
     }
 
     private fun list(query: Map<String, String>): Reply {
@@ -193,7 +193,7 @@
                 obj {
                     array("entries") { all.take(limit).forEach { obj { entry(it.key, it.value) } } }
                     writeBooleanField("truncated", all.size > limit)
-                    writeNumberField("ledger", ledger)
+                    writeNumberField("ledger", storeRevision)
                 }
             },
         )
@@ -206,31 +206,31 @@
         if (writes.any { write -> write.long("permit")?.let { it !in leases } == true }) {
             return Reply(400, Json.write { obj { writeStringField("error", "no such lease") } })
         }
-        val failed = conditions.filter { (values[it.text("k")]?.stamp ?: 0L) != it.long("stamp") }
+        val failed = conditions.filter { (values[it.text("k")]?.revision ?: 0L) != it.long("stamp") }
         if (failed.isNotEmpty()) {
             return Reply(
                 409,
                 Json.write {
                     obj {
                         array("failed") { failed.forEach { writeString(it.text("k")) } }
-                        writeNumberField("ledger", ledger)
+                        writeNumberField("ledger", storeRevision)
                     }
                 },
             )
         }
         applied++
-        if (writes.isNotEmpty()) ledger++
+        if (writes.isNotEmpty()) storeRevision++
         for (write in writes) {
             val dropped = write.text("drop")
             if (dropped != null) {
                 drop(dropped)
             } else {
                 val key = write.text("set")!!
-                values[key] = Value(write.get("data"), ledger, write.long("permit"))
-                event(Event(key, write.get("data"), ledger))
+                values[key] = Value(write.get("data"), storeRevision, write.long("permit"))
+                event(Event(key, write.get("data"), storeRevision))
             }
         }
-        return Reply(200, Json.write { obj { writeNumberField("ledger", ledger) } })
+        return Reply(200, Json.write { obj { writeNumberField("ledger", storeRevision) } })
     }
 
     /** The refusal of a transaction that is beyond the limits, counted; null where it is within them. */
@@ -247,7 +247,7 @@
         when {
             largest > limits.valueBytes -> limitRefusals.largeValues++
             writes.size > limits.transactionWrites -> limitRefusals.manyWrites++
-            conditions.size > limits.transactionWrites * CONDITIONS_A_WRITE -> limitRefusals.manyConditions++
+            conditions.size > limits.transactionWrites * CONDITIONS_PER_WRITE -> limitRefusals.manyConditions++
             budget.available(loop.now()) < writes.size -> {
                 limitRefusals.overRate++
                 return Reply(429)
@@ -262,7 +262,7 @@
 
     private fun watch(query: Map<String, String>, responder: Responder) {
         val from = query["from"]!!.toLong()
-        if (events.isNotEmpty() && events.first().stamp > from + 1 &&
+        if (events.isNotEmpty() && events.first().revision > from + 1 &&
             events.size >= KEPT
         ) {
             return responder.send(Reply(410))
@@ -277,7 +277,7 @@
             val news = events
                 .asReversed()
                 .asSequence()
-                .takeWhile { it.stamp > watcher.from }
+                .takeWhile { it.revision > watcher.from }
                 .filter { it.key.startsWith(watcher.prefix) }
                 .toList()
                 .asReversed()
@@ -285,7 +285,7 @@
             watchers -= watcher
             val body = Json.write {
                 obj {
-                    writeNumberField("ledger", ledger)
+                    writeNumberField("ledger", storeRevision)
                     array("events") {
                         for (event in news) {
                             obj {
@@ -296,7 +296,7 @@
                                     writeFieldName("data")
                                     writeRawValue(event.data.toString())
                                 }
-                                writeNumberField("stamp", event.stamp)
+                                writeNumberField("stamp", event.revision)
                             }
                         }
                     }
@@ -309,7 +309,7 @@
     private companion object {
         const val KEPT = 10_000
         const val PAGE = 1000
-        const val CONDITIONS_A_WRITE = 4
+        const val CONDITIONS_PER_WRITE = 4
         const val CHANGE_BURST_S = 1.0
         val TICK = 20.milliseconds
     }
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.long
@@ -69,13 +69,13 @@
     var session = 1L
         private set
     private var sessionBegan = loop.now()
-    private var answeredSentAt: Moment? = null
+    private var answeredSentAt: MonotonicTime? = null
     private var tally = 0L
     private var fencingToken = 0L
     private var target = 0
     val reportsTo: Int get() = target
     private var reporting = false
-    private var lastReport = Moment.NEVER
+    private var lastReport = MonotonicTime.NEVER
     private var changed = true
     var alive = true
         private set
@@ -235,18 +235,18 @@
 
     private fun begin(task: TaskId, attempt: Long) {
         val spec = world.spec(task) ?: return
-        val fresh = HeldTask(task, attempt, spec)
+        val readFresh = HeldTask(task, attempt, spec)
         val busy = held.any { it.task == task && it.state != State.EXITED }
         val used = held.filter { it.state != State.EXITED }.sumOf { it.spec.request.cpus }
-        held += fresh
+        held += readFresh
         when {
-            busy -> exit(fresh, "busy")
-            used + spec.request.cpus > cpus + 1e-6 -> exit(fresh, "full")
-            spec.image.name.text in images -> run(fresh)
+            busy -> exit(readFresh, "busy")
+            used + spec.request.cpus > cpus + 1e-6 -> exit(readFresh, "full")
+            spec.image.name.text in images -> run(readFresh)
             else -> loop.after((spec.image.gb / fetchGbPerS).seconds) {
-                if (fresh in held && fresh.state == State.FETCHING) {
+                if (readFresh in held && readFresh.state == State.FETCHING) {
                     images += spec.image.name.text
-                    run(fresh)
+                    run(readFresh)
                 }
             }
         }
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -4,15 +4,15 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Priority
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.sim.SimSite
-import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
+import java.util.Random
 
 /** The dependency graph against [PipelineModel], and what a plain model has no notion of: marks learned early, lost end records. */
 class DependencyGraphTest {
@@ -20,12 +20,12 @@
     private class Records(private val runS: Double = 0.0) {
         val jobs = HashMap<JobId, Job>()
         val ends = HashMap<JobId, EndRecord>()
-        var cursor = Stamp(1)
-        val graph = DependencyGraph(jobs, ends::get, { cursor }, { 0L }) { runS }
+        var knownRevision = Revision(1)
+        val graph = DependencyGraph(jobs, ends::get, { knownRevision }, { 0L }) { runS }
 
         fun accept(job: PipelineJob) {
             val spec = specOf(job)
-            jobs.getOrPut(job.id) { Job(job.id) }.live = Stamped(LiveRecord(spec, 0, cancelled = false, job.awaits.toList()), next())
+            jobs.getOrPut(job.id) { Job(job.id) }.live = StoredRecord(LiveRecord(spec, 0, cancelled = false, job.awaits.toList()), next())
             graph.update(listOf(job.id))
         }
 
@@ -36,8 +36,8 @@
 
         fun mark(id: JobId, known: Boolean = true) {
             val live = jobs[id]?.live ?: return
-            val stamp = if (known) next() else Stamp(cursor.number + 1)
-            jobs.getValue(id).live = Stamped(live.value.withCancelledMark(), stamp)
+            val revision = if (known) next() else Revision(knownRevision.number + 1)
+            jobs.getValue(id).live = StoredRecord(live.value.withCancelledMark(), revision)
             graph.update(listOf(id))
         }
 
@@ -67,9 +67,9 @@
             graph.rebuild()
         }
 
-        private fun next(): Stamp {
-            cursor = Stamp(cursor.number + 1)
-            return cursor
+        private fun next(): Revision {
+            knownRevision = Revision(knownRevision.number + 1)
+            return knownRevision
         }
 
         private fun specOf(job: PipelineJob): JobSpec =
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -1,9 +1,9 @@
 package copperglade.storage
 
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 
 /** One transaction of the former version: the packed records it writes, and the pages that it changes. */
-class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val places: Set<JobPage>)
+class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val places: Set<TaskRange>)
 
 /**
  * The packer of the version that knows no announced limits, as it was: it moves a page by rewriting both packed
@@ -35,11 +35,11 @@
      * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
      * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
-    private val busyPages = HashSet<JobPage>()
+    private val busyPages = HashSet<TaskRange>()
 
     private inner class Draft(val key: String) {
-        val parts = LinkedHashMap<JobPage, ByteArray>()
-        val changed = HashSet<JobPage>()
+        val parts = LinkedHashMap<TaskRange, ByteArray>()
+        val changed = HashSet<TaskRange>()
         var bytes = BYTES_AROUND
 
         init {
@@ -49,26 +49,26 @@
             }
         }
 
-        fun put(place: JobPage, part: ByteArray) {
+        fun put(place: TaskRange, part: ByteArray) {
             remove(place)
             parts[place] = part
             bytes += sizeOf(place, part.size)
         }
 
-        fun remove(place: JobPage) {
+        fun remove(place: TaskRange) {
             parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
         }
 
-        fun condition() = Condition(key, replica.packedRecords[key]?.stamp ?: Stamp.ABSENT)
+        fun condition() = Condition(key, replica.packedRecords[key]?.revision ?: Revision.ABSENT)
 
         fun write() = Write.Set(key, RecordCodec.encodePackedRecord(parts))
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = JobPage(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
+    fun ready(job: Job, page: Int): Boolean = TaskRange(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
 
     /** The writes that bring about [changes]; those of packed records under way are left out. In order of the changes. */
-    fun pack(changes: Map<JobPage, ByteArray>): List<FormerPackedWrite> {
+    fun pack(changes: Map<TaskRange, ByteArray>): List<FormerPackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         val moved = HashMap<String, MutableList<Draft>>()
         for ((place, part) in changes) {
@@ -95,16 +95,16 @@
     }
 
     /**
-     * Writes the first of [write]'s packed records as it is, only to change its stamp: a late copy of [write] dies of that.
+     * Writes the first of [write]'s packed records as it is, only to change its revision: a late copy of [write] dies of that.
      */
     fun same(write: FormerPackedWrite): FormerPackedWrite {
         val draft = Draft(write.writes.first().key)
         return FormerPackedWrite(listOf(draft.condition()), listOf(draft.write()), emptySet())
     }
 
-    private fun fits(bytes: Int, place: JobPage, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+    private fun fits(bytes: Int, place: TaskRange, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
 
-    private fun recordWithRoom(place: JobPage, part: ByteArray, taken: Map<String, Draft>): Draft {
+    private fun recordWithRoom(place: TaskRange, part: ByteArray, taken: Map<String, Draft>): Draft {
         val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), place, part)
         }
@@ -127,7 +127,7 @@
         return sum
     }
 
-    private fun sizeOf(place: JobPage, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
+    private fun sizeOf(place: TaskRange, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
 
     fun begin(write: FormerPackedWrite) {
         write.writes.forEach { busy += it.key }
--- a/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
@@ -2,12 +2,12 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.Priority
-import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.Random
 
 /** The model by which the real class is judged. */
 class PipelineModelTest {
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -1,25 +1,25 @@
 package copperglade.storage
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
 import copperglade.sim.SimSite
 import copperglade.sim.Simulation
 import copperglade.standin.ServiceLimits
 import copperglade.standin.StandInState
-import java.util.BitSet
-import kotlin.time.Duration.Companion.milliseconds
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
+import java.util.BitSet
+import kotlin.time.Duration.Companion.milliseconds
 
 /** Packed records against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
 class RecordPackerTest {
@@ -38,8 +38,9 @@
         private val store = StateClient(loop, network.callerOf("writer", loop), AT, limits)
         val replica = Replica(loop, store).also { it.start() }
         private var packer = packer()
-        private val unresolvedWrites = UnresolvedWrites(loop, store, replica, Urgency.ASSIGNMENT) { Condition("cg/now/none", Stamp.ABSENT) }
-        val model = HashMap<JobPage, String>()
+        private val unresolvedWrites =
+            UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { Condition("cg/now/none", Revision.ABSENT) }
+        val model = HashMap<TaskRange, String>()
         val late get() = network.lateWrites
 
         init {
@@ -70,7 +71,10 @@
 
         private fun put(key: String, value: ByteArray) {
             val transaction = Transaction(emptyList(), listOf(Write.Set(key, value)))
-            store.commit(Urgency.LEASE, transaction) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.stamp) }
+            store.commit(
+                WritePriority.LEASE,
+                transaction,
+            ) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.revision) }
         }
 
         private val former = FormerRecordPacker(
@@ -88,10 +92,10 @@
             for (packedWrite in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
                 val transaction = Transaction(packedWrite.conditions, packedWrite.writes)
                 former.begin(packedWrite)
-                store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
+                store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
                         packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
-                        replica.applied(transaction, outcome.stamp)
+                        replica.applied(transaction, outcome.revision)
                     }
                     loop.after(sim.random.nextInt(40).milliseconds) { former.end(packedWrite) }
                 }
@@ -99,7 +103,7 @@
             sim.run(sim.random.nextInt(12).toDouble())
         }
 
-        fun pack(changes: Map<JobPage, ByteArray>) = packer.pack(changes)
+        fun pack(changes: Map<TaskRange, ByteArray>) = packer.pack(changes)
 
         fun step() {
             val pages = changedPages(packer::ready)
@@ -112,10 +116,10 @@
                 )
                 val transaction = Transaction(listOf(packedWrite.condition), listOf(packedWrite.write))
                 packer.begin(packedWrite)
-                store.commit(Urgency.ASSIGNMENT, transaction) { outcome ->
+                store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
                         packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
-                        replica.applied(transaction, outcome.stamp)
+                        replica.applied(transaction, outcome.revision)
                     }
                     if (outcome == TransactionOutcome.Unknown && settles) {
                         unresolvedWrites.resolve(packedWrite, ours = { true }) {
@@ -131,37 +135,37 @@
             sim.run(sim.random.nextInt(12).toDouble())
         }
 
-        private fun changedPages(ready: (Job, Int) -> Boolean): Map<JobPage, AssignmentPage> {
-            val pages = LinkedHashMap<JobPage, AssignmentPage>()
+        private fun changedPages(ready: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
+            val pages = LinkedHashMap<TaskRange, AssignmentRange>()
             repeat(1 + sim.random.nextInt(6)) {
-                val place = JobPage(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
+                val place = TaskRange(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
                 val job = replica.jobs.getValue(place.job)
                 if (!ready(job, place.page)) return@repeat
-                val present = job.pages[place.page]?.value ?: AssignmentPage.EMPTY
+                val present = job.pages[place.page]?.value ?: AssignmentRange.EMPTY
                 val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
                 val group = AssignmentGroup(ShardName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
-                val page = AssignmentPage(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
+                val page = AssignmentRange(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
                 pages[place] = page
             }
             return pages
         }
 
         /** What has become of a page whose write had no answer. */
-        private fun adopt(place: JobPage) {
+        private fun adopt(place: TaskRange) {
             replica.jobs[place.job]
                 ?.pages
                 ?.get(place.page)
                 ?.let { model[place] = RecordCodec.encode(it.value).decodeToString() }
         }
 
-        fun reread(): Map<JobPage, String> {
+        fun reread(): Map<TaskRange, String> {
             sim.run(if (lateOneIn > 0) 16_000.0 else 2000.0)
-            val fresh = Replica(loop, StateClient(loop, network.callerOf("reader", loop), AT, limits)).also { it.start() }
+            val readFresh = Replica(loop, StateClient(loop, network.callerOf("reader", loop), AT, limits)).also { it.start() }
             sim.run(2000.0)
-            return fresh.jobs.values
+            return readFresh.jobs.values
                 .flatMap { job ->
                     job.pages.map { (page, packed) ->
-                        JobPage(job.id, page) to
+                        TaskRange(job.id, page) to
                             RecordCodec.encode(packed.value).decodeToString()
                     }
                 }.toMap()
@@ -244,8 +248,8 @@
         bench.lower(0.25, 4)
         val small = "{\"v\":1}".toByteArray()
         val large = ByteArray(256) { '1'.code.toByte() }
-        val writes = bench.pack(mapOf(JobPage(JobId("job-1"), 0) to large, JobPage(JobId("job-2"), 0) to small))
-        assertEquals(listOf(setOf(JobPage(JobId("job-2"), 0))), writes.map { it.places })
+        val writes = bench.pack(mapOf(TaskRange(JobId("job-1"), 0) to large, TaskRange(JobId("job-2"), 0) to small))
+        assertEquals(listOf(setOf(TaskRange(JobId("job-2"), 0))), writes.map { it.places })
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -1,17 +1,17 @@
 package copperglade.storage
 
-import copperglade.protocol.ShardName
 import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
 import copperglade.sim.SimSite
-import java.util.BitSet
-import java.util.Random
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import java.util.BitSet
+import java.util.Random
 
 class RecordsTest {
     private fun bits(vararg tasks: Int) = BitSet().apply { tasks.forEach { set(it) } }
@@ -22,8 +22,8 @@
         repeat(200) {
             val set = BitSet()
             repeat(random.nextInt(40)) { set.set(random.nextInt(60)) }
-            val text = Ranges.format(set)
-            assertEquals(set, Ranges.parse(text))
+            val text = TaskIndexRanges.format(set)
+            assertEquals(set, TaskIndexRanges.parse(text))
             val plain = text.split(',').filter { it.isNotEmpty() }.flatMap { part ->
                 val ends = part.split('-').map { it.toInt() }
                 (ends.first()..ends.last()).toList()
@@ -36,16 +36,16 @@
     fun `the most scattered page stays far below the smallest value limit`() {
         val odd = BitSet().apply { for (task in 99_744 until 100_000 step 2) set(task) }
         val page =
-            AssignmentPage(listOf(AssignmentGroup(ShardName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
+            AssignmentRange(listOf(AssignmentGroup(ShardName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
         assertTrue(RecordCodec.encode(page).size < 3000)
     }
 
     @Test
     fun `records survive their JSON`() {
-        val work = RecordCodec.decodeWork(Json.read(RecordCodec.encode(WorkRecord(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8)))!!)
+        val work = RecordCodec.decodeWork(Json.read(RecordCodec.encode(OutcomeRecord(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8)))!!)
         assertEquals(listOf(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8), listOf(work.done, work.returned, work.restarted, work.version))
         val page = RecordCodec.decodePage(
-            Json.read(RecordCodec.encode(AssignmentPage(emptyList(), bits(2), lastGeneration = 7, frontier = 5, version = 9)))!!,
+            Json.read(RecordCodec.encode(AssignmentRange(emptyList(), bits(2), lastGeneration = 7, frontier = 5, version = 9)))!!,
         )
         assertEquals(listOf(bits(2), 7, 5, 9), listOf(page.recalled, page.lastGeneration, page.frontier, page.version))
     }
@@ -53,19 +53,19 @@
     @Test
     fun `an assignment stands until it is done or given back in its own generation`() {
         val job = Job(JobId("job-1"))
-        job.live = Stamped(LiveRecord(SimSite.job(1, tasks = 4), 0, cancelled = false), Stamp(1))
+        job.live = StoredRecord(LiveRecord(SimSite.job(1, tasks = 4), 0, cancelled = false), Revision(1))
         val shard = ShardName("north.0")
         job.setPage(
             0,
             PackedPart(
-                AssignmentPage(listOf(AssignmentGroup(shard, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
+                AssignmentRange(listOf(AssignmentGroup(shard, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
                 "sheet",
                 RecordCodec::encode,
             ),
         )
         // Task 0 was given back in an earlier generation, task 1 in this one, task 2 is done.
-        val work = WorkRecord(bits(2), mapOf(1 to bits(0), 2 to bits(1)), BitSet(), 1)
-        job.setWork(WorkPlace(0, shard), PackedPart(work, "sheet", RecordCodec::encode))
+        val work = OutcomeRecord(bits(2), mapOf(1 to bits(0), 2 to bits(1)), BitSet(), 1)
+        job.setWork(ShardTaskRange(0, shard), PackedPart(work, "sheet", RecordCodec::encode))
         assertEquals(listOf(0), job.assignments().map { it.task })
         assertEquals(JobStatus.RUNNING, job.status())
     }
@@ -73,7 +73,7 @@
     @Test
     fun `a job that was complete before its cancellation is done`() {
         val job = Job(JobId("job-1"))
-        job.live = Stamped(LiveRecord(SimSite.job(1, tasks = 1), 0, cancelled = true), Stamp(1))
+        job.live = StoredRecord(LiveRecord(SimSite.job(1, tasks = 1), 0, cancelled = true), Revision(1))
         assertEquals(JobStatus.CANCELLED, job.status())
         job.done.set(0)
         assertEquals(JobStatus.DONE, job.status())
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.protocol.LeaseId
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
 import copperglade.sim.SimLoop
 import copperglade.sim.SimNetwork
 import copperglade.sim.Simulation
@@ -23,8 +23,8 @@
 
     private fun outcomeOf(conditions: Int, writes: List<Write>): TransactionOutcome? {
         var outcome: TransactionOutcome? = null
-        val transaction = Transaction(List(conditions) { Condition("none/$it", Stamp.ABSENT) }, writes)
-        client.commit(Urgency.USER, transaction) { outcome = it }
+        val transaction = Transaction(List(conditions) { Condition("none/$it", Revision.ABSENT) }, writes)
+        client.commit(WritePriority.USER, transaction) { outcome = it }
         sim.run(500.0)
         return outcome
     }
@@ -51,14 +51,14 @@
     }
 
     /** Milliseconds until a user's change is answered, with [backlog] less urgent ones waiting for a small budget. */
-    private fun userWaitMs(backlog: Urgency): List<Double> {
+    private fun userWaitMs(backlog: WritePriority): List<Double> {
         val small = StateClient(loop, network.callerOf("small", loop), AT, StateLimits(1e6, 5.0, 4.0, 12))
         repeat(200) { small.commit(backlog, Transaction(emptyList(), listOf(set(it)))) {} }
         return List(20) {
             sim.run(1500.0 + sim.random.nextInt(200))
             val askedAt = sim.nowMs
             var answeredAt = 0.0
-            small.commit(Urgency.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMs }
+            small.commit(WritePriority.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMs }
             sim.run(1000.0)
             answeredAt - askedAt
         }
@@ -66,7 +66,7 @@
 
     @Test
     fun `however small the budget is, a user's change finds some of it left by outcomes and clearing up`() {
-        for (backlog in listOf(Urgency.OUTCOME, Urgency.CLEANING)) {
+        for (backlog in listOf(WritePriority.OUTCOME, WritePriority.CLEANUP)) {
             val waits = userWaitMs(backlog)
             assertTrue(waits.all { it in 0.0..30.0 }, "$backlog: $waits")
         }
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -2,14 +2,14 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 class FailureEvidenceTest {
     private val evidence = FailureEvidence(machinesToBlameJob = 2)
-    private val now = Moment(100_000)
+    private val now = MonotonicTime(100_000)
 
     private fun job(number: Int) = JobId("job-$number")
 
@@ -24,7 +24,7 @@
         assertFalse(evidence.blamesMachine(machine(1)))
         assertTrue(evidence.separates(job(1), machine(1), now))
         assertFalse(evidence.separates(job(2), machine(1), now))
-        assertFalse(evidence.separates(job(1), machine(1), Moment(now.ms + 11_000)))
+        assertFalse(evidence.separates(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -1,15 +1,15 @@
 package copperglade.tasks
 
 import copperglade.protocol.JobId
-import copperglade.protocol.Moment
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
 import copperglade.sim.SimSite
-import copperglade.storage.JobPage
 import copperglade.storage.Keys
-import java.util.Random
+import copperglade.storage.TaskRange
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
+import java.util.Random
 
 class RunTableTest {
     @ParameterizedTest
@@ -20,7 +20,7 @@
         val all = HashMap<TaskId, Run>()
         repeat(2000) {
             val task = TaskId(JobId("job-${random.nextInt(5)}"), random.nextInt(4) * 150)
-            val now = Moment(it.toLong())
+            val now = MonotonicTime(it.toLong())
             when (random.nextInt(4)) {
                 0 -> {
                     val first = if (random.nextBoolean()) RunState.WAITING else RunState.MISSING
@@ -34,8 +34,8 @@
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.of(task.job).toSet())
-            val place = JobPage(task.job, task.index / Keys.PAGE_TASKS)
-            val onPage = all.values.filterTo(HashSet()) { run -> JobPage(run.task.job, run.task.index / Keys.PAGE_TASKS) == place }
+            val place = TaskRange(task.job, task.index / Keys.TASKS_PER_RANGE)
+            val onPage = all.values.filterTo(HashSet()) { run -> TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE) == place }
             assertEquals(onPage, table.of(place).toSet())
             assertEquals(all[task], table[task])
         }
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -2,15 +2,15 @@
 
 import copperglade.protocol.Decoding
 import copperglade.protocol.WorkerWire
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
 import java.util.Random
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertNull
-import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
 
 class FaultBarrierTest {
     @Test
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -1,29 +1,29 @@
 package copperglade.transport
 
 import copperglade.app.Main
-import copperglade.protocol.ShardName
-import copperglade.protocol.ShardCapacity
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
-import copperglade.protocol.MachineName
 import copperglade.protocol.MachineAvailability
+import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
-import copperglade.protocol.Stamp
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardCapacity
+import copperglade.protocol.ShardName
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
 import java.net.ServerSocket
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import org.junit.jupiter.api.Assertions.assertEquals
-import org.junit.jupiter.api.Assertions.assertNotEquals
-import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
 
 /** All held until the last is known: a port that is closed again may be given out once more. */
 internal fun freeEndpoints(number: Int): List<Endpoint> =
@@ -109,9 +109,9 @@
         val loop = NettyEventLoop()
         val (peers, users) = freeEndpoints(2)
         val status = PeerWire.encode(statusOf(machines = 4000))
-        assertTrue(status.size > NettyHttpServer.LONGEST_PROTOCOL_BODY)
+        assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY)
         val received = ArrayList<PeerStatus?>()
-        NettyHttpServer(loop, CONNECTIONS, Main.LONGEST_PEER_MESSAGE) { request, responder ->
+        NettyHttpServer(loop, CONNECTIONS, Main.MAX_PEER_MESSAGE) { request, responder ->
             received += PeerWire.decode(request.body)
             responder.send(Reply(200))
         }.listen(peers)
@@ -157,7 +157,7 @@
             )
         }
         val shard = ShardCapacity(ShardName("zone.0"), FencingToken(7), rooms)
-        return PeerStatus(MemberId("one"), Incarnation(1), Stamp(1), 0, false, listOf(shard), emptyList(), emptyList(), 0.0)
+        return PeerStatus(MemberId("one"), Incarnation(1), Revision(1), 0, false, listOf(shard), emptyList(), emptyList(), 0.0)
     }
 
     private companion object {
