--- a/src/main/kotlin/copperglade/agents/ReportIntake.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -1,7 +1,7 @@
 package copperglade.agents
 
 import copperglade.protocol.Command
-import copperglade.protocol.Report
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.WorkerWire
 import copperglade.safety.ActionGuard
 import copperglade.tasks.Machine
@@ -15,7 +15,7 @@
  * ([ActionGuard.stopsFor]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
  * taken for new.
  */
-class ReportIntake(
+class HeartbeatHandler(
     private val state: ShardState,
     private val tracker: MachineTracker,
     private val commands: WorkerCommands,
@@ -26,36 +26,36 @@
      * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
      * that we may act.
      */
-    fun checkin(report: Report): ByteArray? {
-        if (tracker.isOfRemovedMachine(report)) {
-            tracker.probeRemovedMachine(report)
+    fun handleHeartbeat(heartbeat: Heartbeat): ByteArray? {
+        if (tracker.isOfRemovedMachine(heartbeat)) {
+            tracker.probeRemovedMachine(heartbeat)
             return null
         }
-        val known = state.machines[report.machine]
-        if (known != null && known.isDoubtful(report)) return answerInDoubt(known, report)
-        if (known != null && known.isCopy(report)) {
+        val known = state.machines[heartbeat.machine]
+        if (known != null && known.isUnverified(heartbeat)) return answerUnverified(known, heartbeat)
+        if (known != null && known.isDuplicate(heartbeat)) {
             // A late copy, or a machine that began anew with low numbers: only its answer to a question of ours tells.
             commands.fence(known)
             return null
         }
-        val machine = tracker.hear(report)
-        machine.sentBy(report, loop.now())
+        val machine = tracker.hear(heartbeat)
+        machine.sentBy(heartbeat, loop.now())
         if (answersDoNotArrive(machine)) {
             commands.fence(machine)
             return null
         }
-        return answerBelieved(machine, report)
+        return answerTrusted(machine, heartbeat)
     }
 
-    private fun answerBelieved(machine: Machine, report: Report): ByteArray {
+    private fun answerTrusted(machine: Machine, heartbeat: Heartbeat): ByteArray {
         machine.answeredAt = loop.now()
         if (!state.open || !state.isFenced(machine)) {
-            machine.answersInVain++
+            machine.unacknowledgedAnswers++
             commands.fence(machine)
-            return answer(report)
+            return answer(heartbeat)
         }
-        machine.answersInVain = 0
-        return answer(report, commands.withAnswer(machine))
+        machine.unacknowledgedAnswers = 0
+        return answer(heartbeat, commands.withAnswer(machine))
     }
 
     /**
@@ -63,24 +63,24 @@
      * commanded but the end of what is cancelled. Null where somebody else has given it commands, or where the machine is
      * not a fenced one of ours.
      */
-    fun keep(report: Report): ByteArray? {
-        val known = state.machines[report.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
-        if (report.fencingToken > state.token || known.isDoubtful(report) || known.isCopy(report)) return null
-        tracker.hear(report).sentBy(report, loop.now())
+    fun extendWorkerLease(heartbeat: Heartbeat): ByteArray? {
+        val known = state.machines[heartbeat.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
+        if (heartbeat.fencingToken > state.token || known.isUnverified(heartbeat) || known.isDuplicate(heartbeat)) return null
+        tracker.hear(heartbeat).sentBy(heartbeat, loop.now())
         known.answeredAt = loop.now()
-        return answer(report)
+        return answer(heartbeat)
     }
 
     /**
      * The report may be from before the machine began to count anew. It is not taken in, but while the machine answers our
      * questions, its lease must go on; a machine that doesn't gets no 200.
      */
-    private fun answerInDoubt(machine: Machine, report: Report): ByteArray? {
+    private fun answerUnverified(machine: Machine, heartbeat: Heartbeat): ByteArray? {
         commands.fence(machine)
-        if (loop.now() >= machine.heardAt + state.context.silenceLimit) return null
-        machine.reportsArrive(loop.now())
+        if (loop.now() >= machine.heardAt + state.context.heartbeatTimeout) return null
+        machine.heartbeatsArrive(loop.now())
         machine.answeredAt = loop.now()
-        return answer(report)
+        return answer(heartbeat)
     }
 
     /**
@@ -88,22 +88,22 @@
      * arrival, but it must be reckoned with; so the worker gets none any more, and its lease surely runs out.
      */
     private fun answersDoNotArrive(machine: Machine): Boolean =
-        state.open && !state.isFenced(machine) && machine.answersInVain >= MAX_ANSWERS_IN_VAIN
+        state.open && !state.isFenced(machine) && machine.unacknowledgedAnswers >= MAX_UNACKNOWLEDGED_ANSWERS
 
     /** Every answer of 200 is made here: see [ActionGuard.stopsFor] for what none of them may lack. */
-    private fun answer(report: Report, commands: List<Command> = emptyList()): ByteArray {
+    private fun answer(heartbeat: Heartbeat, commands: List<Command> = emptyList()): ByteArray {
         val guard = state.context.guard
-        val stops = guard.stopsFor(report)
+        val stops = guard.stopsFor(heartbeat)
         val others = commands.filterNot { command ->
             command is Command.Stop && stops.any { it.attempt == command.attempt && it.task == command.task }
         }
-        val approved = guard.approveAnswer(report, stops + others)
-        state.context.decisions.commanded(report.machine, state.token, approved, way = "answer")
-        state.context.decisions.answered(report.machine, state.token, stops.size)
+        val approved = guard.approveAnswer(heartbeat, stops + others)
+        state.context.audit.commanded(heartbeat.machine, state.token, approved, way = "answer")
+        state.context.audit.answered(heartbeat.machine, state.token, stops.size)
         return WorkerWire.answer(state.token, approved)
     }
 
     private companion object {
-        const val MAX_ANSWERS_IN_VAIN = 4
+        const val MAX_UNACKNOWLEDGED_ANSWERS = 4
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -15,7 +15,7 @@
      * is running out.
      */
     fun isUsable(machine: Machine, now: MonotonicTime): Boolean =
-        isSound(machine, now) && !machine.unresponsive && now < machine.reportedAt + context.silenceLimit
+        isSound(machine, now) && !machine.unresponsive && now < machine.reportedAt + context.heartbeatTimeout
 
     /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
     fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
@@ -25,17 +25,17 @@
      * How many of the shard's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
      * controller, and is sent back for 4 s more if the shard still has its owner by then.
      */
-    fun countUnheard(now: MonotonicTime): Int {
-        val limit = context.reportIntervals(MISSED_REPORTS)
+    fun countUnreachable(now: MonotonicTime): Int {
+        val limit = context.heartbeatIntervals(MISSED_HEARTBEATS)
         return state.machines.values.count { now >= it.heardAt + limit }
     }
 
     private fun isSound(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
-        !machine.deleting && !machine.noticed && !context.evidence.blamesMachine(machine.name) && !isSilent(machine, now)
+        !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) && !isSilent(machine, now)
 
-    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.heardAt + context.silenceLimit
+    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.heardAt + context.heartbeatTimeout
 
     private companion object {
-        const val MISSED_REPORTS = 1.6
+        const val MISSED_HEARTBEATS = 1.6
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -1,8 +1,8 @@
 package copperglade.agents
 
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.ShardState
@@ -11,7 +11,7 @@
 /**
  * Follows which machines a shard has: from a worker's first report until its lease has run out or the machine is deleted.
  *
- * Invariants: of a machine only the newest report counts, by session and tally, unless it has proved that it counts from
+ * Invariants: of a machine only the newest report counts, by session and sequence number, unless it has proved that it counts from
  * the start again; a dropped machine comes back only by its answer to a question of ours. They guard against late copies
  * of reports, which may arrive minutes after they were sent and would show tasks and room that are gone.
  */
@@ -31,37 +31,37 @@
     private val probed = HashSet<MachineName>()
 
     /** Takes in a report if it is new; the machine that it is of. */
-    fun hear(report: Report): Machine {
-        val machine = machines.getOrPut(report.machine) { discover(report) }
-        val sessionBefore = machine.session
-        if (machine.update(report, loop.now())) {
-            if (machine.session > sessionBefore) loseAll(machine, "session ${machine.session} began")
+    fun hear(heartbeat: Heartbeat): Machine {
+        val machine = machines.getOrPut(heartbeat.machine) { discover(heartbeat) }
+        val epochBefore = machine.epoch
+        if (machine.update(heartbeat, loop.now())) {
+            if (machine.epoch > epochBefore) loseAll(machine, "session ${machine.epoch} began")
             if (state.open && state.isFenced(machine)) observer.match(machine)
         }
         return machine
     }
 
     /**
-     * Takes in [report], the machine's answer to a command that was sent at [sentAt]. A machine that was asked after its
+     * Takes in [heartbeat], the machine's answer to a command that was sent at [sentAt]. A machine that was asked after its
      * last numbers were taken in, yet answers with none higher, counts from the start again.
      */
-    fun hearReply(machine: Machine, report: Report, sentAt: MonotonicTime) {
-        if (sentAt > machine.takenAt && !report.newerThan(machine.session, machine.tally)) restarted(machine, report)
-        hear(report)
+    fun hearReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
+        if (sentAt > machine.takenAt && !heartbeat.newerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
+        hear(heartbeat)
     }
 
-    /** Whether [report] is of a machine that was dropped, and from before that or from a count begun anew. */
-    fun isOfRemovedMachine(report: Report): Boolean = removedMachines.covers(report)
+    /** Whether [heartbeat] is of a machine that was dropped, and from before that or from a count begun anew. */
+    fun isOfRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.covers(heartbeat)
 
     /** Asks a machine that was dropped whether it lives; late copies of its reports get no answer. */
-    fun probeRemovedMachine(report: Report) {
-        if (!state.open || removedMachines.forGood(report.machine) || !probed.add(report.machine)) return
-        commands.probe(report.endpoint, report.session) { answer ->
-            probed -= report.machine
-            if (answer != null && answer.machine == report.machine && removedMachines.knows(answer.machine)) {
-                log.info("{} is back in session {}", answer.machine, answer.session)
-                val removedSession = removedMachines.sessionOf(answer.machine)
-                hear(answer).doubtUpTo(removedSession, Long.MAX_VALUE)
+    fun probeRemovedMachine(heartbeat: Heartbeat) {
+        if (!state.open || removedMachines.forGood(heartbeat.machine) || !probed.add(heartbeat.machine)) return
+        commands.probe(heartbeat.endpoint, heartbeat.epoch) { answer ->
+            probed -= heartbeat.machine
+            if (answer != null && answer.machine == heartbeat.machine && removedMachines.knows(answer.machine)) {
+                log.info("{} is back in session {}", answer.machine, answer.epoch)
+                val removedEpoch = removedMachines.epochOf(answer.machine)
+                hear(answer).markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
                 removedMachines.isBack(answer.machine)
             }
         }
@@ -71,7 +71,7 @@
     fun dropExpired(now: MonotonicTime) {
         for (machine in machines.values.toList()) {
             unresolved.forgetExpired(machine, now)
-            if (now < machine.answeredAt + context.longestLease) continue
+            if (now < machine.answeredAt + context.maxLease) continue
             log.info("{} silent for longer than its lease, {} tasks lost", machine.name, machine.runs.size)
             drop(machine)
         }
@@ -83,9 +83,10 @@
         removedMachines.deleted(machine.name)
     }
 
-    private fun discover(report: Report): Machine {
-        val sessionIsOurs = removedMachines.knows(report.machine)
-        val discovered = Machine(report.machine, report.zone, report.spot, report.type, report.endpoint, loop.now(), sessionIsOurs)
+    private fun discover(heartbeat: Heartbeat): Machine {
+        val epochIsOurs = removedMachines.knows(heartbeat.machine)
+        val discovered =
+            Machine(heartbeat.machine, heartbeat.zone, heartbeat.spot, heartbeat.type, heartbeat.endpoint, loop.now(), epochIsOurs)
         context.replica.images[state.name]
             ?.value
             ?.byMachine
@@ -99,12 +100,12 @@
      * any more. A start of unknown outcome may yet arrive and act, since the new session may have the number of the old: it
      * stays bound.
      */
-    private fun restarted(machine: Machine, report: Report) {
+    private fun restarted(machine: Machine, heartbeat: Heartbeat) {
         log.info("{} began anew, {} tasks lost", machine.name, machine.runs.size)
-        machine.beginAnew(report, loop.now())
+        machine.restart(heartbeat, loop.now())
         for (run in machine.runs.toList()) {
             val unresolvedStart = machine.hasUnresolvedStart(run.task, run.attempt)
-            if (unresolvedStart) run.startAgain(loop.now()) else lifecycle.lost(run, "${machine.name} began anew")
+            if (unresolvedStart) run.restartAttempt(loop.now()) else lifecycle.lost(run, "${machine.name} began anew")
         }
         if (state.isFenced(machine)) observer.match(machine)
     }
@@ -112,8 +113,8 @@
     private fun drop(machine: Machine) {
         machines.remove(machine.name)
         context.profiles.forgetMachine(machine.name)
-        context.evidence.forgetMachine(machine.name)
-        removedMachines.expired(machine.name, machine.session)
+        context.failureEvidence.forgetMachine(machine.name)
+        removedMachines.expired(machine.name, machine.epoch)
         loseAll(machine, "${machine.name} is gone")
     }
 
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -1,8 +1,8 @@
 package copperglade.agents
 
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.transport.Clock
 import kotlin.time.Duration.Companion.hours
 
@@ -14,7 +14,7 @@
  * copies still come, just when a large part of the fleet is lost at once.
  */
 class RemovedMachines(private val clock: Clock) {
-    private class Removal(val session: Long, val at: MonotonicTime)
+    private class Removal(val epoch: Long, val at: MonotonicTime)
 
     /** The highest session that a report may be of and still be old; the oldest removal first. */
     private val removals = LinkedHashMap<MachineName, Removal>()
@@ -22,9 +22,9 @@
     val size: Int get() = removals.size
 
     /** Its lease has surely run out: if it lives, it is in a later session. */
-    fun expired(machine: MachineName, session: Long) {
+    fun expired(machine: MachineName, epoch: Long) {
         removals.remove(machine)
-        removals[machine] = Removal(session, clock.now())
+        removals[machine] = Removal(epoch, clock.now())
         forgetOldest()
     }
 
@@ -39,13 +39,13 @@
 
     fun knows(machine: MachineName): Boolean = machine in removals
 
-    fun sessionOf(machine: MachineName): Long = removals[machine]?.session ?: 0L
+    fun epochOf(machine: MachineName): Long = removals[machine]?.epoch ?: 0L
 
-    /** Whether [report] is from before the removal, or of a machine that counts from the start again. */
-    fun covers(report: Report): Boolean = removals[report.machine]?.let { report.session <= it.session } ?: false
+    /** Whether [heartbeat] is from before the removal, or of a machine that counts from the start again. */
+    fun covers(heartbeat: Heartbeat): Boolean = removals[heartbeat.machine]?.let { heartbeat.epoch <= it.epoch } ?: false
 
     /** Whether nothing can ever be heard of the machine again. */
-    fun forGood(machine: MachineName): Boolean = removals[machine]?.session == Long.MAX_VALUE
+    fun forGood(machine: MachineName): Boolean = removals[machine]?.epoch == Long.MAX_VALUE
 
     fun isBack(machine: MachineName) {
         removals.remove(machine)
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -28,7 +28,7 @@
 
     /** By then, every worker that only a former owner answered has lost its lease. */
     private val formerLeasesOverAt: MonotonicTime
-        get() = maxOf(state.grantedAt, context.absentOwners.over) + context.longestLease
+        get() = maxOf(state.grantedAt, context.formerIncarnations.over) + context.maxLease
 
     /** Brings the runs of a job in line with its records. */
     fun sync(job: Job) {
@@ -45,7 +45,7 @@
             assigned += assignment.task
             val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
             run.reschedule(spec)
-            if (assignment.recalled) stopper.stop(run, StopReason.RECALLED)
+            if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
         }
         runs.of(job.id).filter { it.task.index !in assigned }.forEach(::forget)
@@ -72,7 +72,7 @@
 
     /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
     private fun forget(run: Run) {
-        context.decisions.forgotten(run)
+        context.audit.forgotten(run)
         run.unbind()
         runs.remove(run)
     }
--- a/src/main/kotlin/copperglade/agents/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -26,7 +26,7 @@
                 run.moveTo(RunState.STOPPING, reason.name, state.context.loop.now())
                 run.machine?.let(commands::settle)
             }
-            RunState.STOPPING -> if (reason == StopReason.CANCELLED || reason == StopReason.RECALLED) run.stopFor(reason)
+            RunState.STOPPING -> if (reason == StopReason.CANCELLED || reason == StopReason.PREEMPTED_FOR_GUARANTEE) run.stopFor(reason)
             RunState.MISSING, RunState.DONE, RunState.GONE -> Unit
         }
     }
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -73,12 +73,12 @@
         when (cause) {
             ExitCause.DONE -> {
                 recordProfile(run, machine)
-                context.evidence.completed(run.task.job, machine.name)
+                context.failureEvidence.completed(run.task.job, machine.name)
                 lifecycle.finish(run, RunState.DONE, "completed")
             }
             ExitCause.ERROR -> failed(run, machine)
             ExitCause.STOPPED -> lifecycle.lost(run, "stopped")
-            ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
+            ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
                 log.info("{} refused by {}: {}", run.task, machine.name, cause)
                 tryElsewhere(run, machine, backoff.afterRefusal())
             }
@@ -90,10 +90,10 @@
         val job = run.task.job
         run.failures++
         // What another owner has found out about the job holds for this one's machines, too.
-        if (context.replica.jobs[job]?.mistaken != true) context.evidence.failed(job, machine.name, loop.now())
-        if (job in context.mistakenJobs) {
+        if (context.replica.jobs[job]?.failing != true) context.failureEvidence.failed(job, machine.name, loop.now())
+        if (job in context.failingJobs) {
             backoff.trialFailed(job, loop.now())
-            outcomes.recordMistake(run)
+            outcomes.recordFailingJob(run)
         }
         tryElsewhere(run, machine, backoff.afterFailure(run.failures))
     }
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -23,7 +23,7 @@
     fun begin(machine: Machine, commands: List<Command>, actsUntil: MonotonicTime?): List<UnresolvedStart> {
         val starts = commands
             .filterIsInstance<Command.Start>()
-            .map { UnresolvedStart(it.task, it.attempt, machine.session, state.token, context.loop.now(), actsUntil) }
+            .map { UnresolvedStart(it.task, it.attempt, machine.epoch, state.token, context.loop.now(), actsUntil) }
         machine.unresolvedStarts += starts
         return starts
     }
@@ -47,7 +47,7 @@
     fun needHigherToken(): Boolean {
         val now = context.loop.now()
         return state.machines.values.any { machine ->
-            now < machine.heardAt + context.silenceLimit && machine.unresolvedStarts.any { shards(it, machine, now) }
+            now < machine.heardAt + context.heartbeatTimeout && machine.unresolvedStarts.any { shards(it, machine, now) }
         }
     }
 
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -3,8 +3,8 @@
 import copperglade.membership.Membership
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.protocol.WorkerWire
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
@@ -32,7 +32,7 @@
     private val unresolved: UnresolvedStarts,
     private val lifecycle: RunLifecycle,
     /** Takes in the report with which a machine answered a command that was sent at the given moment. */
-    private val reportReceived: (Machine, Report, MonotonicTime) -> Unit,
+    private val heartbeatReceived: (Machine, Heartbeat, MonotonicTime) -> Unit,
 ) {
     private val context = state.context
     private val loop = context.loop
@@ -60,11 +60,11 @@
     }
 
     /** Asks the worker at [endpoint], of which nothing is known for certain, for a report; [done] gets null if none comes. */
-    fun probe(endpoint: Endpoint, session: Long, done: (Report?) -> Unit) {
+    fun probe(endpoint: Endpoint, epoch: Long, done: (Heartbeat?) -> Unit) {
         if (!context.guard.approveSending("probe of $endpoint")) return done(null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.token, session, emptyList()))
+        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.token, epoch, emptyList()))
         context.http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
-            done(reply?.let { WorkerWire.parseReport(it.body) })
+            done(reply?.let { WorkerWire.parseHeartbeat(it.body) })
         }
     }
 
@@ -99,17 +99,17 @@
      * but not where nothing else is left: a machine is idle only once it is empty.
      */
     private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.onMachine } ||
-        loop.now() >= machine.lastRemovalSentAt + context.reportIntervals(REPORTS_PER_REMOVAL)
+        loop.now() >= machine.lastRemovalSentAt + context.heartbeatIntervals(HEARTBEATS_PER_REMOVAL)
 
     private fun send(machine: Machine, planned: List<Command>) {
         if (!context.membership.mayAct) return
         val commands = context.guard.approveCommands(machine.name, planned)
-        context.decisions.commanded(machine.name, state.token, commands, way = "direct")
+        context.audit.commanded(machine.name, state.token, commands, way = "direct")
         planner.markSent(machine, commands)
         val sentAt = loop.now()
         machine.commandInFlight = true
         machine.commandSentAt = sentAt
-        val body = WorkerWire.order(state.token, machine.session, commands)
+        val body = WorkerWire.order(state.token, machine.epoch, commands)
         val starts = unresolved.begin(machine, commands, actsUntil = null)
         val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
         context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
@@ -122,12 +122,12 @@
     private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
         if (reply == null) return
         if (reply.status == HttpStatus.OK || reply.status == HttpStatus.CONFLICT) unresolved.resolve(machine, starts)
-        val report = WorkerWire.parseReport(reply.body)
-        if (report != null && report.machine == machine.name) {
-            if (report.fencingToken > state.token) {
-                log.info("{} obeys a higher baton {} than ours, {}", machine.name, report.fencingToken, state.token)
+        val heartbeat = WorkerWire.parseHeartbeat(reply.body)
+        if (heartbeat != null && heartbeat.machine == machine.name) {
+            if (heartbeat.fencingToken > state.token) {
+                log.info("{} obeys a higher baton {} than ours, {}", machine.name, heartbeat.fencingToken, state.token)
             }
-            reportReceived(machine, report, sentAt)
+            heartbeatReceived(machine, heartbeat, sentAt)
         } else {
             log.warn("{} answered a command with {}", machine.name, reply.status)
         }
@@ -135,7 +135,7 @@
     }
 
     private companion object {
-        const val REPORTS_PER_REMOVAL = 2.0
+        const val HEARTBEATS_PER_REMOVAL = 2.0
         val COMMAND_TIMEOUT = 1500.milliseconds
 
         /** Workers drop answers that come later than 4 s after their report. */
--- a/src/main/kotlin/copperglade/app/Rehearsal.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -3,8 +3,8 @@
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
 import copperglade.protocol.obj
+import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
-import copperglade.settings.Tuning
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.NettyEventLoop
@@ -27,7 +27,7 @@
  * archive, which halves what a start costs on a small machine. It proves nothing about behaviour.
  */
 @Command(name = "rehearse", hidden = true, description = ["Loads the program's classes once; used by the build."])
-class Rehearsal : Callable<Int> {
+class ClassDataSharingTraining : Callable<Int> {
     private var storeRevision = 1L
 
     override fun call(): Int {
@@ -40,7 +40,7 @@
             SOCKETS,
             handler = RequestHandler { request, responder -> canned(loop, request, responder) },
         ).listen(outside)
-        Main.run(settings(ports), Tuning())
+        Main.run(settings(ports), OperatorSettings())
         val client = Endpoint("127.0.0.1", ports[1])
         val rounds = CountDownLatch(ROUNDS)
 
@@ -48,7 +48,7 @@
             http.call(client, Request(Method.GET, "/healthz"), 1.seconds) {}
             http.call(client, Request(Method.POST, "/submissions", JOB.toByteArray()), 1.seconds) {}
             http.call(client, Request(Method.GET, "/submissions/job-1"), 1.seconds) {}
-            http.call(client, Request(Method.POST, "/checkin", report(number, ports[0]).toByteArray()), 1.seconds) {}
+            http.call(client, Request(Method.POST, "/checkin", heartbeat(number, ports[0]).toByteArray()), 1.seconds) {}
             loop.after(100.milliseconds) {
                 rounds.countDown()
                 if (number < ROUNDS) round(number + 1)
@@ -69,15 +69,15 @@
             path.startsWith("/changes") -> """{"ledger":$storeRevision,"events":[]}"""
             path == "/machine_types" -> TYPES
             path.startsWith("/machines?") -> """{"trucks":[],"truncated":false}"""
-            path == "/do" -> report(DO_TALLY, 1)
+            path == "/do" -> heartbeat(DO_SEQUENCE_NUMBER, 1)
             else -> null
         }
         val reply = if (text == null) Reply(HttpStatus.UNAVAILABLE) else Reply(HttpStatus.OK, text.toByteArray())
         loop.after(2.milliseconds) { responder.send(reply) }
     }
 
-    private fun report(tally: Int, port: Int) = """{"truck":"i-000001","addr":"127.0.0.1:$port","fleet":"small",
-        "depot":"here","borrowed":false,"shift":1,"tally":$tally,"baton":100,"recallS":null,
+    private fun heartbeat(sequenceNumber: Int, port: Int) = """{"truck":"i-000001","addr":"127.0.0.1:$port","fleet":"small",
+        "depot":"here","borrowed":false,"shift":1,"tally":$sequenceNumber,"baton":100,"recallS":null,
         "boxes":[{"box":"job-1/0","trip":1,"status":"running"}]}"""
 
     private fun settings(ports: List<Int>): PlatformSettings {
@@ -111,7 +111,7 @@
         const val SOCKETS = 100
         const val ROUNDS = 30
         const val MAX_S = 20L
-        const val DO_TALLY = 100_000
+        const val DO_SEQUENCE_NUMBER = 100_000
         const val TYPES = """{"fleets":[{"name":"small","vcpus":4,"gpus":0,"memoryGb":16,"localGb":20,"pullGbPerS":1.0,
             "price":1.0,"lowPrice":0.5,"bootS":30,"depots":["here"]}]}"""
         const val JOB = """{"nameId":"job-1","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":2,"vcpus":1.0,
--- a/src/main/kotlin/copperglade/app/SocketShares.kt
+++ b/src/main/kotlin/copperglade/app/ConnectionLimits.kt
@@ -1,6 +1,6 @@
 package copperglade.app
 
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 
 /**
  * Parts of the process's sockets, by who is at the other end. What is left is for files, the state service and the cloud. A
@@ -10,17 +10,19 @@
  * @property peers other controllers that call us.
  * @property workers workers that we call.
  */
-class SocketShares private constructor(val users: Int, val peers: Int, val workers: Int) {
+class ConnectionLimits private constructor(val users: Int, val peers: Int, val workers: Int) {
     companion object {
         private const val USERS_PERCENT = 52
         private const val PEERS_PERCENT = 4
         private const val WORKERS_PERCENT = 34
 
         /** The shares of [limit] sockets; refused where they leave none for each of [peers] other controllers. */
-        fun of(limit: Int, peers: Int): SocketShares {
-            val shares = SocketShares(limit * USERS_PERCENT / 100, limit * PEERS_PERCENT / 100, limit * WORKERS_PERCENT / 100)
+        fun of(limit: Int, peers: Int): ConnectionLimits {
+            val shares = ConnectionLimits(limit * USERS_PERCENT / 100, limit * PEERS_PERCENT / 100, limit * WORKERS_PERCENT / 100)
             if (shares.peers < maxOf(peers, 1)) {
-                throw BadSetting("deployment.resources.fd_limit: $limit leaves no connection for each of $peers other controllers")
+                throw InvalidSettingException(
+                    "deployment.resources.fd_limit: $limit leaves no connection for each of $peers other controllers",
+                )
             }
             return shares
         }
--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -46,7 +46,7 @@
 }
 
 /** Collects garbage before the heap outgrows its budget. */
-class HeapWatch(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
+class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
     private val limitBytes = (budgetBytes * PART).toLong()
 
     fun start() = loop.again({ LOOK_INTERVAL }, ::look)
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -1,10 +1,10 @@
 package copperglade.app
 
 import copperglade.controller.Controller
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorProperties
+import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
-import copperglade.settings.Tuning
 import copperglade.transport.NettyEventLoop
 import copperglade.transport.NettyHttpCaller
 import copperglade.transport.NettyHttpServer
@@ -25,7 +25,7 @@
     description = ["A cluster scheduler; this runs one controller until something ends it."],
     mixinStandardHelpOptions = true,
     versionProvider = Version::class,
-    subcommands = [Rehearsal::class],
+    subcommands = [ClassDataSharingTraining::class],
 )
 class Main : Callable<Int> {
     @Option(names = ["--config"], paramLabel = "FILE", description = ["The platform's settings (JSON); required."])
@@ -45,28 +45,28 @@
         val file =
             config ?: throw CommandLine.ParameterException(spec.commandLine(), "missing required option --config")
         val settings = PlatformSettings.parse(Files.readAllBytes(file))
-        val tuning = properties?.let { OperatorProperties.read(it) } ?: Tuning()
-        run(settings, tuning)
+        val operatorSettings = properties?.let { OperatorProperties.read(it) } ?: OperatorSettings()
+        run(settings, operatorSettings)
         Thread.currentThread().join()
         return 0
     }
 
     companion object {
         /** Starts a controller in this process; it goes on by itself. */
-        fun run(settings: PlatformSettings, tuning: Tuning) {
-            val shares = SocketShares.of(settings.socketLimit, settings.peers.size)
+        fun run(settings: PlatformSettings, operatorSettings: OperatorSettings) {
+            val shares = ConnectionLimits.of(settings.socketLimit, settings.peers.size)
             val loop = NettyEventLoop()
             val heapBytes = HeapBudget.bytes(settings.memoryMb, ProcessHeap)
             val always = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
             val caller = NettyHttpCaller(loop, shares.workers, always, heapBytes)
-            val controller = Controller(loop, caller, settings, tuning, heapBytes)
+            val controller = Controller(loop, caller, settings, operatorSettings, heapBytes)
             NettyHttpServer(loop, shares.users, handler = controller.clientHandler)
                 .listen(settings.clientListen)
             NettyHttpServer(loop, shares.peers, MAX_PEER_MESSAGE, controller.clusterHandler)
                 .listen(settings.clusterListen)
             loop.after(Duration.ZERO) {
                 controller.start()
-                HeapWatch(loop, ProcessHeap, heapBytes).start()
+                HeapMonitor(loop, ProcessHeap, heapBytes).start()
             }
         }
 
@@ -100,7 +100,7 @@
     System.setProperty("io.netty.processId", "1")
     val line = CommandLine(Main())
     line.setExecutionExceptionHandler { fault, _, _ ->
-        if (fault !is BadSetting && fault !is IOException) throw fault
+        if (fault !is InvalidSettingException && fault !is IOException) throw fault
         System.err.println("copperglade: ${if (fault is IOException) "can't read $fault" else fault.message}")
         CommandLine.ExitCode.SOFTWARE
     }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -2,17 +2,17 @@
 
 import copperglade.fleet.Fleet
 import copperglade.fleet.MachineTypeCatalog
-import copperglade.jobs.CancellationNotices
+import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
 import copperglade.jobs.JobService
-import copperglade.membership.AbsentOwners
+import copperglade.membership.FormerIncarnations
 import copperglade.membership.Leadership
 import copperglade.membership.LeaseEndorsement
 import copperglade.membership.Membership
-import copperglade.membership.PeerMessenger
-import copperglade.observability.DecisionLog
-import copperglade.observability.Latencies
-import copperglade.observability.Workload
+import copperglade.membership.PeerStatusExchange
+import copperglade.observability.ActionAudit
+import copperglade.observability.EventLoopMetrics
+import copperglade.observability.RequestLatency
 import copperglade.ownership.ShardOwnership
 import copperglade.prediction.ProfileStore
 import copperglade.protocol.JobId
@@ -23,14 +23,14 @@
 import copperglade.protocol.WorkerWire
 import copperglade.protocol.secondsSince
 import copperglade.safety.ActionGuard
-import copperglade.safety.Violation
-import copperglade.safety.Violations
+import copperglade.safety.InvariantViolation
+import copperglade.safety.InvariantViolations
 import copperglade.scheduling.Assigner
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
+import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
-import copperglade.settings.Tuning
 import copperglade.shards.ShardAssigner
 import copperglade.shards.ShardMap
 import copperglade.storage.BudgetShare
@@ -58,14 +58,14 @@
     private val loop: EventLoop,
     caller: HttpCaller,
     private val settings: PlatformSettings,
-    tuning: Tuning,
+    operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
     heapBytes: Long = Runtime.getRuntime().maxMemory(),
-    /** Told of each action that the last check before it has refused: see [Violations]. */
-    onViolation: (Violation) -> Unit = {},
+    /** Told of each action that the last check before it has refused: see [InvariantViolations]. */
+    onViolation: (InvariantViolation) -> Unit = {},
 ) {
-    private val workload = Workload(loop)
-    private val http = workload.measured(caller)
+    private val metrics = EventLoopMetrics(loop)
+    private val http = metrics.measured(caller)
     private val store = StateClient(
         loop,
         http,
@@ -74,10 +74,15 @@
         // Until it knows the others, it takes no more than would be left to it if they all lived.
         firstShare = BUDGET_USED / (settings.peers.size + 1),
     )
-    private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, tuning)
+    private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, staleness / READINGS_IN_STALENESS)
     private val profiles =
-        ProfileStore(tuning.nearestProfiles, tuning.fittingSteps, tuning.fittingRate, tuning.profileCapacity)
+        ProfileStore(
+            operatorSettings.nearestProfiles,
+            operatorSettings.fittingSteps,
+            operatorSettings.fittingRate,
+            operatorSettings.profileCapacity,
+        )
     private val replica =
         Replica(
             loop,
@@ -96,17 +101,17 @@
         replica,
         leaseEndorsement,
         settings.member,
-        leaseLength = minOf(staleness, (settings.leaseS * tuning.sessionLeasePart).seconds),
+        leaseLength = minOf(staleness, (settings.leaseS * operatorSettings.sessionLeasePart).seconds),
         stalenessLimit = staleness,
         startLimit = idleRefreshInterval * 2,
     )
-    private val violations = Violations(onViolation)
+    private val violations = InvariantViolations(onViolation)
     private val guard = ActionGuard(replica, membership, violations)
-    private val decisions = DecisionLog(loop, replica, membership, violations)
-    private val absentOwners = AbsentOwners(loop, replica, settings.peers.map { it.member }, membership.grace)
-    private val leadership = Leadership(loop, store, replica, membership, tuning.leaderLease)
+    private val audit = ActionAudit(loop, replica, membership, violations)
+    private val formerIncarnations = FormerIncarnations(loop, replica, settings.peers.map { it.member }, membership.grace)
+    private val leadership = Leadership(loop, store, replica, membership, operatorSettings.leaderLease)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
-    private val shardMap = ShardMap(settings.zones, tuning.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
+    private val shardMap = ShardMap(settings.zones, operatorSettings.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val shardAssigner = ShardAssigner(
         loop,
         store,
@@ -119,7 +124,7 @@
     )
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
-    private val owner: ShardOwnership = ShardOwnership(
+    private val shardOwnership: ShardOwnership = ShardOwnership(
         ShardContext(
             loop,
             http,
@@ -127,36 +132,36 @@
             membership,
             types,
             profiles,
-            tuning,
-            settings.reportS,
+            operatorSettings,
+            settings.heartbeatIntervalS,
             settings.leaseS,
-            workload,
-            absentOwners,
+            metrics,
+            formerIncarnations,
             guard,
-            decisions,
+            audit,
         ),
         store,
         shardMap,
         settings.cloud,
         cloudBudget,
-        ::othersHearState,
+        ::peersReachStateService,
     )
-    private val peerMessenger = PeerMessenger(
+    private val peerStatusExchange = PeerStatusExchange(
         loop,
         http,
         store,
         settings.member,
         settings.peers,
-        { owner.machineCount },
+        { shardOwnership.machineCount },
         { composeStatus() },
         { replica.leader?.value?.member },
         ::onPeerStatus,
     )
     private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(tuning.turnAfterS, tuning.turnShare)
+    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
     private val assigner =
         Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
-    private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, decisions)
+    private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
     private val fleet = Fleet(
         loop,
         http,
@@ -168,43 +173,43 @@
         types,
         settings.teams,
         shardMap,
-        tuning,
+        operatorSettings,
         settings.listLagS,
         ::statusOf,
     )
-    private val cancellationNotices = CancellationNotices(loop, http, settings.peers, replica, worthTelling = staleness)
-    private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationNotices)
+    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = staleness)
+    private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
 
-    private val submissions = Latencies(loop, "submissions")
-    private val polls = Latencies(loop, "polls")
+    private val submissions = RequestLatency(loop, "submissions")
+    private val polls = RequestLatency(loop, "polls")
 
     /** Users, workers and health checks. */
-    val clientHandler = workload.measured(RequestHandler(::handleClient))
+    val clientHandler = metrics.measured(RequestHandler(::handleClient))
 
     /** The other controllers. */
-    val clusterHandler = workload.measured(RequestHandler(::handlePeer))
+    val clusterHandler = metrics.measured(RequestHandler(::handlePeer))
 
     fun start() {
-        replica.listen(absentOwners)
-        replica.listen(owner)
+        replica.listen(formerIncarnations)
+        replica.listen(shardOwnership)
         replica.listen(jobFinalizer)
-        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerMessenger::receiveIndirect) }
-        membership.onChange = owner::reconcile
+        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatusExchange::receiveIndirect) }
+        membership.onChange = shardOwnership::reconcile
         types.start()
         replica.start()
         membership.start()
         leaseEndorsement.start()
         leadership.start()
-        owner.start()
-        peerMessenger.start()
+        shardOwnership.start()
+        peerStatusExchange.start()
         fleet.start()
         submissions.start()
-        workload.start()
-        decisions.start()
+        metrics.start()
+        audit.start()
         polls.start()
         loop.again({ if (leadership.leading) MIN_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
             val began = loop.now()
-            workload.measure("round") { leaderRound() }
+            metrics.measure("round") { leaderRound() }
             lastRound = (loop.now().ms - began.ms).milliseconds
         }
     }
@@ -225,7 +230,7 @@
     private fun shareBudget() {
         val others = (replica.members.keys - settings.member).map { statusOf(it)?.writesWanted }
         // The leader rents and lists, the others only return what is idle.
-        val cloudShare = if (leadership.leading) LEADS_PART_OF_CLOUD else (1.0 - LEADS_PART_OF_CLOUD) / others.size.coerceAtLeast(1)
+        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
         store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
     }
@@ -239,7 +244,7 @@
             knownRevision = replica.knownRevision,
             stateSilentMs = loop.now().ms - store.lastGood.ms,
             isLeader = leading,
-            shards = owner.rooms(),
+            shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
             writesWanted = store.writesWanted,
@@ -251,22 +256,22 @@
     private fun onPeerStatus(status: PeerStatus) {
         if (status.member == settings.member) ownStatus = status
         if (!status.isLeader) return
-        owner.release(status.release)
-        owner.retire(status.retire)
+        shardOwnership.release(status.release)
+        shardOwnership.retire(status.retire)
     }
 
     private fun statusOf(member: MemberId): PeerStatus? =
-        if (member == settings.member) ownStatus else peerMessenger.of(member)
+        if (member == settings.member) ownStatus else peerStatusExchange.of(member)
 
     private fun capacityStatusOf(member: MemberId): PeerStatus? =
-        if (member == settings.member) ownStatus else peerMessenger.capacityStatusOf(member)
+        if (member == settings.member) ownStatus else peerStatusExchange.capacityStatusOf(member)
 
     // ---- requests ----
 
     private fun handleClient(request: Request, responder: Responder) {
         val path = request.path.substringBefore('?')
         when {
-            path == WorkerWire.REPORT_PATH -> onPost(request, responder) { checkin(request, responder) }
+            path == WorkerWire.HEARTBEAT_PATH -> onPost(request, responder) { handleHeartbeat(request, responder) }
             path == UserWire.JOBS_PATH -> onPost(request, responder) { jobService.submit(request.body, submissions.timed(responder)) }
             path == UserWire.HEALTH_PATH -> if (request.method ==
                 Method.GET
@@ -299,13 +304,13 @@
     private fun wrongMethod(responder: Responder) =
         responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserWire.error("method not allowed here")))
 
-    private fun checkin(request: Request, responder: Responder) {
-        val report = WorkerWire.parseReport(request.body)
+    private fun handleHeartbeat(request: Request, responder: Responder) {
+        val heartbeat = WorkerWire.parseHeartbeat(request.body)
         responder.send(
             when {
-                report == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
+                heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
                 replica.state != ReplicaState.CURRENT -> JobService.later()
-                else -> owner.checkin(report)
+                else -> shardOwnership.handleHeartbeat(heartbeat)
             },
         )
     }
@@ -317,14 +322,14 @@
      */
     private fun health(): Reply {
         val silent = loop.now().secondsSince(store.lastGood)
-        val alone = othersHearState()
-        val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerMessenger.of(it.member) != null } && silent >= LONELY_S
+        val alone = peersReachStateService()
+        val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
         val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
         return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
     }
 
-    private fun othersHearState(): Boolean = settings.peers.any { peer ->
-        peerMessenger.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
+    private fun peersReachStateService(): Boolean = settings.peers.any { peer ->
+        peerStatusExchange.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
             ?: false
     }
 
@@ -335,12 +340,12 @@
         }
         if (request.path == PeerWire.CANCELLED_PATH) {
             val cancellations = PeerWire.decodeCancelled(request.body)
-            cancellations?.let(cancellationNotices::receive)
+            cancellations?.let(cancellationBroadcast::receive)
             return responder.send(Reply(if (cancellations == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
         }
         if (request.path != PeerWire.PATH) return responder.send(Reply(HttpStatus.NOT_FOUND))
         val status = PeerWire.decode(request.body)
-        if (status != null) peerMessenger.receive(status)
+        if (status != null) peerStatusExchange.receive(status)
         responder.send(Reply(if (status == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
     }
 
@@ -349,7 +354,7 @@
         private const val BUDGET_USED = 0.9
         private const val CLOUD_SHARE = 0.9
         private const val ROUND_REST = 3
-        private const val LEADS_PART_OF_CLOUD = 0.6
+        private const val LEADER_SHARE_OF_CLOUD = 0.6
         private const val LONELY_S = 10.0
         private const val LEASES_TO_SETTLE = 1.5
         private const val READINGS_IN_STALENESS = 4
@@ -363,14 +368,16 @@
          * then the worker's lease. The margin covers the drift of the clocks, a thousandth of both together; where there is
          * little time between lease and cancellation, it is a third of that.
          */
-        fun stalenessLimit(leaseS: Double, cancelS: Double, tuning: Tuning): Duration {
+        fun stalenessLimit(leaseS: Double, cancelS: Double, operatorSettings: OperatorSettings): Duration {
             val between = (cancelS - leaseS).seconds
-            val wanted = tuning.stalenessMargin
-            val margin = if (wanted > Tuning.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
+            val wanted = operatorSettings.stalenessMargin
+            val margin = if (wanted > OperatorSettings.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
             if (between - margin < MIN_STALENESS) {
-                throw BadSetting("deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in")
+                throw InvalidSettingException(
+                    "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
+                )
             }
-            return minOf(tuning.stalenessLimit, between - margin)
+            return minOf(operatorSettings.stalenessLimit, between - margin)
         }
     }
 }
--- a/src/main/kotlin/copperglade/fleet/BoundDemand.kt
+++ b/src/main/kotlin/copperglade/fleet/ConstrainedDemand.kt
@@ -10,20 +10,20 @@
 import kotlin.math.min
 
 /** Where some jobs' tasks may run, and nowhere else. */
-data class Binding(val types: List<String>?, val zone: String?, val spotAllowed: Boolean) {
+data class PlacementConstraint(val types: List<String>?, val zone: String?, val spotAllowed: Boolean) {
     fun allows(type: String, machineZone: String, spot: Boolean): Boolean =
         (types == null || type in types) && (zone == null || zone == machineZone) && (!spot || spotAllowed)
 }
 
-/** CPUs that wait for room under a [Binding], and the largest request among them. */
-class BoundWork(var cpus: Double, var largest: Resources)
+/** CPUs that wait for room under a [PlacementConstraint], and the largest request among them. */
+class ConstrainedWork(var cpus: Double, var largest: Resources)
 
 /**
  * Waiting work that can't use every machine. The fleet as a whole may be large enough while all of its room is elsewhere:
  * a job bound to a zone that had lost its machines, the rest of them full of services, waited for ever, since there were CPUs
  * enough in the other zone. Nor did a task of six CPUs ever start where two machines had four CPUs left each.
  */
-object BoundDemand {
+object ConstrainedDemand {
     /**
      * @param zoneOf the zone in which a job that must stay in one has begun.
      * @param fragmented whether a task of the job has waited for long though all free pieces together would hold it.
@@ -33,8 +33,8 @@
         teams: Map<TeamName, Team>,
         zoneOf: (Job) -> String?,
         fragmented: (Job) -> Boolean,
-    ): Map<Binding, BoundWork> {
-        val bound = HashMap<Binding, BoundWork>()
+    ): Map<PlacementConstraint, ConstrainedWork> {
+        val bound = HashMap<PlacementConstraint, ConstrainedWork>()
         val waitingJobs = jobs.filter { it.spec != null && it.wantedTasks > it.assignments().size && !it.blocked }
         val fragmentedJobs = waitingJobs.filterTo(HashSet()) { !isBoundToPlace(it, zoneOf) && fragmented(it) }
         if (fragmentedJobs.isEmpty() && waitingJobs.none { isBound(it.spec!!) }) return bound
@@ -42,7 +42,7 @@
         for (job in jobs) job.spec?.let { used.merge(it.team, job.assignments().size * it.request.cpus, Double::plus) }
         for (job in waitingJobs) {
             val spec = job.spec ?: continue
-            if (job.cancelled || job.complete || job.mistaken) continue
+            if (job.cancelled || job.complete || job.failing) continue
             val zone = spec.zone ?: if (spec.oneZone) zoneOf(job) else null
             val isFragmented = zone == null && spec.types == null
             if (isFragmented && job !in fragmentedJobs) continue
@@ -51,7 +51,7 @@
             val within = max(0.0, limit - (used[spec.team] ?: 0.0))
             if (within < spec.request.cpus) continue
             val cpus = min(within, max(1.0, waiting * DemandEstimate.atOnce(job, spec)) * spec.request.cpus)
-            val work = bound.getOrPut(Binding(spec.types, zone, spec.spotAllowed)) { BoundWork(0.0, Resources.ZERO) }
+            val work = bound.getOrPut(PlacementConstraint(spec.types, zone, spec.spotAllowed)) { ConstrainedWork(0.0, Resources.ZERO) }
             work.cpus += cpus
             if (spec.request.cpus > work.largest.cpus) work.largest = spec.request
         }
@@ -67,7 +67,7 @@
     private fun isBound(spec: JobSpec) = spec.zone != null || spec.types != null || spec.oneZone
 
     /** CPUs of room that such work could have at once. */
-    fun room(binding: Binding, work: BoundWork, rooms: Collection<MachineAvailability>): Double = rooms
+    fun freeCapacity(binding: PlacementConstraint, work: ConstrainedWork, capacities: Collection<MachineAvailability>): Double = capacities
         .filter { it.usable && binding.allows(it.type, it.zone, it.spot) && work.largest.fitsIn(it.free) }
         .sumOf { it.free.cpus }
 }
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -49,7 +49,7 @@
         for (job in jobs.filter { it.live != null }.sortedBy { it.live!!.value.acceptedAtMs }) {
             val spec = job.spec ?: continue
             if (job.cancelled || job.complete || job.blocked) continue
-            if (job.mistaken) {
+            if (job.failing) {
                 val trial = if (spec.spotAllowed) Demand(0.0, spec.request.cpus) else Demand(spec.request.cpus, 0.0)
                 if (trial.cpus > largestTrial.cpus) largestTrial = trial
                 continue
@@ -60,7 +60,7 @@
             used[spec.team] = before + cpus
             if (spec.spotAllowed) flexible += cpus else ordinary += cpus
         }
-        // A mistaken job is tried on what is there for others; only where nothing else is wanted it gets a machine of its own.
+        // A failing job is tried on what is there for others; only where nothing else is wanted it gets a machine of its own.
         return Demand(ordinary, flexible).takeIf { it.cpus > 0.0 } ?: largestTrial
     }
 
@@ -72,7 +72,7 @@
             val spec = job.spec ?: continue
             val standing = job.assignments().size
             used.merge(spec.team, standing * spec.request.cpus, Double::plus)
-            if (job.cancelled || job.complete || job.blocked || job.mistaken) continue
+            if (job.cancelled || job.complete || job.blocked || job.failing) continue
             waiting.merge(spec.team, (job.wantedTasks - standing) * spec.request.cpus, Double::plus)
         }
         return waiting.entries.sumOf { (team, cpus) ->
--- a/src/main/kotlin/copperglade/fleet/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Fleet.kt
@@ -18,8 +18,8 @@
 import copperglade.protocol.ShardName
 import copperglade.protocol.TeamName
 import copperglade.protocol.secondsSince
+import copperglade.settings.OperatorSettings
 import copperglade.settings.Team
-import copperglade.settings.Tuning
 import copperglade.shards.ShardMap
 import copperglade.storage.Job
 import copperglade.storage.Replica
@@ -49,7 +49,7 @@
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val shardMap: ShardMap,
-    private val tuning: Tuning,
+    private val operatorSettings: OperatorSettings,
     private val listLagS: Double,
     private val statusOf: (MemberId) -> PeerStatus?,
 ) {
@@ -89,24 +89,24 @@
     private fun round() {
         val now = loop.now()
         listing.refresh(now)
-        val rooms = rooms()
-        rooms.keys.forEach { heardAt[it] = now }
+        val capacities = capacities()
+        capacities.keys.forEach { heardAt[it] = now }
         replacementS = replacementS()
         updateLevels(now)
         if (listing.readAt == MonotonicTime.NEVER) return
         clearOut(now)
         // A new leader's list may lack what its predecessor has just rented.
         if (leadership.leadingForS < 2 * listLagS && replica.knownRevision.number > FIRST_REVISIONS) return
-        adjust(now, rooms)
+        adjust(now, capacities)
     }
 
-    private fun rooms(): Map<MachineName, MachineAvailability> {
-        val rooms = HashMap<MachineName, MachineAvailability>()
+    private fun capacities(): Map<MachineName, MachineAvailability> {
+        val capacities = HashMap<MachineName, MachineAvailability>()
         for (record in replica.shards.values) {
             val status = statusOf(record.value.member) ?: continue
-            for (shard in status.shards) shard.machines.forEach { rooms[it.name] = it }
+            for (shard in status.shards) shard.machines.forEach { capacities[it.name] = it }
         }
-        return rooms
+        return capacities
     }
 
     private fun listRead() {
@@ -117,7 +117,13 @@
     /** Demand comes in bursts; the level follows it up at once and down slowly. */
     private fun updateLevels(now: MonotonicTime) {
         val demand = DemandEstimate.of(replica.jobs.values, teams)
-        val fade = if (levelAt == MonotonicTime.NEVER) 0.0 else exp(-now.secondsSince(levelAt) / (replacementS * tuning.fadeReplacements))
+        val fade = if (levelAt ==
+            MonotonicTime.NEVER
+        ) {
+            0.0
+        } else {
+            exp(-now.secondsSince(levelAt) / (replacementS * operatorSettings.scaleInHysteresisReplacements))
+        }
         ordinaryLevel = max(demand.ordinary, ordinaryLevel * fade)
         flexibleLevel = max(demand.flexible, flexibleLevel * fade)
         levelAt = now
@@ -146,7 +152,7 @@
                     ?.any { it.shard == shard } ?: false
                 val heard = heardAt.getOrPut(machine.name) { now }
                 if (!ownerHeard) heardAt[machine.name] = now
-                machine.ageS > bootS && now.secondsSince(heard) > UNHEARD_S
+                machine.ageS > bootS && now.secondsSince(heard) > UNREACHABLE_S
             }
         }
     }
@@ -174,29 +180,36 @@
 
     private class Inventory(var ordinary: Double, var spot: Double)
 
-    private fun adjust(now: MonotonicTime, rooms: Map<MachineName, MachineAvailability>) {
+    private fun adjust(now: MonotonicTime, capacities: Map<MachineName, MachineAvailability>) {
         rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds + listing.interval }
         val counts = HashMap<Kind, Int>()
         val inventory = Inventory(0.0, 0.0)
         for (machine in listed.values) {
             val kind = Kind(machine.type, machine.zone, machine.spot)
             if (machine.name in deletedAt || isOverdue(machine) || isDead(machine, now)) continue
-            if (rooms[machine.name]?.worthKeeping == false && now.secondsSince(heardAt[machine.name] ?: now) < UNHEARD_S) continue
+            if (capacities[machine.name]?.worthKeeping == false && now.secondsSince(heardAt[machine.name] ?: now) < UNREACHABLE_S) continue
             count(kind, 1, counts, inventory)
         }
         for (machine in rentedMachines.values) count(machine.kind, 1, counts, inventory)
         for ((kind, number) in pending) count(kind, number, counts, inventory)
 
-        val ordinaryTarget = ordinaryLevel * tuning.headroom
-        val flexibleTarget = flexibleLevel * tuning.headroom
+        val ordinaryTarget = ordinaryLevel * operatorSettings.headroom
+        val flexibleTarget = flexibleLevel * operatorSettings.headroom
         var ordinaryMissing = ordinaryTarget - inventory.ordinary
         val spare = max(0.0, -ordinaryMissing)
         var flexibleMissing = flexibleTarget - inventory.spot - spare
         if (flexibleMissing > 0) flexibleMissing -= rent(flexibleMissing, spot = true, counts, now)
         if (flexibleMissing > 0) ordinaryMissing = max(0.0, ordinaryMissing) + flexibleMissing
         if (ordinaryMissing > 0) rent(ordinaryMissing, spot = false, counts, now)
-        rentBound(rooms, counts, now)
-        retire = if (flexibleMissing > 0 || ordinaryMissing > 0) unusable(rooms) else idle(rooms, inventory, ordinaryTarget, flexibleTarget)
+        rentBound(capacities, counts, now)
+        retire =
+            if (flexibleMissing > 0 ||
+                ordinaryMissing > 0
+            ) {
+                unusable(capacities)
+            } else {
+                idle(capacities, inventory, ordinaryTarget, flexibleTarget)
+            }
     }
 
     private fun count(kind: Kind, number: Int, counts: HashMap<Kind, Int>, inventory: Inventory) {
@@ -206,31 +219,31 @@
     }
 
     /** What waits for room that only some machines can give is rented for beside the rest, unless such machines are on their way. */
-    private fun rentBound(rooms: Map<MachineName, MachineAvailability>, counts: HashMap<Kind, Int>, now: MonotonicTime) {
-        val demand = BoundDemand.of(
+    private fun rentBound(capacities: Map<MachineName, MachineAvailability>, counts: HashMap<Kind, Int>, now: MonotonicTime) {
+        val demand = ConstrainedDemand.of(
             replica.jobs.values,
             teams,
             zoneOf = { job -> job.assignments().firstOrNull()?.let { shardMap.zoneOf(it.shard) } },
-            fragmented = { isFragmented(it, rooms.values) },
+            fragmented = { isFragmented(it, capacities.values) },
         )
         for ((binding, work) in demand) {
             val allowed = { kind: Kind -> binding.allows(kind.type, kind.zone, kind.spot) }
             val coming = listed.values
-                .filter { it.name !in rooms && it.name !in deletedAt && !isOverdue(it) && !isDead(it, now) }
+                .filter { it.name !in capacities && it.name !in deletedAt && !isOverdue(it) && !isDead(it, now) }
                 .map { Kind(it.type, it.zone, it.spot) } + rentedMachines.values.map { it.kind } +
                 pending.flatMap { (kind, number) -> List(number) { kind } }
             val comingCpus = coming.filter(allowed).sumOf { types[it.type]?.capacity?.cpus ?: 0.0 }
-            var missing = work.cpus - comingCpus - BoundDemand.room(binding, work, rooms.values)
+            var missing = work.cpus - comingCpus - ConstrainedDemand.freeCapacity(binding, work, capacities.values)
             if (missing > 0 && binding.spotAllowed) missing -= rent(missing, spot = true, counts, now, allowed)
             if (missing > 0) rent(missing, spot = false, counts, now, allowed)
         }
     }
 
     /** Whether a task of [job] has found no machine for a while, though there is as much room on all of them together. */
-    private fun isFragmented(job: Job, rooms: Collection<MachineAvailability>): Boolean {
+    private fun isFragmented(job: Job, capacities: Collection<MachineAvailability>): Boolean {
         val spec = job.spec ?: return false
         if (loop.wallMillis() < job.startableSinceMs + FRAGMENTED_AFTER_MS) return false
-        val allowed = rooms.filter { it.usable && spec.allows(it.type, it.zone, it.spot) }
+        val allowed = capacities.filter { it.usable && spec.allows(it.type, it.zone, it.spot) }
         return allowed.none { spec.request.fitsIn(it.free) } && allowed.sumOf { it.free.cpus } >= spec.request.cpus
     }
 
@@ -293,38 +306,38 @@
         }
     }
 
-    private fun unusable(rooms: Map<MachineName, MachineAvailability>): List<MachineName> {
-        val idle = rooms.values.filter { !it.worthKeeping && it.idleMs > UNUSABLE_IDLE_MS }
+    private fun unusable(capacities: Map<MachineName, MachineAvailability>): List<MachineName> {
+        val idle = capacities.values.filter { !it.worthKeeping && it.idleMs > UNUSABLE_IDLE_MS }
         return idle.map { it.name }
     }
 
     private fun idle(
-        rooms: Map<MachineName, MachineAvailability>,
+        capacities: Map<MachineName, MachineAvailability>,
         inventory: Inventory,
         ordinaryTarget: Double,
         flexibleTarget: Double,
     ): List<MachineName> {
         val chosen = ArrayList<MachineName>()
-        chosen += unusable(rooms)
-        val longEnoughMs = replacementS * tuning.idleReplacements * MS
-        val candidates = rooms.values
+        chosen += unusable(capacities)
+        val longEnoughMs = replacementS * operatorSettings.idleReplacements * MS
+        val candidates = capacities.values
             .filter { it.usable && it.idleMs >= longEnoughMs }
             .sortedWith(compareBy({ it.spot }, { it.name.text }))
         // Room that waiting tasks could have right now is not idle, however long it takes to assign them: in a burst on a
         // grown day 200 machines were returned with 60 jobs waiting, and rented again half a minute later.
-        var free = rooms.values.filter { it.usable }.sumOf { it.free.cpus } - DemandEstimate.backlogCpus(replica.jobs.values, teams)
-        for (room in candidates) {
-            val cpus = types[room.type]?.capacity?.cpus ?: continue
+        var free = capacities.values.filter { it.usable }.sumOf { it.free.cpus } - DemandEstimate.backlogCpus(replica.jobs.values, teams)
+        for (freeCapacity in candidates) {
+            val cpus = types[freeCapacity.type]?.capacity?.cpus ?: continue
             if (free < cpus) break
-            val ordinary = inventory.ordinary - if (room.spot) 0.0 else cpus
-            val spot = inventory.spot - if (room.spot) cpus else 0.0
+            val ordinary = inventory.ordinary - if (freeCapacity.spot) 0.0 else cpus
+            val spot = inventory.spot - if (freeCapacity.spot) cpus else 0.0
             val spare = ordinary - ordinaryTarget
             val enough = spare >= 0.0 && spot + spare >= flexibleTarget
             if (!enough) continue
             free -= cpus
             inventory.ordinary = ordinary
             inventory.spot = spot
-            chosen += room.name
+            chosen += freeCapacity.name
         }
         return chosen
     }
@@ -334,7 +347,7 @@
         const val MS = 1000
         const val MAX_BOOTS = 3.0
         const val BOOT_SLACK_S = 20.0
-        const val UNHEARD_S = 40.0
+        const val UNREACHABLE_S = 40.0
         const val FRAGMENTED_AFTER_MS = 20_000L
         const val UNUSABLE_IDLE_MS = 3000L
         const val LAGS_TO_BE_LISTED = 2.0
--- a/src/main/kotlin/copperglade/jobs/CancellationNotices.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -18,7 +18,7 @@
  * state service refuses ends the tasks at once then, and not only with its knowledge; it starts none of them any more. It
  * only helps: who hears nothing keeps to the age of what it knows.
  */
-class CancellationNotices(
+class CancellationBroadcast(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val peers: List<Peer>,
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -1,7 +1,7 @@
 package copperglade.jobs
 
 import copperglade.membership.Leadership
-import copperglade.observability.DecisionLog
+import copperglade.observability.ActionAudit
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
 import copperglade.safety.ActionGuard
@@ -29,7 +29,7 @@
     private val replica: Replica,
     private val leadership: Leadership,
     private val guard: ActionGuard,
-    private val decisions: DecisionLog,
+    private val audit: ActionAudit,
 ) : ReplicaListener {
     private val inFlight = HashSet<JobId>()
 
@@ -58,7 +58,7 @@
     private fun finalize(over: List<Job>) {
         val jobs = guard.approveEnds(over)
         if (jobs.isEmpty()) return
-        jobs.forEach { decisions.ended(it.id) }
+        jobs.forEach { audit.ended(it.id) }
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
         conditions += leadership.condition
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -1,9 +1,9 @@
 package copperglade.jobs
 
 import copperglade.fleet.MachineTypeCatalog
-import copperglade.protocol.BadField
 import copperglade.protocol.Cancellation
 import copperglade.protocol.Decoding
+import copperglade.protocol.InvalidField
 import copperglade.protocol.JobAnswer
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -46,14 +46,14 @@
     private val replica: Replica,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
-    private val cancellationNotices: CancellationNotices,
+    private val cancellationBroadcast: CancellationBroadcast,
 ) {
     private val resolver = DependencyResolver(replica)
 
     fun submit(body: ByteArray, responder: Responder) {
         val root = Json.readStrict(body)
         val id = root?.takeIf { it.isObject }?.text("nameId")?.let { JobId.parse(it) }
-        val parsed = Decoding.orNull("submission") { JobSpecCodec.parse(root) } ?: ParsedJob.Bad(BadField("body", "malformed"))
+        val parsed = Decoding.orNull("submission") { JobSpecCodec.parse(root) } ?: ParsedJob.Bad(InvalidField("body", "malformed"))
         if (id == null) return responder.send(badRequest((parsed as ParsedJob.Bad).why))
         if (replica.jobs[id]?.live != null || replica.endOf(id) != null) return status(id, responder) { answerKnown(it, responder) }
         when (parsed) {
@@ -154,7 +154,7 @@
                     when (outcome) {
                         is TransactionOutcome.Applied -> {
                             replica.applied(transaction, outcome.revision)
-                            cancellationNotices.tell(Cancellation(id, outcome.revision)) { cancel(id, responder, tries - 1) }
+                            cancellationBroadcast.tell(Cancellation(id, outcome.revision)) { cancel(id, responder, tries - 1) }
                         }
                         TransactionOutcome.Refused -> responder.send(later())
                         else -> cancel(id, responder, tries - 1)
@@ -209,11 +209,11 @@
     private fun answerKnown(answer: JobAnswer?, responder: Responder) =
         responder.send(if (answer == null) later() else Reply(HttpStatus.OK, UserWire.short(answer.id, answer.status)))
 
-    private fun badRequest(why: BadField) = Reply(HttpStatus.BAD_REQUEST, UserWire.error("${why.field}: ${why.problem}", why.field))
+    private fun badRequest(why: InvalidField) = Reply(HttpStatus.BAD_REQUEST, UserWire.error("${why.field}: ${why.problem}", why.field))
 
     private fun unprocessable(problem: String) = Reply(HttpStatus.UNPROCESSABLE, UserWire.error(problem))
 
-    private fun tooLarge(field: String) = badRequest(BadField(field, "too large to be stored"))
+    private fun tooLarge(field: String) = badRequest(InvalidField(field, "too large to be stored"))
 
     private fun unknown() = Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job"))
 
--- a/src/main/kotlin/copperglade/membership/AbsentOwners.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -11,10 +11,10 @@
 
 /**
  * Until when other controllers may have answered workers of shards that were theirs. One that hears from nobody goes on
- * answering for [grace] beyond its session lease ([Membership.mayKeep]); one that is back under a new incarnation has
+ * answering for [grace] beyond its session lease ([Membership.mayExtendWorkerLeases]); one that is back under a new incarnation has
  * stopped.
  */
-class AbsentOwners(
+class FormerIncarnations(
     private val loop: EventLoop,
     private val replica: Replica,
     private val others: List<MemberId>,
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -84,7 +84,7 @@
 }
 
 /** Whether this process has the right to act on workers, at the moment of asking. */
-interface RightToAct {
+interface ActionAuthority {
     /** Whether workers may be answered and commanded. */
     val mayAct: Boolean
 
@@ -104,7 +104,7 @@
     private val leaseLength: Duration,
     private val stalenessLimit: Duration,
     private val startLimit: Duration,
-) : RightToAct {
+) : ActionAuthority {
     private var lease = SessionLease(loop, store, leaseLength)
 
     var state = MemberState.OUTSIDE
@@ -130,7 +130,7 @@
     private val knowsRecords: Boolean get() = replica.state == ReplicaState.CURRENT
 
     /** For how long [mayAct] will hold if nothing more is heard, in milliseconds; 0 where it doesn't. */
-    val rightLeftMs: Long
+    val authorityRemainingMs: Long
         get() {
             if (!mayAct) return 0
             val byLease = maxOf(lease.surelyUntil, leaseEndorsement.endorsedUntil)
@@ -148,9 +148,9 @@
     /**
      * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the session
      * lease has run out without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over
-     * reckon with it ([AbsentOwners]).
+     * reckon with it ([FormerIncarnations]).
      */
-    val mayKeep: Boolean
+    val mayExtendWorkerLeases: Boolean
         get() = state == MemberState.MEMBER && knowsRecords && loop.now() < minOf(lease.renewedAt, replica.readTime) + stalenessLimit
 
     /** How long that may go on beyond the session lease. */
--- a/src/main/kotlin/copperglade/membership/PeerMessenger.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -24,7 +24,7 @@
  * Sends this controller's status to its peers and keeps the latest of theirs. Where the leader can't be reached, because
  * controllers refuse each other, a member's free capacity goes to it through the state service: less of it, and less often.
  */
-class PeerMessenger(
+class PeerStatusExchange(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val store: StateClient,
@@ -52,7 +52,7 @@
     private fun tell(status: PeerStatus) {
         heard(status)
         val leader = currentLeader()
-        // Only the leader works with the rooms; for hundreds of machines they are most of a status message.
+        // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
         val brief = lazy { PeerWire.encode(status.brief()) }
         val now = loop.now()
         val briefDue = now >= briefAt + BRIEF_INTERVAL
@@ -82,7 +82,7 @@
         if (now < reached + UNREACHED || now < recordedAt + RECORD_INTERVAL) return
         recordedAt = now
         val value = fittingValue(status) ?: return
-        val write = Write.Set(Keys.room(self), value)
+        val write = Write.Set(Keys.memberCapacity(self), value)
         // A hint only, and of use only while it is new: no condition, and what comes late is told by its incarnation.
         store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
--- a/src/main/kotlin/copperglade/observability/DecisionLog.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -6,8 +6,8 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
 import copperglade.protocol.TaskId
+import copperglade.safety.InvariantViolations
 import copperglade.safety.Refusal
-import copperglade.safety.Violations
 import copperglade.storage.Replica
 import copperglade.tasks.Run
 import copperglade.transport.EventLoop
@@ -19,11 +19,11 @@
  * Tells what was done and on what it rested: which token, how old the records were, how long the right to act would last, what the job
  * waited for. Each action is a line at `debug`; at `info` there are counts, once a minute. All in the form `key=value`.
  */
-class DecisionLog(
+class ActionAudit(
     private val loop: EventLoop,
     private val replica: Replica,
     private val membership: Membership,
-    private val violations: Violations,
+    private val violations: InvariantViolations,
 ) {
     private val counts = TreeMap<String, Int>()
 
@@ -82,7 +82,7 @@
     }
 
     private fun right() =
-        "knowledge_ms=${loop.now().ms - replica.readTime.ms} revision=${replica.knownRevision} lease_ms=${membership.rightLeftMs} replica=${replica.state}"
+        "knowledge_ms=${loop.now().ms - replica.readTime.ms} revision=${replica.knownRevision} lease_ms=${membership.authorityRemainingMs} replica=${replica.state}"
 
     private fun basis(id: JobId): String {
         val job = replica.jobs[id]
--- a/src/main/kotlin/copperglade/observability/Workload.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -16,7 +16,7 @@
  * What the event loop is busy with, by kind: how often, for how long in all, and at the longest. Logged once a minute:
  * at hundreds of machines a controller is as good as its loop has time left.
  */
-class Workload(private val loop: EventLoop) {
+class EventLoopMetrics(private val loop: EventLoop) {
     private class Tally {
         var count = 0
         var micros = 0L
--- a/src/main/kotlin/copperglade/observability/Latencies.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** How long users wait for our answers; logged once a minute. */
-class Latencies(private val loop: EventLoop, private val what: String) {
+class RequestLatency(private val loop: EventLoop, private val what: String) {
     private val histogram = Histogram(MAX_MS, DIGITS)
     private var turnedAway = 0
 
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -1,9 +1,9 @@
 package copperglade.ownership
 
 import copperglade.agents.CommandPlanner
+import copperglade.agents.HeartbeatHandler
 import copperglade.agents.MachineHealth
 import copperglade.agents.MachineTracker
-import copperglade.agents.ReportIntake
 import copperglade.agents.RunReconciler
 import copperglade.agents.RunStopper
 import copperglade.agents.TaskObserver
@@ -14,18 +14,18 @@
 import copperglade.placement.ShardSummary
 import copperglade.placement.StragglerRestarts
 import copperglade.protocol.FencingToken
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.JobId
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.protocol.ShardCapacity
 import copperglade.protocol.ShardName
 import copperglade.storage.ImageRecord
 import copperglade.storage.Job
 import copperglade.storage.StateClient
 import copperglade.storage.TaskRange
+import copperglade.tasks.FailingJobs
 import copperglade.tasks.Machine
-import copperglade.tasks.MistakenJobs
 import copperglade.tasks.OutcomeLog
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
@@ -40,7 +40,7 @@
  *
  * The work is done by its parts, which this class wires and calls in a fixed order:
  * - [RunReconciler] keeps the runs in line with the records;
- * - [ReportIntake] decides which reports are believed and answers them, [MachineTracker] follows the machines and
+ * - [HeartbeatHandler] decides which reports are believed and answers them, [MachineTracker] follows the machines and
  *   [TaskObserver] the tasks on them;
  * - [WorkerCommands] sends what [CommandPlanner] finds due, and [UnresolvedStarts] keeps account of unknown outcomes;
  * - [ShardPlacement] starts what waits, [StragglerRestarts] restarts stragglers, [RunStopper] and [RunLifecycle] end runs;
@@ -64,13 +64,13 @@
     private val reconciler = RunReconciler(state, stopper, backoff)
     private val observer = TaskObserver(state, lifecycle, stopper, commands, outcomes, backoff)
     private val tracker = MachineTracker(state, lifecycle, commands, observer, unresolved)
-    private val intake = ReportIntake(state, tracker, commands)
+    private val heartbeatHandler = HeartbeatHandler(state, tracker, commands)
     private val placement = ShardPlacement(state, health, lifecycle, stopper, commands, backoff)
     private val stragglers = StragglerRestarts(state, outcomes, stopper)
     private var nextSweep = MonotonicTime.NEVER
 
     /** Jobs that fail wherever they run. */
-    val mistakenJobs: MistakenJobs get() = context.mistakenJobs
+    val failingJobs: FailingJobs get() = context.failingJobs
 
     /** The shard's machines, as far as their workers have been heard. */
     val machines: Map<MachineName, Machine> get() = state.machines
@@ -113,17 +113,17 @@
      * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
      * that we may act.
      */
-    fun checkin(report: Report): ByteArray? = intake.checkin(report)
+    fun handleHeartbeat(heartbeat: Heartbeat): ByteArray? = heartbeatHandler.handleHeartbeat(heartbeat)
 
     /**
      * Answers a worker while we may act no more but know of nobody else who would; null where it must not be answered
      * with 200.
      */
-    fun keep(report: Report): ByteArray? = intake.keep(report)
+    fun extendWorkerLease(heartbeat: Heartbeat): ByteArray? = heartbeatHandler.extendWorkerLease(heartbeat)
 
     /** Commands need the tracker for what they bring back, and the tracker needs commands: this ties the two together. */
-    private fun heardReply(machine: Machine, report: Report, sentAt: MonotonicTime) {
-        tracker.hearReply(machine, report, sentAt)
+    private fun heardReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
+        tracker.hearReply(machine, heartbeat, sentAt)
     }
 
     /**
@@ -132,14 +132,14 @@
      */
     fun tick() {
         if (!open) return
-        val workload = context.workload
-        workload.measure("blocks: outcomes") { outcomes.flush() }
+        val metrics = context.metrics
+        metrics.measure("blocks: outcomes") { outcomes.flush() }
         val now = context.loop.now()
-        workload.measure("blocks: placement") { placement.place(now) }
+        metrics.measure("blocks: placement") { placement.place(now) }
         if (now < nextSweep) return
         nextSweep = now + SWEEP_INTERVAL
-        workload.measure("blocks: sweep") { sweep(now) }
-        if (context.membership.mayAct) workload.measure("blocks: stragglers") { stragglers.restartWorthwhile(now) }
+        metrics.measure("blocks: sweep") { sweep(now) }
+        if (context.membership.mayAct) metrics.measure("blocks: stragglers") { stragglers.restartWorthwhile(now) }
     }
 
     /** Whatever a report or a record changes is seen to at once; the sweep finds what only time has changed. */
@@ -159,10 +159,10 @@
     fun imageRecord(limitBytes: Int): ImageRecord = summary.imageRecord(limitBytes)
 
     /** How many of the shard's machines have missed a report. */
-    fun unheardMachines(now: MonotonicTime): Int = health.countUnheard(now)
+    fun unreachableMachines(now: MonotonicTime): Int = health.countUnreachable(now)
 
     /** The capacity of the shard's machines, for the leader. */
-    fun room(): ShardCapacity = summary.room()
+    fun capacity(): ShardCapacity = summary.capacity()
 
     private companion object {
         val SWEEP_INTERVAL = 400.milliseconds
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -3,10 +3,10 @@
 import copperglade.protocol.CloudWire
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardCapacity
 import copperglade.protocol.ShardName
@@ -42,19 +42,19 @@
     private val cloud: Endpoint,
     private val cloudBudget: TokenBucket,
     /** Whether a controller is heard that the state service answers: it, or whom it knows, takes our shards over. */
-    private val othersKnowMore: () -> Boolean,
+    private val peersReachStateService: () -> Boolean,
 ) : ReplicaListener {
     private val loop = context.loop
     private val replica = context.replica
     private val membership = context.membership
     private val owned = HashMap<ShardName, ShardOwner>()
     private val keyInFlight = HashSet<ShardName>()
-    private var unheardCheckedAt = MonotonicTime.NEVER
-    private var unheardTimes = 0
+    private var unreachableCheckedAt = MonotonicTime.NEVER
+    private var unreachableTimes = 0
 
     fun start() {
-        loop.again({ TICK + TICK_PER_MACHINE * machineCount }) { context.workload.measure("blocks") { tick() } }
-        loop.again({ GIVE_UP_INTERVAL }, ::giveUpUnheard)
+        loop.again({ TICK + TICK_PER_MACHINE * machineCount }) { context.metrics.measure("blocks") { tick() } }
+        loop.again({ GIVE_UP_INTERVAL }, ::releaseIfWorkersUnreachable)
         // At leisure: image records spare fetches after a takeover, and nothing depends on them.
         loop.again({ REMEMBER_INTERVAL }) {
             if (membership.mayAct && store.writeLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
@@ -66,19 +66,19 @@
      * on a bench day one sat on a third of the machines for the 40 s in which it was cut off from them, and all their
      * leases ran out. It gives the shards up while the leases last, and says so, that it doesn't get them back at once.
      */
-    private fun giveUpUnheard() {
+    private fun releaseIfWorkersUnreachable() {
         val now = loop.now()
         // After a pause of our own, everybody seems to have been silent: what has come meanwhile is read first.
-        val onTime = now < unheardCheckedAt + GIVE_UP_INTERVAL * 2
-        unheardCheckedAt = now
+        val onTime = now < unreachableCheckedAt + GIVE_UP_INTERVAL * 2
+        unreachableCheckedAt = now
         val shards = owned.values.filter { it.open }
         val machines = shards.sumOf { it.machines.size }
-        val unheard = machines >= MIN_TO_TELL && shards.sumOf { it.unheardMachines(now) } == machines && !store.isSilent()
-        unheardTimes = if (unheard && onTime) unheardTimes + 1 else 0
-        if (unheardTimes < TIMES_TO_TELL) return
-        unheardTimes = 0
+        val unreachable = machines >= MIN_TO_TELL && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isSilent()
+        unreachableTimes = if (unreachable && onTime) unreachableTimes + 1 else 0
+        if (unreachableTimes < TIMES_TO_TELL) return
+        unreachableTimes = 0
         log.warn("none of our {} machines is heard: their blocks are given up", machines)
-        release(shards.map { it.name }, unheard = true)
+        release(shards.map { it.name }, unreachable = true)
     }
 
     private fun rememberImages(shard: ShardOwner) {
@@ -114,7 +114,7 @@
         if (changes.clusterRecordsChanged) reconcile()
         for (id in changes.jobs) {
             val job = replica.jobs[id]
-            if (job?.live == null) context.evidence.forgetJob(id)
+            if (job?.live == null) context.failureEvidence.forgetJob(id)
             for (shard in owned.values) if (job == null) shard.drop(id) else shard.sync(job)
         }
     }
@@ -175,13 +175,13 @@
      * Gives shards up that the leader would rather see elsewhere. We stop acting before we say so. Where the outcome
      * stays unknown, the drop might be applied much later, while we act again: the key is written anew first.
      */
-    fun release(names: List<ShardName>, unheard: Boolean = false) {
+    fun release(names: List<ShardName>, unreachable: Boolean = false) {
         for (name in names) {
             val shard = owned[name] ?: continue
             if (!shard.open || !keyInFlight.add(name)) continue
             close(shard)
             val key = Keys.shard(name)
-            val write = if (unheard) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Delete(key)
+            val write = if (unreachable) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Delete(key)
             rewrite(name, shard.fencingToken, write) { outcome ->
                 if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, shard.fencingToken)
             }
@@ -211,13 +211,17 @@
         reconcile()
     }
 
-    fun checkin(report: Report): Reply {
-        val name = shardMap.of(report.machine, report.zone)
+    fun handleHeartbeat(heartbeat: Heartbeat): Reply {
+        val name = shardMap.of(heartbeat.machine, heartbeat.zone)
         val shard = owned[name]
         if (shard != null && membership.mayAct) {
-            return shard.checkin(report)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
+            return shard.handleHeartbeat(heartbeat)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
+        }
+        if (shard != null && membership.mayExtendWorkerLeases &&
+            !peersReachStateService()
+        ) {
+            shard.extendWorkerLease(heartbeat)?.let { return Reply(HttpStatus.OK, it) }
         }
-        if (shard != null && membership.mayKeep && !othersKnowMore()) shard.keep(report)?.let { return Reply(HttpStatus.OK, it) }
         return Reply(HttpStatus.MISDIRECTED, WorkerWire.sendOn(ownerElsewhere(name)))
     }
 
@@ -229,7 +233,7 @@
 
     val machineCount: Int get() = owned.values.sumOf { it.machines.size }
 
-    fun rooms(): List<ShardCapacity> = owned.values.filter { it.open }.map { it.room() }
+    fun shardCapacities(): List<ShardCapacity> = owned.values.filter { it.open }.map { it.capacity() }
 
     /** Returns machines that the leader no longer needs, provided that nothing is on them. */
     fun retire(names: List<MachineName>) {
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -8,7 +8,7 @@
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.scheduling.PlacementCost
-import copperglade.scheduling.YieldingCapacity
+import copperglade.scheduling.PreemptibleCapacity
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
@@ -28,14 +28,14 @@
 ) {
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
         /** What stopping array tasks would free, by their priority; worked out once a round, for machines that are asked for it. */
-        private val yielding by lazy(LazyThreadSafetyMode.NONE) { YieldingCapacity.of(machine.runs.filter { !it.isPledged }) }
+        private val preemptible by lazy(LazyThreadSafetyMode.NONE) { PreemptibleCapacity.of(machine.runs.filter { !it.isPledged }) }
 
         /** Whether a task of [spec] would fit once all lower work on the machine is stopped. */
-        fun holdsYielding(spec: JobSpec): Boolean = spec.request.fitsIn(yielding.withAllBelow(spec.priority, free))
+        fun fitsWithPreemption(spec: JobSpec): Boolean = spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
     }
 
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
-        val rooms = usable.mapNotNull { machine ->
+        val candidates = usable.mapNotNull { machine ->
             types[machine.typeName]?.let { Candidate(machine, it, machine.free(it, now, requestOf)) }
         }
         val hopeless = HashSet<JobId>()
@@ -47,7 +47,7 @@
                 if (now >= run.since + PATIENCE) giveBack(run)
                 continue
             }
-            val chosen = choose(run, rooms)
+            val chosen = choose(run, candidates)
             if (chosen != null) {
                 chosen.free -= run.spec.request
                 run.target = null
@@ -56,10 +56,10 @@
             }
             // What was stopped for it is on its way out, which takes a while where that is saved.
             if (run.awaitsVictims) continue
-            if (mayPreempt(run) && preemptFor(run, rooms)) continue
+            if (mayPreempt(run) && preemptFor(run, candidates)) continue
             // Room gathers for it on one machine, or smaller tasks would take every piece that comes free.
             if (keptFor.add(run.task.job)) {
-                rooms.filter { allowed(run.spec, it.machine) }.maxByOrNull { it.free.cpus }?.free = Resources.ZERO
+                candidates.filter { allowed(run.spec, it.machine) }.maxByOrNull { it.free.cpus }?.free = Resources.ZERO
             }
             // Others may be kept from fewer machines than a task that has failed somewhere.
             if (run.avoid.isEmpty()) hopeless += run.task.job
@@ -70,7 +70,7 @@
     private fun allowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
 
     /** The cheapest place, then the fullest: what is empty can be returned. */
-    private fun choose(run: Run, rooms: List<Candidate>): Candidate? = rooms
+    private fun choose(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
             run.spec.request.fitsIn(it.free) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
                 !separated(run, it.machine) && it.machine.reportedTasks.none { reportedTask -> reportedTask.task == run.task }
@@ -80,9 +80,9 @@
                 .thenBy { it.free.cpus },
         )
 
-    private fun cost(spec: JobSpec, room: Candidate, preempts: Boolean): Double {
-        val there = room.machine.hasImage(spec.image) || room.machine.fetching(spec.image)
-        return PlacementCost.of(spec, room.type, room.machine.spot, there, preempts)
+    private fun cost(spec: JobSpec, candidate: Candidate, preempts: Boolean): Double {
+        val there = candidate.machine.hasImage(spec.image) || candidate.machine.fetching(spec.image)
+        return PlacementCost.of(spec, candidate.type, candidate.machine.spot, there, preempts)
     }
 
     /**
@@ -90,14 +90,14 @@
      * out what would have to be stopped: sorting the runs of every machine for every waiting task, seven times a second, was
      * two thirds of the handlers' time on a recorded day of some 540 machines.
      */
-    private fun preemptFor(run: Run, rooms: List<Candidate>): Boolean {
-        val costs = rooms
-            .filter { it.holdsYielding(run.spec) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid }
+    private fun preemptFor(run: Run, candidates: List<Candidate>): Boolean {
+        val costs = candidates
+            .filter { it.fitsWithPreemption(run.spec) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid }
             .map { it to cost(run.spec, it, preempts = true) }
             .sortedBy { it.second }
         val plan = costs
             .take(MAX_PLANS)
-            .mapNotNull { (room, cost) -> victims(run, room)?.let { Plan(cost, it) } }
+            .mapNotNull { (candidate, cost) -> victims(run, candidate)?.let { Plan(cost, it) } }
             .minWithOrNull(compareBy({ it.cost }, { it.victims.size })) ?: return false
         run.preempts(plan.victims)
         plan.victims.forEach(stop)
@@ -107,11 +107,11 @@
     private class Plan(val cost: Double, val victims: List<Run>)
 
     /** The runs to stop so that [run] fits; those already stopping come first, at no further cost. */
-    private fun victims(run: Run, room: Candidate): List<Run>? {
-        var free = room.free
+    private fun victims(run: Run, candidate: Candidate): List<Run>? {
+        var free = candidate.free
         val chosen = ArrayList<Run>()
-        val candidates = room.machine.runs
-            .filter { YieldingCapacity.mayYield(it) && !it.isPledged && it.spec.priority > run.spec.priority }
+        val candidates = candidate.machine.runs
+            .filter { PreemptibleCapacity.isPreemptible(it) && !it.isPledged && it.spec.priority > run.spec.priority }
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -27,7 +27,7 @@
     private val commands: WorkerCommands,
     private val backoff: RetryBackoff,
 ) {
-    private val mistakenJobs = state.context.mistakenJobs
+    private val failingJobs = state.context.failingJobs
     private val placedOn = LinkedHashSet<Machine>()
     private val placer = Placer(
         state.context.types,
@@ -35,7 +35,7 @@
         start = ::start,
         stop = { stopper.stop(it, StopReason.PREEMPTED) },
         giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
-        mayPreempt = { it.task.job !in mistakenJobs },
+        mayPreempt = { it.task.job !in failingJobs },
         separated = ::isSeparated,
     )
 
@@ -54,21 +54,21 @@
     private fun mayStart(run: Run, now: MonotonicTime): Boolean {
         val job = run.task.job
         if (now < run.notBefore || isRefused(run)) return false
-        return job !in mistakenJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
+        return job !in failingJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
     }
 
     /** The leader that assigned it may have known less than we do, or may be of a version that knows no dependencies. */
     private fun isRefused(run: Run): Boolean {
         val refusal = state.context.guard.refusalByRecords(run.task)
-        if (refusal != null && refusal != run.lastRefusal) state.context.decisions.refused(run.task, refusal)
+        if (refusal != null && refusal != run.lastRefusal) state.context.audit.refused(run.task, refusal)
         run.lastRefusal = refusal
         return refusal != null
     }
 
-    /** Of a mistaken job one task waits here to be tried; the others would only hold room and their team's limit. */
+    /** Of a failing job one task waits here to be tried; the others would only hold room and their team's limit. */
     private fun giveBackAllButOneTrial() {
-        val mistaken = state.runs.waiting.filter { it.task.job in mistakenJobs }
-        for ((job, runs) in mistaken.groupBy { it.task.job }) {
+        val failing = state.runs.waiting.filter { it.task.job in failingJobs }
+        for ((job, runs) in failing.groupBy { it.task.job }) {
             val trialRuns = state.runs.of(job).any { it.onMachine }
             runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "its job fails everywhere") }
         }
@@ -79,7 +79,7 @@
         val neverCompleted = state.context.replica.jobs[run.task.job]
             ?.done
             ?.isEmpty ?: false
-        return neverCompleted && state.context.evidence.separates(run.task.job, machine.name, state.context.loop.now())
+        return neverCompleted && state.context.failureEvidence.separates(run.task.job, machine.name, state.context.loop.now())
     }
 
     private fun start(run: Run, machine: Machine) {
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.ShardCapacity
-import copperglade.scheduling.YieldingCapacity
+import copperglade.scheduling.PreemptibleCapacity
 import copperglade.storage.ImageRecord
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
@@ -22,10 +22,10 @@
      * The capacity of the shard's fenced machines. A machine whose worker has not seen our token is left out, since what
      * it reports may still change by a former owner's commands.
      */
-    fun room(): ShardCapacity {
+    fun capacity(): ShardCapacity {
         val now = context.loop.now()
         val waiting = state.runs.waiting
-            .filter { now >= it.notBefore && it.task.job !in context.mistakenJobs }
+            .filter { now >= it.notBefore && it.task.job !in context.failingJobs }
             .mapTo(ArrayList()) { it.spec.request }
         val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
             context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
@@ -45,7 +45,7 @@
             worthKeeping = health.isWorthKeeping(machine, now),
             idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
             free = free,
-            yielding = YieldingCapacity.of(machine.runs).byPriority,
+            preemptible = PreemptibleCapacity.of(machine.runs).byPriority,
             images = machine.cachedImages,
         )
     }
--- a/src/main/kotlin/copperglade/placement/StragglerWatch.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,9 +1,9 @@
 package copperglade.placement
 
 import copperglade.prediction.Factors
-import copperglade.prediction.Option
+import copperglade.prediction.RestartOption
+import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
-import copperglade.prediction.Verdict
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
@@ -20,7 +20,7 @@
 class RestartDecision(val run: Run, val target: MachineName)
 
 /** Looks for stragglers in one shard and weighs restarting them on another of its machines (section 6 and DESIGN). */
-class StragglerWatch(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
+class StragglerDetector(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
     private var nextLook = MonotonicTime.NEVER
     private var turns = 0
 
@@ -30,8 +30,12 @@
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.heardAt + (context.reportS * 2).seconds
-            if (machine.draining || machine.deleting || machine.noticed || context.evidence.blamesMachine(machine.name) || silent) continue
+            val silent = now >= machine.heardAt + (context.heartbeatIntervalS * 2).seconds
+            if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
+                silent
+            ) {
+                continue
+            }
             free[machine.name] = machine.free(type, now, requestOf)
         }
         if (free.values.none { it.cpus > 0.0 }) return emptyList()
@@ -49,7 +53,7 @@
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
         val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * context.tuning.stragglerMargin
+        return elapsed > average * context.operatorSettings.stragglerMargin
     }
 
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
@@ -65,18 +69,18 @@
         val here = context.profiles.predict(home.name, factorsOn(home, run, home.runs.size), similar) ?: return null
         val remaining = here.average - elapsed
         val fitting = machines.filter { machine ->
-            val room = free[machine.name]
-            room != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(room) &&
+            val freeCapacity = free[machine.name]
+            freeCapacity != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = context.types[machine.typeName] ?: return@mapNotNull null
             val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
             val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
-            prediction?.let { Option(machine.name, it, fetchS) }
+            prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
         return when (val verdict = RiskAssessment.weigh(options, remaining)) {
-            is Verdict.Restart -> {
+            is RestartVerdict.Restart -> {
                 log.info(
                     "straggler {} on {}: ran {} s, average {} s, needs {} s more; restart on {} expects {} s, worst {} s, profit {} s",
                     run.task,
@@ -91,11 +95,11 @@
                 )
                 RestartDecision(run, verdict.option.place)
             }
-            is Verdict.TooRisky -> {
+            is RestartVerdict.TooRisky -> {
                 log.debug("straggler {} stays: profit {} s, but worst {} s of {} s", run.task, verdict.profit, verdict.worstS, remaining)
                 null
             }
-            is Verdict.NoProfit -> {
+            is RestartVerdict.NoProfit -> {
                 log.debug("straggler {} stays: best profit {} s of {} options", run.task, verdict.best, options.size)
                 null
             }
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -8,11 +8,11 @@
 import copperglade.tasks.StopReason
 
 /**
- * Restarts stragglers where [StragglerWatch] finds it worth the risk. A task is restarted once at most: that it was is
+ * Restarts stragglers where [StragglerDetector] finds it worth the risk. A task is restarted once at most: that it was is
  * recorded with its outcome, so that a later owner does not restart it again.
  */
 class StragglerRestarts(private val state: ShardState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
-    private val watch = StragglerWatch(state.context, state::requestOf)
+    private val watch = StragglerDetector(state.context, state::requestOf)
 
     /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
     fun restartWorthwhile(now: MonotonicTime) = watch.look(state.machines.values, now).forEach(::restart)
--- a/src/main/kotlin/copperglade/prediction/Profiles.kt
+++ b/src/main/kotlin/copperglade/prediction/Profiles.kt
@@ -108,13 +108,13 @@
 
     /** A machine's latest tasks, newest first: as many as a fit looks at. */
     private val latestOf = HashMap<MachineName, ArrayDeque<Profile>>()
-    private val ofJob = HashMap<JobId, Tally>()
-    private val ofLoad = HashMap<String, Tally>()
+    private val ofJob = HashMap<JobId, SequenceNumber>()
+    private val ofLoad = HashMap<String, SequenceNumber>()
     private var speeds: Map<MachineName, Double> = emptyMap()
     private var sinceMeasured = 0
 
     /** Run times summed up as they come and go: averages are asked for far more often than tasks finish. */
-    private class Tally {
+    private class SequenceNumber {
         var count = 0
         var sumS = 0.0
 
@@ -139,8 +139,8 @@
     }
 
     private fun count(profile: Profile, sign: Int) {
-        ofLoad.getOrPut(profile.factors.load) { Tally() }.add(profile.runS, sign)
-        val job = ofJob.getOrPut(profile.factors.job) { Tally() }
+        ofLoad.getOrPut(profile.factors.load) { SequenceNumber() }.add(profile.runS, sign)
+        val job = ofJob.getOrPut(profile.factors.job) { SequenceNumber() }
         job.add(profile.runS, sign)
         if (job.count == 0) ofJob.remove(profile.factors.job)
     }
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -96,13 +96,13 @@
 }
 
 /** What was wrong with a submission, by the name of its field on the wire. */
-class BadField(val field: String, val problem: String)
+class InvalidField(val field: String, val problem: String)
 
 sealed interface ParsedJob {
     /** @property dependencies the jobs that have to be done before it, each named once. */
     class Good(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedJob
 
-    class Bad(val why: BadField) : ParsedJob
+    class Bad(val why: InvalidField) : ParsedJob
 }
 
 /** Reads and writes jobs in the users' wire form. */
@@ -113,7 +113,7 @@
     private const val MAX_AMOUNT = 1e9
     private const val MAX_TEXT = 200
 
-    private class Refused(val why: BadField) : Exception(null, null, false, false)
+    private class Refused(val why: InvalidField) : Exception(null, null, false, false)
 
     fun parse(root: JsonNode?): ParsedJob = try {
         if (root == null || !root.isObject) refuse("body", "not a JSON object")
@@ -167,7 +167,7 @@
         }
     }
 
-    private fun refuse(field: String, problem: String): Nothing = throw Refused(BadField(field, problem))
+    private fun refuse(field: String, problem: String): Nothing = throw Refused(InvalidField(field, problem))
 
     private fun text(root: JsonNode, name: String): String {
         val value = root.text(name) ?: refuse(name, "missing or not a string")
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -15,10 +15,10 @@
     val idleMs: Long,
     val free: Resources,
     /** What could be had by stopping work, by the priority of that work. */
-    val yielding: List<Resources>,
+    val preemptible: List<Resources>,
     val images: List<ImageName>,
 ) {
-    fun withoutImages() = MachineAvailability(name, type, zone, spot, usable, worthKeeping, idleMs, free, yielding, emptyList())
+    fun withoutImages() = MachineAvailability(name, type, zone, spot, usable, worthKeeping, idleMs, free, preemptible, emptyList())
 }
 
 class ShardCapacity(val shard: ShardName, val fencingToken: FencingToken, val machines: List<MachineAvailability>)
@@ -166,7 +166,7 @@
         flag(room.worthKeeping)
         writeLong(room.idleMs)
         resources(room.free)
-        items(room.yielding) {
+        items(room.preemptible) {
             flag(it != Resources.ZERO)
             if (it != Resources.ZERO) resources(it)
         }
@@ -184,7 +184,7 @@
             worthKeeping = flag(),
             idleMs = readLong(),
             free = resources(),
-            yielding = items { if (flag()) resources() else Resources.ZERO },
+            preemptible = items { if (flag()) resources() else Resources.ZERO },
             images = items { ImageName(word()) },
         )
     }
--- a/src/main/kotlin/copperglade/protocol/WorkerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/WorkerWire.kt
@@ -18,7 +18,7 @@
     DONE("done"),
     STOPPED("halted"),
     ERROR("error"),
-    NO_ROOM("full"),
+    NO_CAPACITY("full"),
     BUSY("busy"),
     UNKNOWN_JOB("no_such"),
     OTHER("other"),
@@ -28,20 +28,20 @@
 data class ReportedTask(val task: TaskId, val attempt: Attempt, val state: ReportedTaskState, val cause: ExitCause?)
 
 /** A worker's report. */
-class Report(
+class Heartbeat(
     val machine: MachineName,
     val endpoint: Endpoint,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val tally: Long,
+    val epoch: Long,
+    val sequenceNumber: Long,
     val fencingToken: FencingToken,
     val noticeS: Double?,
     val reportedTasks: List<ReportedTask>,
 ) {
-    fun newerThan(otherSession: Long, otherTally: Long): Boolean =
-        session > otherSession || (session == otherSession && tally > otherTally)
+    fun newerThan(otherEpoch: Long, otherSequenceNumber: Long): Boolean =
+        epoch > otherEpoch || (epoch == otherEpoch && sequenceNumber > otherSequenceNumber)
 }
 
 sealed interface Command {
@@ -56,31 +56,31 @@
 }
 
 object WorkerWire {
-    const val REPORT_PATH = "/checkin"
+    const val HEARTBEAT_PATH = "/checkin"
     const val COMMAND_PATH = "/do"
 
     /**
      * Reads a report without building a tree of it: hundreds come every second, and building trees was a fifth of what
      * each of them cost. Null where it is none.
      */
-    fun parseReport(bytes: ByteArray): Report? = Decoding.orNull("report") {
-        Json.parser(bytes).use { if (it.nextToken() == JsonToken.START_OBJECT) ReportDraft().read(it) else null }
+    fun parseHeartbeat(bytes: ByteArray): Heartbeat? = Decoding.orNull("report") {
+        Json.parser(bytes).use { if (it.nextToken() == JsonToken.START_OBJECT) HeartbeatDraft().read(it) else null }
     }
 
     /** A report as far as it has been read. */
-    private class ReportDraft {
+    private class HeartbeatDraft {
         private var machine: String? = null
         private var endpoint: Endpoint? = null
         private var type: String? = null
         private var zone: String? = null
         private var spot: Boolean? = null
-        private var session: Long? = null
-        private var tally: Long? = null
+        private var epoch: Long? = null
+        private var sequenceNumber: Long? = null
         private var fencingToken = 0L
         private var noticeS: Double? = null
         private var reportedTasks: List<ReportedTask>? = emptyList()
 
-        fun read(parser: JsonParser): Report? {
+        fun read(parser: JsonParser): Heartbeat? {
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 val name = parser.currentName()
                 parser.nextToken()
@@ -90,26 +90,26 @@
                     "fleet" -> type = parser.words()
                     "depot" -> zone = parser.words()
                     "borrowed" -> spot = parser.flag()
-                    "shift" -> session = parser.whole()
-                    "tally" -> tally = parser.whole()
+                    "shift" -> epoch = parser.whole()
+                    "tally" -> sequenceNumber = parser.whole()
                     "baton" -> fencingToken = parser.whole() ?: 0
                     "recallS" -> noticeS = parser.amount()
                     "boxes" -> reportedTasks = readReportedTasks(parser)
                     else -> parser.skipChildren()
                 }
             }
-            return report()
+            return heartbeat()
         }
 
-        private fun report(): Report? {
-            return Report(
+        private fun heartbeat(): Heartbeat? {
+            return Heartbeat(
                 machine = MachineName(machine ?: return null),
                 endpoint = endpoint ?: return null,
                 type = type ?: return null,
                 zone = zone ?: return null,
                 spot = spot ?: return null,
-                session = session ?: return null,
-                tally = tally ?: return null,
+                epoch = epoch ?: return null,
+                sequenceNumber = sequenceNumber ?: return null,
                 fencingToken = FencingToken(fencingToken),
                 noticeS = noticeS,
                 reportedTasks = reportedTasks ?: return null,
@@ -175,10 +175,10 @@
         }
     }
 
-    fun order(fencingToken: FencingToken, session: Long, commands: List<Command>): ByteArray = Json.write {
+    fun order(fencingToken: FencingToken, epoch: Long, commands: List<Command>): ByteArray = Json.write {
         obj {
             writeNumberField("baton", fencingToken.number)
-            writeNumberField("shift", session)
+            writeNumberField("shift", epoch)
             commands(commands)
         }
     }
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -1,11 +1,11 @@
 package copperglade.safety
 
-import copperglade.membership.RightToAct
+import copperglade.membership.ActionAuthority
 import copperglade.protocol.Command
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.JobId
 import copperglade.protocol.JobStatus
 import copperglade.protocol.MachineName
-import copperglade.protocol.Report
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.TaskId
@@ -39,7 +39,7 @@
  * Guards against an action that rests on what was true when it was decided, or on the word of another controller. A leader of an earlier
  * version assigns tasks of jobs that still wait for others; an owner that started whatever is assigned broke the order of a pipeline.
  */
-class ActionGuard(private val replica: Replica, private val right: RightToAct, private val violations: Violations) {
+class ActionGuard(private val replica: Replica, private val right: ActionAuthority, private val violations: InvariantViolations) {
     /** Why [task] must not be started now, or null where it may be. */
     fun refusalToStart(task: TaskId): Refusal? = when {
         !right.mayAct -> Refusal.NO_RIGHT
@@ -78,8 +78,8 @@
      * has run out), a cancelled task is gone a lease after the last answer that was given without knowing of the cancellation, and that
      * is bounded by the age of knowledge. Stop commands can be repeated and are right under any owner, since an end is final.
      */
-    fun stopsFor(report: Report): List<Command.Stop> =
-        report.reportedTasks.filter(::mustStop).map { Command.Stop(it.task, it.attempt, 0.0) }
+    fun stopsFor(heartbeat: Heartbeat): List<Command.Stop> =
+        heartbeat.reportedTasks.filter(::mustStop).map { Command.Stop(it.task, it.attempt, 0.0) }
 
     private fun mustStop(reported: ReportedTask) = reported.state != ReportedTaskState.EXITED && isOver(reported.task.job)
 
@@ -103,12 +103,12 @@
         refusal == null
     }
 
-    /** The [commands] of an answer that renews the lease of [report]'s worker, with all the stops that it must carry. */
-    fun approveAnswer(report: Report, commands: List<Command>): List<Command> {
+    /** The [commands] of an answer that renews the lease of [heartbeat]'s worker, with all the stops that it must carry. */
+    fun approveAnswer(heartbeat: Heartbeat, commands: List<Command>): List<Command> {
         val stopped = commands.filterIsInstance<Command.Stop>().mapTo(HashSet()) { it.task to it.attempt }
-        val missing = report.reportedTasks.filter { mustStop(it) && (it.task to it.attempt) !in stopped }
+        val missing = heartbeat.reportedTasks.filter { mustStop(it) && (it.task to it.attempt) !in stopped }
         if (missing.isEmpty()) return commands
-        violations.refused(Invariant.ANSWER_STOPS_WHAT_IS_OVER, "machine=${report.machine} tasks=${missing.map { it.task }}")
+        violations.refused(Invariant.ANSWER_STOPS_WHAT_IS_OVER, "machine=${heartbeat.machine} tasks=${missing.map { it.task }}")
         return missing.map { Command.Stop(it.task, it.attempt, 0.0) } + commands
     }
 
--- a/src/main/kotlin/copperglade/safety/Violations.kt
+++ b/src/main/kotlin/copperglade/safety/InvariantViolations.kt
@@ -19,13 +19,13 @@
 }
 
 /** A break of an [Invariant] that was caught and refused. */
-class Violation(val invariant: Invariant, val what: String)
+class InvariantViolation(val invariant: Invariant, val what: String)
 
 /**
  * Counts what the last check before an action has refused. Every path asks [ActionGuard] beforehand, so there is nothing to be counted
  * unless a path forgot to.
  */
-class Violations(private val report: (Violation) -> Unit = {}) {
+class InvariantViolations(private val report: (InvariantViolation) -> Unit = {}) {
     private val counts = EnumMap<Invariant, Int>(Invariant::class.java)
 
     /** How many there have been in all. */
@@ -35,7 +35,7 @@
     fun refused(invariant: Invariant, what: String) {
         val count = counts.merge(invariant, 1, Int::plus) ?: 1
         if (count.countOneBits() == 1) log.error("violation={} count={} {}", invariant, count, what)
-        report(Violation(invariant, what))
+        report(InvariantViolation(invariant, what))
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -12,7 +12,7 @@
 import copperglade.protocol.Resources
 import copperglade.protocol.ShardName
 import copperglade.protocol.TeamName
-import copperglade.settings.Objectives
+import copperglade.settings.ServiceLevelObjectives
 import copperglade.settings.Team
 import copperglade.storage.Assignment
 import copperglade.storage.Job
@@ -47,19 +47,19 @@
     private val capacityTable: CapacityTable,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
-    private val objectives: Objectives,
+    private val objectives: ServiceLevelObjectives,
     private val fairShare: FairShare,
     private val statusOf: (MemberId) -> PeerStatus?,
 ) {
     private val writer = AssignmentWriter(loop, store, replica, leadership, capacityTable)
     private val guaranteePreemption = GuaranteePreemption(teams)
-    private var recalledAt = MonotonicTime.NEVER
+    private var guaranteesCheckedAt = MonotonicTime.NEVER
 
-    private var unhurriedFrom = MonotonicTime.NEVER
-    private var hurriedFrom = MonotonicTime.NEVER
+    private var nextFullRoundAt = MonotonicTime.NEVER
+    private var nextUrgentRoundAt = MonotonicTime.NEVER
 
     /** A job's standing assignments at the beginning of a round. */
-    private class Candidate(val job: Job, val spec: JobSpec, val standing: List<Assignment>, val guaranteed: Boolean) {
+    private class Candidate(val job: Job, val spec: JobSpec, val assigned: List<Assignment>, val guaranteed: Boolean) {
         val acceptedAtMs = job.live!!.value.acceptedAtMs
         val deadline = job.deadline
         val left get() = job.wantedTasks
@@ -69,50 +69,54 @@
     fun round() {
         writer.beginRound()
         val now = loop.now()
-        val unhurried = now >= unhurriedFrom
-        if (!unhurried && (now < hurriedFrom || replica.jobs.values.none(::urgentlyWaits))) return
+        val isFullRound = now >= nextFullRoundAt
+        if (!isFullRound && (now < nextUrgentRoundAt || replica.jobs.values.none(::urgentlyWaits))) return
         val uses = teams.mapValues { TeamUse(it.value) }
         val all = gather(uses)
-        val waiting = all.filter { waits(it) && (unhurried || it.urgent) }
+        val waiting = all.filter { waits(it) && (isFullRound || it.urgent) }
         if (waiting.isEmpty()) return
         // The scarcer the budget, the longer is gathered, and the more is decided at a time. Also what is urgent: a write
         // for each new service took the whole budget of a grown day's burst, and for 90 s no array was assigned.
-        hurriedFrom = now + HURRIED_GATHERING * (1.0 - store.writeLevel())
-        if (unhurried) unhurriedFrom = now + MIN_GATHERING + MAX_GATHERING * (1.0 - store.writeLevel())
+        nextUrgentRoundAt = now + URGENT_BATCH_WINDOW * (1.0 - store.writeLevel())
+        if (isFullRound) nextFullRoundAt = now + MIN_BATCH_WINDOW + MAX_BATCH_WINDOW * (1.0 - store.writeLevel())
         val capacities = RoundCapacity(capacityTable.capacities(statusOf).filter { it.machine.usable })
         if (capacities.all.isEmpty()) return
-        val decisions = Decisions()
-        val poolCpus = capacities.all.sumOf { room -> room.machine.free.cpus + room.machine.yielding.sumOf { it.cpus } }.coerceAtLeast(1.0)
+        val plan = AssignmentPlan()
+        val poolCpus = capacities.all
+            .sumOf { machineCapacity ->
+                machineCapacity.machine.free.cpus +
+                    machineCapacity.machine.preemptible.sumOf { it.cpus }
+            }.coerceAtLeast(1.0)
         val (urgent, others) = order(waiting, poolCpus).partition { it.urgent }
         val fairShares = fairShare.of(others.map(::waitingJob), poolCpus)
         val first = fairShares.mapTo(HashSet()) { it.first }
         val inOrder = urgent.map { it to MAX_TASKS } + fairShares + others.filter { it !in first }.map { it to MAX_TASKS }
         for ((candidate, most) in inOrder) {
             val use = uses[candidate.spec.team] ?: continue
-            assign(candidate, use, capacities, decisions, minOf(most, candidate.left - candidate.standing.size))
+            assign(candidate, use, capacities, plan, minOf(most, candidate.left - candidate.assigned.size))
         }
-        if (unhurried && now >= recalledAt + RECALL_INTERVAL) {
-            recalledAt = now
-            recallBorrowed(all, uses, decisions)
+        if (isFullRound && now >= guaranteesCheckedAt + GUARANTEE_PREEMPTION_INTERVAL) {
+            guaranteesCheckedAt = now
+            preemptForGuarantees(all, uses, plan)
         }
-        writer.write(decisions)
+        writer.write(plan)
     }
 
     /** What other teams have borrowed is stopped where a guarantee has been waiting for room. */
-    private fun recallBorrowed(all: List<Candidate>, uses: Map<TeamName, TeamUse>, decisions: Decisions) {
-        val chosen = decisions.choices.keys.mapTo(HashSet()) { it.job }
+    private fun preemptForGuarantees(all: List<Candidate>, uses: Map<TeamName, TeamUse>, plan: AssignmentPlan) {
+        val chosen = plan.choices.keys.mapTo(HashSet()) { it.job }
         val claims = all
-            .filter { it.guaranteed && waits(it) && it.job.id !in chosen && it.waitedS >= RECALL_AFTER_S }
-            .map { Claim(it.spec.team, it.spec.request, it.left - it.standing.size) }
+            .filter { it.guaranteed && waits(it) && it.job.id !in chosen && it.waitedS >= GUARANTEE_PREEMPTION_AFTER_S }
+            .map { GuaranteeClaim(it.spec.team, it.spec.request, it.left - it.assigned.size) }
         if (claims.isEmpty()) return
-        val lent = all
+        val borrowedQuotas = all
             .filter { !it.guaranteed && it.spec.kind == JobKind.ARRAY && !writer.pends(it.job.id) && it.job.id !in chosen }
-            .map { Borrowed(it.job, it.spec, it.standing) }
+            .map { BorrowedQuota(it.job, it.spec, it.assigned) }
         val used = uses.mapValues { it.value.used.cpus }
-        for ((job, tasks) in guaranteePreemption.choose(claims, lent, used)) {
+        for ((job, tasks) in guaranteePreemption.choose(claims, borrowedQuotas, used)) {
             tasks.groupBy { it.task / Keys.TASKS_PER_RANGE }.forEach { (page, its) ->
                 if (writer.ready(job, page)) {
-                    decisions.recalls[TaskRange(job.id, page)] = BitSet().apply { its.forEach { set(it.task) } }
+                    plan.guaranteePreemptions[TaskRange(job.id, page)] = BitSet().apply { its.forEach { set(it.task) } }
                 }
             }
             log.info("{} tasks of {} are recalled for a guarantee", tasks.size, job.id)
@@ -122,8 +126,8 @@
     private fun waitingJob(candidate: Candidate): WaitingJob<Candidate> {
         val cpus = candidate.spec.request.cpus
             .coerceAtLeast(SMALLEST_CPUS)
-        val begun = candidate.standing.isNotEmpty() || !candidate.job.done.isEmpty
-        return WaitingJob(candidate, candidate.waitedS, cpus, candidate.standing.size * cpus, begun, mayBeInTime(candidate))
+        val begun = candidate.assigned.isNotEmpty() || !candidate.job.done.isEmpty
+        return WaitingJob(candidate, candidate.waitedS, cpus, candidate.assigned.size * cpus, begun, mayBeInTime(candidate))
     }
 
     private val Candidate.waitedS get() = (loop.wallMillis() - job.startableSinceMs) / MS
@@ -136,7 +140,7 @@
 
     private fun waits(candidate: Candidate): Boolean {
         val job = candidate.job
-        return !writer.pends(job.id) && !job.cancelled && !job.complete && candidate.standing.size < job.wantedTasks
+        return !writer.pends(job.id) && !job.cancelled && !job.complete && candidate.assigned.size < job.wantedTasks
     }
 
     private fun order(waiting: List<Candidate>, poolCpus: Double): List<Candidate> {
@@ -158,19 +162,19 @@
     private fun plannedJob(candidate: Candidate): PlannedJob<Candidate> {
         val spec = candidate.spec
         val waitedS = candidate.waitedS
-        val due = dueTimesS(candidate).filter { hopeful(spec, it) }
+        val due = dueTimesS(candidate).filter { isFeasible(spec, it) }
         // What is late for every multiple of its deadline still has an aim to meet, after all that can be in time.
-        val latest = objectives.latestEndS(spec.load, spec.estimateS)?.let { it - waitedS }?.takeIf { hopeful(spec, it) }
+        val latest = objectives.latestEndS(spec.load, spec.estimateS)?.let { it - waitedS }?.takeIf { isFeasible(spec, it) }
         val dues = if (latest == null) due else due.filter { it < latest } + latest
         return PlannedJob(candidate, candidate.left * spec.request.cpus * spec.estimateS, dues, waitedS, spec.team)
     }
 
     /** Even with all room of the world, the last task still needs its own run time. */
-    private fun hopeful(spec: JobSpec, dueInS: Double) = dueInS > spec.estimateS * HOPEFUL
+    private fun isFeasible(spec: JobSpec, dueInS: Double) = dueInS > spec.estimateS * FEASIBILITY_FACTOR
 
     private fun mayBeInTime(candidate: Candidate): Boolean {
         val spec = candidate.spec
-        return hopeful(spec, dueTimesS(candidate).lastOrNull() ?: -candidate.waitedS)
+        return isFeasible(spec, dueTimesS(candidate).lastOrNull() ?: -candidate.waitedS)
     }
 
     /** In how many seconds the job is due, at each multiple of its deadline that counts for the job it was set for. */
@@ -188,51 +192,51 @@
         for (job in inOrder) {
             val spec = job.spec ?: continue
             if (job.blocked) continue
-            val standing = job.assignments()
+            val assigned = job.assignments()
             val use = uses[spec.team] ?: continue
-            use.used += spec.request * (standing.size + writer.pendingTasks(job.id))
+            use.used += spec.request * (assigned.size + writer.pendingTasks(job.id))
             var guaranteed = false
             if (!job.complete && !job.cancelled) {
                 use.claimed += spec.request * job.wantedTasks
-                guaranteed = !job.mistaken && use.team.guarantees(use.claimed.cpus, use.claimed.gpus)
+                guaranteed = !job.failing && use.team.guarantees(use.claimed.cpus, use.claimed.gpus)
             }
-            candidates += Candidate(job, spec, standing, guaranteed)
+            candidates += Candidate(job, spec, assigned, guaranteed)
         }
         return candidates
     }
 
-    private fun assign(candidate: Candidate, use: TeamUse, capacities: RoundCapacity, decisions: Decisions, most: Int) {
+    private fun assign(candidate: Candidate, use: TeamUse, capacities: RoundCapacity, plan: AssignmentPlan, most: Int) {
         val spec = candidate.spec
         val first = use.used + spec.request
         if (!use.team.allows(first.cpus, first.gpus)) return
         val taken = candidate.job.done.clone() as BitSet
-        candidate.standing.forEach { taken.set(it.task) }
-        val zones = ZoneCount(spec, candidate.standing.map { zoneOf(it.shard) })
-        if (capacities.surelyFullFor(spec)) return keepRoom(spec, zones, capacities)
+        candidate.assigned.forEach { taken.set(it.task) }
+        val zones = ZoneCount(spec, candidate.assigned.map { zoneOf(it.shard) })
+        if (capacities.surelyFullFor(spec)) return reserveMachine(spec, zones, capacities)
         val places = places(candidate, zones, capacities).iterator()
-        val choices = ArrayList<Choice>()
+        val choices = ArrayList<PlacementChoice>()
         var place = if (places.hasNext()) places.next() else null
         var task = taken.nextClearBit(0)
         while (task < spec.tasks && choices.size < most) {
             val after = use.used + spec.request
             if (!use.team.allows(after.cpus, after.gpus)) break
             // Nothing makes room in a round: a place that is full, or in a zone that is, stays so.
-            while (place != null && !(place.holds(spec) && zones.allows(place.room.machine.zone))) {
+            while (place != null && !(place.holds(spec) && zones.allows(place.machineCapacity.machine.zone))) {
                 place = if (places.hasNext()) places.next() else null
             }
             if (place == null) {
                 capacities.fullFor(spec)
-                keepRoom(spec, zones, capacities)
+                reserveMachine(spec, zones, capacities)
                 break
             }
             place.take(spec)
-            zones.add(place.room.machine.zone)
+            zones.add(place.machineCapacity.machine.zone)
             use.used = after
-            choices += Choice(task, place.room)
+            choices += PlacementChoice(task, place.machineCapacity)
             task = taken.nextClearBit(task + 1)
         }
         for ((page, chosen) in choices.groupBy { it.task / Keys.TASKS_PER_RANGE }) {
-            if (writer.ready(candidate.job, page)) decisions.choices[TaskRange(candidate.job.id, page)] = chosen
+            if (writer.ready(candidate.job, page)) plan.choices[TaskRange(candidate.job.id, page)] = chosen
         }
     }
 
@@ -257,11 +261,11 @@
     }
 
     /** What `oneZone` and `spread` leave open, given the job's other tasks. */
-    private class ZoneCount(private val spec: JobSpec, standing: List<String>) {
+    private class ZoneCount(private val spec: JobSpec, assigned: List<String>) {
         private val counts = HashMap<String, Int>()
 
         init {
-            standing.forEach(::add)
+            assigned.forEach(::add)
         }
 
         fun add(zone: String) {
@@ -273,22 +277,22 @@
     }
 
     /** A machine with room for tasks of a job, as it is or by stopping lower work, and what a task costs there. */
-    private class Place(val room: CapacityTable.MachineCapacity, val preempts: Boolean, val cost: Double) {
-        fun holds(spec: JobSpec): Boolean = !room.kept &&
-            if (preempts) room.holdsYielding(spec) else spec.request.fitsIn(room.free)
+    private class Place(val machineCapacity: CapacityTable.MachineCapacity, val preempts: Boolean, val cost: Double) {
+        fun holds(spec: JobSpec): Boolean = !machineCapacity.kept &&
+            if (preempts) machineCapacity.fitsWithPreemption(spec) else spec.request.fitsIn(machineCapacity.free)
 
-        fun take(spec: JobSpec) = room.take(spec)
+        fun take(spec: JobSpec) = machineCapacity.take(spec)
     }
 
     private fun zoneOf(shard: ShardName) = shard.text.substringBeforeLast('.')
 
     /** Lets the machine that comes closest to holding the task gather room for it. */
-    private fun keepRoom(spec: JobSpec, zones: ZoneCount, capacities: RoundCapacity) {
+    private fun reserveMachine(spec: JobSpec, zones: ZoneCount, capacities: RoundCapacity) {
         var largest: CapacityTable.MachineCapacity? = null
-        for (room in capacities.all) {
-            if (room.kept || (largest != null && room.free.cpus <= largest.free.cpus)) continue
-            val machine = room.machine
-            if (spec.allows(machine.type, machine.zone, machine.spot) && zones.allows(machine.zone)) largest = room
+        for (machineCapacity in capacities.all) {
+            if (machineCapacity.kept || (largest != null && machineCapacity.free.cpus <= largest.free.cpus)) continue
+            val machine = machineCapacity.machine
+            if (spec.allows(machine.type, machine.zone, machine.spot) && zones.allows(machine.zone)) largest = machineCapacity
         }
         largest?.kept = true
     }
@@ -298,16 +302,16 @@
         val spec = candidate.spec
         val shards = shardsFor(candidate, capacities)
         val places = ArrayList<Place>()
-        for (room in capacities.all) {
-            if (room.kept) continue
-            val fits = spec.request.fitsIn(room.free)
-            val preempts = !candidate.job.mistaken && room.holdsYielding(spec)
+        for (machineCapacity in capacities.all) {
+            if (machineCapacity.kept) continue
+            val fits = spec.request.fitsIn(machineCapacity.free)
+            val preempts = !candidate.job.failing && machineCapacity.fitsWithPreemption(spec)
             if (!fits && !preempts) continue
-            val machine = room.machine
+            val machine = machineCapacity.machine
             if (!spec.allows(machine.type, machine.zone, machine.spot) || !zones.allows(machine.zone)) continue
-            val further = if (room.shard in shards) 0.0 else FURTHER_SHARD_S
-            if (fits) places += Place(room, preempts = false, cost(spec, room, preempts = false) + further)
-            if (preempts) places += Place(room, preempts = true, cost(spec, room, preempts = true) + further)
+            val further = if (machineCapacity.shard in shards) 0.0 else FURTHER_SHARD_S
+            if (fits) places += Place(machineCapacity, preempts = false, cost(spec, machineCapacity, preempts = false) + further)
+            if (preempts) places += Place(machineCapacity, preempts = true, cost(spec, machineCapacity, preempts = true) + further)
         }
         places.sortWith(BY_COST)
         return places
@@ -315,14 +319,14 @@
 
     /** Where a job's tasks had better be: few shards have few records of it to write. */
     private fun shardsFor(candidate: Candidate, capacities: RoundCapacity): Set<ShardName> {
-        if (candidate.standing.isNotEmpty()) return candidate.standing.mapTo(HashSet()) { it.shard }
+        if (candidate.assigned.isNotEmpty()) return candidate.assigned.mapTo(HashSet()) { it.shard }
         val all = capacities.shards
         val first = Math.floorMod(candidate.job.id.hashCode(), all.size)
         return (0 until FIRST_SHARDS).mapTo(HashSet()) { all[(first + it) % all.size] }
     }
 
-    private fun cost(spec: JobSpec, room: CapacityTable.MachineCapacity, preempts: Boolean): Double {
-        val machine = room.machine
+    private fun cost(spec: JobSpec, machineCapacity: CapacityTable.MachineCapacity, preempts: Boolean): Double {
+        val machine = machineCapacity.machine
         return PlacementCost.of(spec, types[machine.type], machine.spot, spec.image.name in machine.images, preempts)
     }
 
@@ -334,16 +338,16 @@
         const val SMALLEST_CPUS = 0.01
 
         /** Owners' estimates are often too high by half. */
-        const val HOPEFUL = 0.7
+        const val FEASIBILITY_FACTOR = 0.7
 
         /** A further shard for a job costs records in it; so much longer a fetch would be as bad. */
         const val FURTHER_SHARD_S = 0.4
         const val FIRST_SHARDS = 2
-        val HURRIED_GATHERING = 500.milliseconds
-        val MIN_GATHERING = 150.milliseconds
-        val MAX_GATHERING = 1000.milliseconds
-        val RECALL_INTERVAL = 1.seconds
-        const val RECALL_AFTER_S = 3.0
+        val URGENT_BATCH_WINDOW = 500.milliseconds
+        val MIN_BATCH_WINDOW = 150.milliseconds
+        val MAX_BATCH_WINDOW = 1000.milliseconds
+        val GUARANTEE_PREEMPTION_INTERVAL = 1.seconds
+        const val GUARANTEE_PREEMPTION_AFTER_S = 3.0
         val log = LoggerFactory.getLogger("assigner")
 
         /** Cheapest first, then fullest. */
@@ -352,8 +356,8 @@
             if (byCost != 0) {
                 byCost
             } else {
-                a.room.free.cpus
-                    .compareTo(b.room.free.cpus)
+                a.machineCapacity.free.cpus
+                    .compareTo(b.machineCapacity.free.cpus)
             }
         }
     }
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -30,17 +30,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** A task and the room that it is given. */
-class Choice(val task: Int, val room: CapacityTable.MachineCapacity)
+class PlacementChoice(val task: Int, val machineCapacity: CapacityTable.MachineCapacity)
 
 /** What a round of the leader has chosen, by the pages to be written. */
-class Decisions {
-    val choices = LinkedHashMap<TaskRange, List<Choice>>()
-    val recalls = LinkedHashMap<TaskRange, BitSet>()
-    val places get() = choices.keys + recalls.keys
+class AssignmentPlan {
+    val choices = LinkedHashMap<TaskRange, List<PlacementChoice>>()
+    val guaranteePreemptions = LinkedHashMap<TaskRange, BitSet>()
+    val places get() = choices.keys + guaranteePreemptions.keys
 }
 
 /** A page as it is to be written, and those of the choices that went into it. */
-private class FittingRange(val choices: List<Choice>, val bytes: ByteArray)
+private class FittingRange(val choices: List<PlacementChoice>, val bytes: ByteArray)
 
 /** Writes the leader's decisions down, and keeps count of those whose outcome is not known yet. */
 class AssignmentWriter(
@@ -86,12 +86,12 @@
     fun ready(job: Job, page: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, page) } ?: false
 
     /** The page with the [choices] added, and without the tasks that are done or given back. */
-    private fun pageWith(job: Job, page: Int, choices: List<Choice>, recalls: BitSet?): AssignmentRange {
+    private fun pageWith(job: Job, page: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
         val present = job.pages[page]?.value ?: AssignmentRange.EMPTY
-        val groups = standingGroups(job, page, present)
+        val groups = assignedGroups(job, page, present)
         val generation = present.lastGeneration + 1
         var frontier = present.frontier
-        for ((shard, chosen) in choices.groupBy { it.room.shard }) {
+        for ((shard, chosen) in choices.groupBy { it.machineCapacity.shard }) {
             val fencingToken = FencingToken(
                 replica.shards
                     .getValue(shard)
@@ -114,13 +114,13 @@
             if (!again.isEmpty) groups += AssignmentGroup(shard, fencingToken, generation, again)
             frontier = maxOf(frontier, chosen.maxOf { it.task } + 1)
         }
-        val recalled = present.recalled.clone() as BitSet
-        choices.forEach { recalled.clear(it.task) }
-        recalls?.let(recalled::or)
-        return AssignmentRange(groups, recalled, generation, frontier, present.version + 1)
+        val preemptedForGuarantee = present.preemptedForGuarantee.clone() as BitSet
+        choices.forEach { preemptedForGuarantee.clear(it.task) }
+        guaranteePreemptions?.let(preemptedForGuarantee::or)
+        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, present.version + 1)
     }
 
-    private fun standingGroups(job: Job, page: Int, present: AssignmentRange): ArrayList<AssignmentGroup> {
+    private fun assignedGroups(job: Job, page: Int, present: AssignmentRange): ArrayList<AssignmentGroup> {
         val groups = ArrayList<AssignmentGroup>()
         for (group in present.groups) {
             val tasks = group.tasks.clone() as BitSet
@@ -135,13 +135,13 @@
         return groups
     }
 
-    fun write(decisions: Decisions) {
+    fun write(plan: AssignmentPlan) {
         val changes = LinkedHashMap<TaskRange, ByteArray>()
-        val chosen = HashMap<TaskRange, List<Choice>>()
-        for (place in decisions.places) {
-            val choices = decisions.choices[place].orEmpty()
-            if (choices.any { it.room.shard !in replica.shards }) continue
-            val fitting = fittingPage(place, choices, decisions.recalls[place]) ?: continue
+        val chosen = HashMap<TaskRange, List<PlacementChoice>>()
+        for (place in plan.places) {
+            val choices = plan.choices[place].orEmpty()
+            if (choices.any { it.machineCapacity.shard !in replica.shards }) continue
+            val fitting = fittingPage(place, choices, plan.guaranteePreemptions[place]) ?: continue
             changes[place] = fitting.bytes
             chosen[place] = fitting.choices
         }
@@ -167,16 +167,16 @@
      * The page with as many of the [choices] as a value of the service can hold; the other tasks are assigned once some
      * of the page's are over. Null where it could not hold even the page as it stands, or nothing would change.
      */
-    private fun fittingPage(place: TaskRange, choices: List<Choice>, recalls: BitSet?): FittingRange? {
+    private fun fittingPage(place: TaskRange, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): FittingRange? {
         val job = replica.jobs.getValue(place.job)
         val packer = packers.getValue(job.spec?.kind ?: return null)
         var kept = choices
         while (true) {
-            val bytes = RecordCodec.encode(pageWith(job, place.page, kept, recalls))
+            val bytes = RecordCodec.encode(pageWith(job, place.page, kept, guaranteePreemptions))
             if (packer.fitsValue(place, bytes)) return FittingRange(kept, bytes)
             if (kept.isEmpty()) return null
             kept = kept.take(kept.size / 2)
-            if (kept.isEmpty() && recalls == null) return null
+            if (kept.isEmpty() && guaranteePreemptions == null) return null
         }
     }
 
@@ -185,13 +185,15 @@
         .sortedBy { it.key != JobKind.SERVICE }
         .flatMap { (kind, packer) -> packer.pack(changes.filterKeys { replica.jobs[it.job]?.spec?.kind == kind }) }
 
-    private fun commit(packedWrite: PackedWrite, choices: Map<TaskRange, List<Choice>>) {
+    private fun commit(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>) {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
         conditions += packedWrite.condition
         for ((place, chosen) in choices) {
             conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveRevision())
-            chosen.mapTo(conditions) { Condition(Keys.shard(it.room.shard), replica.shards.getValue(it.room.shard).revision) }
+            chosen.mapTo(
+                conditions,
+            ) { Condition(Keys.shard(it.machineCapacity.shard), replica.shards.getValue(it.machineCapacity.shard).revision) }
         }
         if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
@@ -207,7 +209,7 @@
                     log.debug("{} assigned", counts)
                     for ((place, chosen) in choices) {
                         val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
-                        chosen.forEach { capacityTable.reserve(it.room, outcome.revision, request) }
+                        chosen.forEach { capacityTable.reserve(it.machineCapacity, outcome.revision, request) }
                     }
                     replica.applied(transaction, outcome.revision)
                     settled(packedWrite, counts)
@@ -224,17 +226,17 @@
     }
 
     /** Too many jobs or shards for one transaction: the first half of them now, the others in a later round. */
-    private fun commitPart(choices: Map<TaskRange, List<Choice>>) {
+    private fun commitPart(choices: Map<TaskRange, List<PlacementChoice>>) {
         val part = firstHalf(choices)
         if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
         val changes = part.mapValues { (place, chosen) ->
-            RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, recalls = null))
+            RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, guaranteePreemptions = null))
         }
         pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { part.getValue(it) }) }
     }
 
     /** Half of the pages, or half of the tasks where there is one page. */
-    private fun firstHalf(choices: Map<TaskRange, List<Choice>>): Map<TaskRange, List<Choice>> {
+    private fun firstHalf(choices: Map<TaskRange, List<PlacementChoice>>): Map<TaskRange, List<PlacementChoice>> {
         if (choices.size > 1) return choices.entries.take(choices.size / 2).associate { it.key to it.value }
         return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
     }
--- a/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -15,16 +15,16 @@
 class CapacityTable(private val replica: Replica, private val shardMap: ShardMap) {
     private class Reservation(val revision: Revision, val request: Resources)
 
-    class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, var free: Resources, yielding: List<Resources>) {
-        private val yielding = YieldingCapacity(yielding)
+    class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, var free: Resources, preemptible: List<Resources>) {
+        private val preemptible = PreemptibleCapacity(preemptible)
 
         /** Whether [spec] could be given room by stopping what is of lower priority. */
-        fun holdsYielding(spec: JobSpec): Boolean =
-            yielding.hasBelow(spec.priority) && spec.request.fitsIn(yielding.withAllBelow(spec.priority, free))
+        fun fitsWithPreemption(spec: JobSpec): Boolean =
+            preemptible.hasBelow(spec.priority) && spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
 
         /** Takes room for a task of [spec]. What it has by stopping lower work is gone from what that work could still yield. */
         fun take(spec: JobSpec) {
-            free = yielding.yieldInto(free - spec.request, spec.priority)
+            free = preemptible.preemptInto(free - spec.request, spec.priority)
         }
 
         /** Kept for a task that doesn't fit yet: small ones must not take every piece of room that comes free. */
@@ -39,12 +39,12 @@
         for (shard in shardMap.all) {
             val record = replica.shards[shard] ?: continue
             val status = statusOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
-            val room =
+            val machineCapacity =
                 status.shards.firstOrNull { it.shard == shard && it.fencingToken.number == record.revision.number } ?: continue
-            for (machine in room.machines) {
+            for (machine in machineCapacity.machines) {
                 val unconfirmed = unconfirmedReservations(machine.name, status.knownRevision)
                 val free = unconfirmed.fold(machine.free) { left, reservation -> left - reservation.request }
-                capacities += MachineCapacity(shard, machine, free, machine.yielding)
+                capacities += MachineCapacity(shard, machine, free, machine.preemptible)
             }
         }
         return capacities
@@ -58,7 +58,7 @@
         return machineReservations
     }
 
-    fun reserve(room: MachineCapacity, revision: Revision, request: Resources) {
-        reservations.getOrPut(room.machine.name) { ArrayList() } += Reservation(revision, request)
+    fun reserve(machineCapacity: MachineCapacity, revision: Revision, request: Resources) {
+        reservations.getOrPut(machineCapacity.machine.name) { ArrayList() } += Reservation(revision, request)
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -8,10 +8,10 @@
 import copperglade.storage.Job
 
 /** Tasks within a team's guarantee that wait for room. */
-class Claim(val team: TeamName, val request: Resources, val tasks: Int)
+class GuaranteeClaim(val team: TeamName, val request: Resources, val tasks: Int)
 
 /** What a job outside its team's guarantee has been assigned. */
-class Borrowed(val job: Job, val spec: JobSpec, val standing: List<Assignment>)
+class BorrowedQuota(val job: Job, val spec: JobSpec, val assigned: List<Assignment>)
 
 /**
  * What to stop so that teams get their guarantees: work that other teams run beyond their own. Saved progress first, then
@@ -19,14 +19,18 @@
  */
 class GuaranteePreemption(private val teams: Map<TeamName, Team>) {
     /** The tasks to recall, by job. */
-    fun choose(claims: List<Claim>, lent: List<Borrowed>, usedCpus: Map<TeamName, Double>): Map<Job, List<Assignment>> {
+    fun choose(
+        claims: List<GuaranteeClaim>,
+        borrowedQuotas: List<BorrowedQuota>,
+        usedCpus: Map<TeamName, Double>,
+    ): Map<Job, List<Assignment>> {
         var needed = neededCpus(claims, usedCpus)
         // What has been recalled before and is still there is on its way out.
-        needed -= lent.sumOf { job -> job.standing.count { it.recalled } * job.spec.request.cpus }
+        needed -= borrowedQuotas.sumOf { job -> job.assigned.count { it.preemptedForGuarantee } * job.spec.request.cpus }
         val spare = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.cpus }
         val chosen = HashMap<Job, MutableList<Assignment>>()
-        for (borrowed in lent.sortedWith(
-            compareBy<Borrowed> {
+        for (borrowed in borrowedQuotas.sortedWith(
+            compareBy<BorrowedQuota> {
                 if (it.spec.checkpointS >
                     0.0
                 ) {
@@ -41,7 +45,7 @@
             },
         )) {
             val cpus = borrowed.spec.request.cpus
-            for (assignment in borrowed.standing.filter { !it.recalled }.sortedByDescending { it.generation }) {
+            for (assignment in borrowed.assigned.filter { !it.preemptedForGuarantee }.sortedByDescending { it.generation }) {
                 val left = spare[borrowed.spec.team] ?: 0.0
                 if (needed <= 0.0 || left < cpus) break
                 if (claims.any { it.team == borrowed.spec.team }) break
@@ -53,7 +57,7 @@
         return chosen
     }
 
-    private fun neededCpus(claims: List<Claim>, usedCpus: Map<TeamName, Double>): Double =
+    private fun neededCpus(claims: List<GuaranteeClaim>, usedCpus: Map<TeamName, Double>): Double =
         claims.groupBy { it.team }.entries.sumOf { (name, its) ->
             val within = (teams[name]?.cpus ?: 0.0) - (usedCpus[name] ?: 0.0)
             its.sumOf { it.request.cpus * it.tasks }.coerceAtMost(within.coerceAtLeast(0.0))
--- a/src/main/kotlin/copperglade/scheduling/YieldingCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
@@ -6,11 +6,11 @@
 import copperglade.tasks.Run
 
 /** What stopping array tasks on a machine would free, by their priority. Services are never stopped for others. */
-class YieldingCapacity(val byPriority: List<Resources>) {
+class PreemptibleCapacity(val byPriority: List<Resources>) {
     /** The lowest priority of which something could be stopped; -1: nothing could. */
     private val lowest = byPriority.indexOfLast { it.cpus > 0.0 }
 
-    /** What is left of it after [yieldInto]. */
+    /** What is left of it after [preemptInto]. */
     private val remaining = byPriority.toTypedArray()
 
     /** Whether anything of lower priority than [priority] could be stopped. */
@@ -24,7 +24,7 @@
     }
 
     /** Takes what [free] is short of from what is of lower priority than [priority], the lowest first; what is free then. */
-    fun yieldInto(free: Resources, priority: Priority): Resources {
+    fun preemptInto(free: Resources, priority: Priority): Resources {
         var sum = free
         var lower = remaining.lastIndex
         while (sum.cpus < 0.0 && lower > priority.ordinal) {
@@ -37,13 +37,13 @@
 
     companion object {
         /** What those of [runs] take that may be stopped. */
-        fun of(runs: Collection<Run>): YieldingCapacity {
+        fun of(runs: Collection<Run>): PreemptibleCapacity {
             val byPriority = Array(Priority.entries.size) { Resources.ZERO }
-            for (run in runs) if (mayYield(run)) byPriority[run.spec.priority.ordinal] += run.spec.request
-            return YieldingCapacity(byPriority.asList())
+            for (run in runs) if (isPreemptible(run)) byPriority[run.spec.priority.ordinal] += run.spec.request
+            return PreemptibleCapacity(byPriority.asList())
         }
 
         /** Whether [run] may be stopped for work of higher priority. */
-        fun mayYield(run: Run): Boolean = run.onMachine && run.spec.kind == JobKind.ARRAY
+        fun isPreemptible(run: Run): Boolean = run.onMachine && run.spec.kind == JobKind.ARRAY
     }
 }
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -27,22 +27,22 @@
         "failures.machines",
     )
 
-    fun read(path: Path): Tuning {
+    fun read(path: Path): OperatorSettings {
         val properties = Properties()
         try {
             Files.newBufferedReader(path).use(properties::load)
         } catch (_: IllegalArgumentException) {
-            throw BadSetting("$path: not a properties file")
+            throw InvalidSettingException("$path: not a properties file")
         }
         return parse(properties)
     }
 
-    fun parse(properties: Properties): Tuning {
+    fun parse(properties: Properties): OperatorSettings {
         val unknown = properties.stringPropertyNames().filter { it !in KEYS }.sorted()
-        if (unknown.isNotEmpty()) throw BadSetting("unknown property ${unknown.first()}")
+        if (unknown.isNotEmpty()) throw InvalidSettingException("unknown property ${unknown.first()}")
         val reader = Reader(properties)
-        val usual = Tuning()
-        return Tuning(
+        val usual = OperatorSettings()
+        return OperatorSettings(
             stalenessLimit = reader.seconds("hold.limit.s", usual.stalenessLimit, 1.0..600.0),
             stalenessMargin = reader.seconds("hold.margin.s", usual.stalenessMargin, 0.5..60.0),
             sessionLeasePart = reader.number("hold.part-of-lease", usual.sessionLeasePart, 0.1..10.0),
@@ -53,11 +53,11 @@
             fittingSteps = reader.whole("profiles.fitting-steps", usual.fittingSteps, 0..100),
             fittingRate = reader.number("profiles.fitting-rate", usual.fittingRate, 0.0..1.0),
             profileCapacity = reader.whole("profiles.capacity", usual.profileCapacity, 1..100_000),
-            turnAfterS = reader.number("turn.after.s", usual.turnAfterS, 1.0..3600.0),
-            turnShare = reader.number("turn.share", usual.turnShare, 0.0..1.0),
+            starvationThresholdS = reader.number("turn.after.s", usual.starvationThresholdS, 1.0..3600.0),
+            starvationShare = reader.number("turn.share", usual.starvationShare, 0.0..1.0),
             headroom = reader.number("fleet.headroom", usual.headroom, 1.0..10.0),
             idleReplacements = reader.number("fleet.idle.replacements", usual.idleReplacements, 0.0..100.0),
-            fadeReplacements = reader.number("fleet.fade.replacements", usual.fadeReplacements, 0.1..100.0),
+            scaleInHysteresisReplacements = reader.number("fleet.fade.replacements", usual.scaleInHysteresisReplacements, 0.1..100.0),
             machinesToBlameJob = reader.whole("failures.machines", usual.machinesToBlameJob, 1..1_000_000),
         )
     }
@@ -66,13 +66,13 @@
         fun number(key: String, usual: Double, range: ClosedFloatingPointRange<Double>): Double {
             val text = properties.getProperty(key)?.trim() ?: return usual
             return text.toDoubleOrNull()?.takeIf { it in range }
-                ?: throw BadSetting("$key: not a number in $range: $text")
+                ?: throw InvalidSettingException("$key: not a number in $range: $text")
         }
 
         fun whole(key: String, usual: Int, range: IntRange): Int {
             val text = properties.getProperty(key)?.trim() ?: return usual
             return text.toIntOrNull()?.takeIf { it in range }
-                ?: throw BadSetting("$key: not an integer in $range: $text")
+                ?: throw InvalidSettingException("$key: not an integer in $range: $text")
         }
 
         fun seconds(key: String, usual: Duration, range: ClosedFloatingPointRange<Double>): Duration =
--- a/src/main/kotlin/copperglade/settings/Tuning.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorSettings.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** What the operators may set; `docs/operations.md` says what each is for. */
-class Tuning(
+class OperatorSettings(
     val stalenessLimit: Duration = 30.seconds,
     val stalenessMargin: Duration = USUAL_STALENESS_MARGIN,
     val sessionLeasePart: Double = 0.55,
@@ -16,11 +16,11 @@
     val fittingSteps: Int = 4,
     val fittingRate: Double = 0.02,
     val profileCapacity: Int = 800,
-    val turnAfterS: Double = 60.0,
-    val turnShare: Double = 0.15,
+    val starvationThresholdS: Double = 60.0,
+    val starvationShare: Double = 0.15,
     val headroom: Double = 1.15,
     val idleReplacements: Double = 0.6,
-    val fadeReplacements: Double = 2.0,
+    val scaleInHysteresisReplacements: Double = 2.0,
     val machinesToBlameJob: Int = 2,
 ) {
     companion object {
--- a/src/main/kotlin/copperglade/settings/PlatformSettings.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettings.kt
@@ -10,7 +10,7 @@
 import copperglade.protocol.text
 
 /** A setting that is missing or makes no sense; [message] names it. */
-class BadSetting(message: String) : Exception(message)
+class InvalidSettingException(message: String) : Exception(message)
 
 class Peer(val member: MemberId, val zone: String, val endpoint: Endpoint)
 
@@ -34,7 +34,7 @@
  * @property startedWithinS by load, how soon its tasks should have started, whatever their deadline.
  * @property finishedWithinS by load, how soon its jobs should be done, whatever their deadline.
  */
-class Objectives(
+class ServiceLevelObjectives(
     val deadlineTimes: Map<String, List<Double>> = emptyMap(),
     val guaranteeWithinS: Double = 10.0,
     val startedWithinS: Map<String, Double> = emptyMap(),
@@ -61,8 +61,8 @@
     val state: Endpoint,
     val zones: List<String>,
     val teams: Map<TeamName, Team>,
-    val objectives: Objectives,
-    val reportS: Double,
+    val objectives: ServiceLevelObjectives,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
     val cancelS: Double,
     val stateRps: Double,
@@ -77,7 +77,7 @@
 ) {
     companion object {
         fun parse(bytes: ByteArray): PlatformSettings {
-            val root = Json.readStrict(bytes)?.takeIf { it.isObject } ?: throw BadSetting("settings: not a JSON object")
+            val root = Json.readStrict(bytes)?.takeIf { it.isObject } ?: throw InvalidSettingException("settings: not a JSON object")
             val outside = root.section("outside")
             val deployment = root.section("deployment")
             val workers = deployment.section("workers")
@@ -96,11 +96,11 @@
                 state = outside.endpoint("state"),
                 zones = deployment.items("zones").map {
                     it.textValue()
-                        ?: throw BadSetting("deployment.zones: not strings")
+                        ?: throw InvalidSettingException("deployment.zones: not strings")
                 },
                 teams = deployment.items("teams").map(::team).associateBy { it.name },
                 objectives = objectives(deployment),
-                reportS = workers.positive("report_s"),
+                heartbeatIntervalS = workers.positive("report_s"),
                 leaseS = workers.positive("lease_s"),
                 cancelS = workers.positive("cancel_s"),
                 stateRps = state.limit("rps"),
@@ -113,15 +113,15 @@
                 memoryMb = deployment.section("resources").let { if (it.present("mem_mb") == null) null else it.positive("mem_mb") },
             )
             if (settings.cancelS <= settings.leaseS) {
-                throw BadSetting("deployment.workers.cancel_s: must be larger than lease_s")
+                throw InvalidSettingException("deployment.workers.cancel_s: must be larger than lease_s")
             }
             return settings
         }
 
-        private fun objectives(deployment: JsonNode): Objectives {
-            val usual = Objectives()
+        private fun objectives(deployment: JsonNode): ServiceLevelObjectives {
+            val usual = ServiceLevelObjectives()
             val stated = deployment.present("objectives")?.takeIf { it.isArray } ?: return usual
-            return Objectives(
+            return ServiceLevelObjectives(
                 deadlineTimes = stated
                     .filter { it.text("kind") == "deadline" }
                     .groupBy({ it.words("class") }, { if (it.present("times") == null) 1.0 else it.positive("times") })
@@ -147,20 +147,20 @@
         )
 
         private fun JsonNode.section(name: String): JsonNode =
-            present(name)?.takeIf { it.isObject } ?: throw BadSetting("$name: missing or not an object")
+            present(name)?.takeIf { it.isObject } ?: throw InvalidSettingException("$name: missing or not an object")
 
         private fun JsonNode.items(name: String): JsonNode =
-            present(name)?.takeIf { it.isArray } ?: throw BadSetting("$name: missing or not a list")
+            present(name)?.takeIf { it.isArray } ?: throw InvalidSettingException("$name: missing or not a list")
 
         private fun JsonNode.words(name: String): String =
-            text(name)?.takeIf { it.isNotEmpty() } ?: throw BadSetting("$name: missing or not a string")
+            text(name)?.takeIf { it.isNotEmpty() } ?: throw InvalidSettingException("$name: missing or not a string")
 
         private fun JsonNode.endpoint(name: String): Endpoint =
-            Endpoint.parse(words(name)) ?: throw BadSetting("$name: not of the form host:port")
+            Endpoint.parse(words(name)) ?: throw InvalidSettingException("$name: not of the form host:port")
 
         private fun JsonNode.amount(name: String): Double =
             number(name)?.takeIf { it.isFinite() && it >= 0.0 }
-                ?: throw BadSetting("$name: missing or not a number of at least 0")
+                ?: throw InvalidSettingException("$name: missing or not a number of at least 0")
 
         /**
          * A limit of the state service: the lower of the present one and of the one that is announced in `next`. The
@@ -170,16 +170,16 @@
 
         private fun JsonNode.announcedLimit(name: String): Double? {
             val next = present("next") ?: return null
-            if (!next.isObject) throw BadSetting("state.next: not an object")
+            if (!next.isObject) throw InvalidSettingException("state.next: not an object")
             if (next.present(name) == null) return null
             return next.number(name)?.takeIf { it.isFinite() && it > 0.0 }
-                ?: throw BadSetting("state.next.$name: must be a number larger than 0")
+                ?: throw InvalidSettingException("state.next.$name: must be a number larger than 0")
         }
 
         private fun JsonNode.wholeLimit(name: String): Int =
-            limit(name).toInt().takeIf { it >= 1 } ?: throw BadSetting("$name: must be at least 1")
+            limit(name).toInt().takeIf { it >= 1 } ?: throw InvalidSettingException("$name: must be at least 1")
 
         private fun JsonNode.positive(name: String): Double =
-            amount(name).takeIf { it > 0.0 } ?: throw BadSetting("$name: must be larger than 0")
+            amount(name).takeIf { it > 0.0 } ?: throw InvalidSettingException("$name: must be larger than 0")
     }
 }
--- a/src/main/kotlin/copperglade/shards/ShardMap.kt
+++ b/src/main/kotlin/copperglade/shards/ShardMap.kt
@@ -66,7 +66,7 @@
     private class Grant(val revision: Revision, val since: MonotonicTime)
 
     /** Members that hear no workers, and until when they are given no shards. */
-    private val unheardUntil = HashMap<MemberId, MonotonicTime>()
+    private val unreachableUntil = HashMap<MemberId, MonotonicTime>()
 
     /** Shards whose owners should give them up, so that every member has its part. */
     var release: List<ShardName> = emptyList()
@@ -79,8 +79,8 @@
         val now = loop.now()
         replica.shards.values
             .filter { it.value.givenUp }
-            .forEach { unheardUntil[it.value.member] = now + UNHEARD }
-        val hearing = replica.members.keys.filter { now >= (unheardUntil[it] ?: MonotonicTime.NEVER) }
+            .forEach { unreachableUntil[it.value.member] = now + UNREACHABLE }
+        val hearing = replica.members.keys.filter { now >= (unreachableUntil[it] ?: MonotonicTime.NEVER) }
         val load = hearing.ifEmpty { replica.members.keys }.associateWithTo(HashMap()) { 0 }
         val orphans = ArrayList<ShardName>()
         for (shard in shards.all) {
@@ -161,7 +161,7 @@
 
     private companion object {
         const val WAIT_FOR_MEMBERS_S = 1.5
-        val UNHEARD = 30.seconds
+        val UNREACHABLE = 30.seconds
         val log = LoggerFactory.getLogger("blocks")
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -10,7 +10,13 @@
 import java.util.BitSet
 
 /** One task's standing assignment. */
-class Assignment(val task: Int, val shard: ShardName, val fencingToken: FencingToken, val generation: Int, val recalled: Boolean)
+class Assignment(
+    val task: Int,
+    val shard: ShardName,
+    val fencingToken: FencingToken,
+    val generation: Int,
+    val preemptedForGuarantee: Boolean,
+)
 
 /** A part of a packed record, and which record that is. */
 class PackedPart<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
@@ -37,7 +43,7 @@
     private val workRecords = HashMap<ShardTaskRange, PackedPart<OutcomeRecord>>()
 
     /** What is assigned and neither done nor given back, as worked out last; null after a change. */
-    private var standing: List<Assignment>? = null
+    private var assigned: List<Assignment>? = null
 
     /** Tasks that are done. Only ever grows while the job is live. */
     val done = BitSet()
@@ -63,10 +69,10 @@
     val startableSinceMs: Long get() = releasedAtMs ?: live?.value?.acceptedAtMs ?: 0
 
     /** Whether it fails wherever it runs, by what owners have recorded; a completed task has disproved that. */
-    val mistaken: Boolean get() = done.isEmpty && workRecords.values.any { it.value.mistaken }
+    val failing: Boolean get() = done.isEmpty && workRecords.values.any { it.value.failing }
 
-    /** How many of its tasks should be on machines now: all that are not done, or one on trial where it is [mistaken]. */
-    val wantedTasks: Int get() = spec?.let { if (mistaken) MISTAKEN_TRIALS else it.tasks - done.cardinality() } ?: 0
+    /** How many of its tasks should be on machines now: all that are not done, or one on trial where it is [failing]. */
+    val wantedTasks: Int get() = spec?.let { if (failing) FAILING_JOB_TRIALS else it.tasks - done.cardinality() } ?: 0
     val empty: Boolean get() = live == null && pages.isEmpty() && works.isEmpty()
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
 
@@ -95,12 +101,12 @@
     }
 
     fun setPage(page: Int, record: PackedPart<AssignmentRange>?) {
-        standing = null
+        assigned = null
         if (record == null) pageRecords.remove(page) else pageRecords[page] = record
     }
 
     fun setWork(place: ShardTaskRange, record: PackedPart<OutcomeRecord>?) {
-        standing = null
+        assigned = null
         if (record == null) workRecords.remove(place) else workRecords[place] = record
         record?.let { done.or(it.value.done) }
     }
@@ -121,7 +127,7 @@
      * What is assigned and neither done nor given back: all that may be on a machine. Kept until a record changes:
      * with hundreds of live jobs, the leader's rounds would do little else than work it out again.
      */
-    fun assignments(): List<Assignment> = standing ?: workOut().also { standing = it }
+    fun assignments(): List<Assignment> = assigned ?: workOut().also { assigned = it }
 
     private fun workOut(): List<Assignment> {
         val found = ArrayList<Assignment>()
@@ -131,7 +137,8 @@
                 var task = group.tasks.nextSetBit(0)
                 while (task >= 0) {
                     if (!done.get(task) && returned?.get(task) != true) {
-                        found += Assignment(task, group.shard, group.fencingToken, group.generation, page.value.recalled.get(task))
+                        found +=
+                            Assignment(task, group.shard, group.fencingToken, group.generation, page.value.preemptedForGuarantee.get(task))
                     }
                     task = group.tasks.nextSetBit(task + 1)
                 }
@@ -150,6 +157,6 @@
     fun liveRevision(): Revision = live?.revision ?: Revision.ABSENT
 
     private companion object {
-        const val MISTAKEN_TRIALS = 1
+        const val FAILING_JOB_TRIALS = 1
     }
 }
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -50,7 +50,7 @@
     fun member(id: MemberId) = "${NOW}member/$id"
 
     /** What a member would tell the leader of its room, while it can't reach it. */
-    fun room(id: MemberId) = "${NOW}room/$id"
+    fun memberCapacity(id: MemberId) = "${NOW}room/$id"
 
     fun images(shard: ShardName) = "${NOW}images/$shard"
 
@@ -67,7 +67,7 @@
             "work" -> ParsedKey.Outcomes(ShardName(parts[1]))
             "block" -> ParsedKey.Shard(ShardName(parts[1]))
             "images" -> ParsedKey.Images(ShardName(parts[1]))
-            "room" -> ParsedKey.Room(MemberId(parts[1]))
+            "room" -> ParsedKey.MemberCapacity(MemberId(parts[1]))
             "member" -> ParsedKey.Member(MemberId(parts[1]))
             else -> null
         }
@@ -104,5 +104,5 @@
 
     class Images(val shard: ShardName) : ParsedKey
 
-    class Room(val id: MemberId) : ParsedKey
+    class MemberCapacity(val id: MemberId) : ParsedKey
 }
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -58,7 +58,7 @@
                     writeEndArray()
                 }
             }
-            ranges("r", record.recalled)
+            ranges("r", record.preemptedForGuarantee)
             writeNumberField("n", record.lastGeneration)
             writeNumberField("f", record.frontier)
             version(record)
@@ -85,7 +85,7 @@
             }
             ranges("x", record.restarted)
             // Left out where false: earlier versions write and read records without it.
-            if (record.mistaken) writeBooleanField("m", true)
+            if (record.failing) writeBooleanField("m", true)
             version(record)
         }
     }
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -108,7 +108,7 @@
                 continue
             }
             val present = home?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.holds(place, part) }
-            val draft = present ?: draftWithRoom(place, part, drafts)
+            val draft = present ?: draftWithCapacity(place, part, drafts)
             draft.change(place, part)
         }
         return drafts.values.filter { it.changed.isNotEmpty() }.map { it.write() }
@@ -120,7 +120,7 @@
      */
     fun same(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
-    private fun draftWithRoom(place: TaskRange, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
+    private fun draftWithCapacity(place: TaskRange, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
         drafts.values.firstOrNull { fits(it.bytes, place, part) }?.let { return it }
         val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), place, part)
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -60,7 +60,7 @@
  */
 class AssignmentRange(
     val groups: List<AssignmentGroup>,
-    val recalled: BitSet,
+    val preemptedForGuarantee: BitSet,
     val lastGeneration: Int,
     val frontier: Int,
     override val version: Int,
@@ -74,14 +74,14 @@
  * What became of a page's tasks in one shard; written by the shard's owner alone.
  *
  * @property returned by generation, the tasks that are surely on no machine of the shard any more.
- * @property mistaken whether the shard's owner has found that the job fails on whichever machine it runs.
+ * @property failing whether the shard's owner has found that the job fails on whichever machine it runs.
  */
 class OutcomeRecord(
     val done: BitSet,
     val returned: Map<Int, BitSet>,
     val restarted: BitSet,
     override val version: Int,
-    val mistaken: Boolean = false,
+    val failing: Boolean = false,
 ) : Versioned {
     companion object {
         val EMPTY = OutcomeRecord(BitSet(), emptyMap(), BitSet(), 0)
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -321,7 +321,7 @@
             is ParsedKey.Images -> if (newer(revision, images[parsed.shard])) {
                 decoded { RecordCodec.decodeImages(value) }?.let { images[parsed.shard] = StoredRecord(it, revision) }
             }
-            is ParsedKey.Room -> decoded { RecordCodec.decodePeerStatus(value) }?.let { changes.peerStatuses += it }
+            is ParsedKey.MemberCapacity -> decoded { RecordCodec.decodePeerStatus(value) }?.let { changes.peerStatuses += it }
             ParsedKey.Leader -> if (newer(revision, leader)) {
                 changes.clusterRecordsChanged = true
                 decoded { RecordCodec.decodeLeader(value) }?.let { leader = StoredRecord(it, revision) }
@@ -340,7 +340,7 @@
     private fun drop(key: String, revision: Revision, changes: ReplicaChanges) {
         if (revision > knownRevision) dropped[key] = revision
         when (val parsed = decoded { Keys.parse(key) }) {
-            null, is ParsedKey.Over, is ParsedKey.Room -> return
+            null, is ParsedKey.Over, is ParsedKey.MemberCapacity -> return
             is ParsedKey.Live -> editJob(parsed.job, changes) { if (older(it.live, revision)) it.live = null }
             ParsedKey.Assignments -> packedRecordTable.drop(key, revision, AssignmentParts, ChangedJobs(changes))
             is ParsedKey.Outcomes -> packedRecordTable.drop(key, revision, OutcomeParts(parsed.shard), ChangedJobs(changes))
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -15,7 +15,7 @@
  * Guards against two opposite errors: a job that fails everywhere would take one machine after another out of use, and a
  * faulty machine would go on ruining the tasks of jobs that are sound.
  *
- * @param machinesToBlameJob on how many machines, that fail for no other job, a job has to fail to be taken for mistaken.
+ * @param machinesToBlameJob on how many machines, that fail for no other job, a job has to fail to be taken for failing.
  */
 class FailureEvidence(private val machinesToBlameJob: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
@@ -53,7 +53,7 @@
 
     /**
      * Whether [job] has failed on [machine] so lately that its tasks had better go elsewhere. Other jobs may go there: where
-     * the machine is faulty that shows with the next of them, and where the job is mistaken the machine stays in use.
+     * the machine is faulty that shows with the next of them, and where the job is failing the machine stays in use.
      */
     fun separates(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
         failuresByMachine[machine]?.get(job)?.let { now < it + SEPARATION } ?: false
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -3,12 +3,12 @@
 import copperglade.protocol.Attempt
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.Image
 import copperglade.protocol.ImageName
 import copperglade.protocol.MachineName
 import copperglade.protocol.MachineType
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Report
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.Resources
@@ -22,7 +22,7 @@
 class UnresolvedStart(
     val task: TaskId,
     val attempt: Attempt,
-    val session: Long,
+    val epoch: Long,
     val fencingToken: FencingToken,
     val since: MonotonicTime,
     val actsUntil: MonotonicTime?,
@@ -39,9 +39,9 @@
     /** Whether its present session surely began under the present owner, so that no former owner's command can act. */
     val ours: Boolean = false,
 ) {
-    var session = 0L
+    var epoch = 0L
         private set
-    var tally = -1L
+    var sequenceNumber = -1L
         private set
 
     /** The highest fencing token that the worker is known to have seen. */
@@ -49,7 +49,7 @@
         private set
     var reportedTasks: List<ReportedTask> = emptyList()
         private set
-    var noticed = false
+    var evictionNoticed = false
         private set
     var heardAt = now
         private set
@@ -59,16 +59,16 @@
         private set
 
     /** The numbers of the latest report that the worker sent by itself. */
-    private var sentSession = 0L
-    private var sentTally = -1L
+    private var sentEpoch = 0L
+    private var sentSequenceNumber = -1L
 
     /** When the worker's own reports last arrived; answers to direct commands say nothing of its lease. */
     var reportedAt = MonotonicTime.NEVER
         private set
 
     /** The highest numbers of an earlier life, before the machine began anew. */
-    private var formerSession = 0L
-    private var formerTally = -1L
+    private var formerEpoch = 0L
+    private var formerSequenceNumber = -1L
 
     /**
      * When a report was last answered with 200, or a new session was heard of: the lease ends a lease's time after that at the
@@ -78,7 +78,7 @@
     var answeredAt = now
 
     /** Answers since the fencing token in them could have been taken up, had any arrived. */
-    var answersInVain = 0
+    var unacknowledgedAnswers = 0
     var emptySince = now
     private val runsByAttempt = LinkedHashMap<Attempt, Run>()
 
@@ -103,62 +103,62 @@
      * Whether a report is no newer than one that the worker has sent already. It sends one at a time, so it waits for
      * no answer to this one any more: a late copy.
      */
-    fun isCopy(report: Report): Boolean = !report.newerThan(sentSession, sentTally)
+    fun isDuplicate(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(sentEpoch, sentSequenceNumber)
 
     /**
      * Whether a report may as well be of an earlier life of the machine, late: then only answers to our own questions
      * tell how it is.
      */
-    fun isDoubtful(report: Report): Boolean = !report.newerThan(formerSession, formerTally)
+    fun isUnverified(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(formerEpoch, formerSequenceNumber)
 
     /** Reports up to these numbers may be of an earlier life. */
-    fun doubtUpTo(session: Long, tally: Long) {
-        if (session < formerSession || (session == formerSession && tally <= formerTally)) return
-        formerSession = session
-        formerTally = tally
+    fun markUnverifiedUpTo(epoch: Long, sequenceNumber: Long) {
+        if (epoch < formerEpoch || (epoch == formerEpoch && sequenceNumber <= formerSequenceNumber)) return
+        formerEpoch = epoch
+        formerSequenceNumber = sequenceNumber
     }
 
     /** Reports come, though what they say is in doubt: a machine that began anew may count from the start for minutes. */
-    fun reportsArrive(now: MonotonicTime) {
+    fun heartbeatsArrive(now: MonotonicTime) {
         reportedAt = now
     }
 
-    /** Takes note that the worker itself sent [report] and waits for the answer. */
-    fun sentBy(report: Report, now: MonotonicTime) {
+    /** Takes note that the worker itself sent [heartbeat] and waits for the answer. */
+    fun sentBy(heartbeat: Heartbeat, now: MonotonicTime) {
         reportedAt = now
-        sentSession = report.session
-        sentTally = report.tally
+        sentEpoch = heartbeat.epoch
+        sentSequenceNumber = heartbeat.sequenceNumber
     }
 
     /** Takes in a report; false where a newer one is known already: it says nothing, not even that the machine lives. */
-    fun update(report: Report, now: MonotonicTime): Boolean {
-        if (!report.newerThan(session, tally)) return false
-        take(report, now)
+    fun update(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
+        if (!heartbeat.newerThan(epoch, sequenceNumber)) return false
+        take(heartbeat, now)
         return true
     }
 
     /** The machine has begun anew and counts from the start again. */
-    fun beginAnew(report: Report, now: MonotonicTime) {
-        doubtUpTo(session, tally)
-        doubtUpTo(sentSession, sentTally)
-        sentSession = 0
-        sentTally = -1
+    fun restart(heartbeat: Heartbeat, now: MonotonicTime) {
+        markUnverifiedUpTo(epoch, sequenceNumber)
+        markUnverifiedUpTo(sentEpoch, sentSequenceNumber)
+        sentEpoch = 0
+        sentSequenceNumber = -1
         fencingToken = FencingToken.NONE
-        take(report, now)
+        take(heartbeat, now)
     }
 
-    private fun take(report: Report, now: MonotonicTime) {
+    private fun take(heartbeat: Heartbeat, now: MonotonicTime) {
         heardAt = now
         takenAt = now
-        if (report.session != session) answeredAt = now
-        session = report.session
-        tally = report.tally
-        if (report.fencingToken > fencingToken) fencingToken = report.fencingToken
-        reportedTasks = report.reportedTasks
+        if (heartbeat.epoch != epoch) answeredAt = now
+        epoch = heartbeat.epoch
+        sequenceNumber = heartbeat.sequenceNumber
+        if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
+        reportedTasks = heartbeat.reportedTasks
         runChanged()
-        noticed = report.noticeS != null
-        endpoint = report.endpoint
-        unresolvedStarts.removeIf { it.session < session || it.fencingToken < fencingToken }
+        evictionNoticed = heartbeat.noticeS != null
+        endpoint = heartbeat.endpoint
+        unresolvedStarts.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
         if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) emptySince = now
     }
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -57,8 +57,8 @@
     }
 
     /** The job of [run] was found to fail everywhere: the leader should know, though nothing has become of the task. */
-    fun recordMistake(run: Run) {
-        if (replica.jobs[run.task.job]?.mistaken == false) record(run)
+    fun recordFailingJob(run: Run) {
+        if (replica.jobs[run.task.job]?.failing == false) record(run)
     }
 
     fun flush() {
@@ -142,9 +142,9 @@
                 restarted.set(index)
             }
         }
-        val mistaken = done.isEmpty && (present.mistaken || job.id in owner.mistakenJobs)
-        if (!changed && mistaken == present.mistaken) return null
-        return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, mistaken)
+        val failing = done.isEmpty && (present.failing || job.id in owner.failingJobs)
+        if (!changed && failing == present.failing) return null
+        return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, failing)
     }
 
     /** Give-backs matter only as long as the leader's page still names the assignment. */
--- a/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
+++ b/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
@@ -7,8 +7,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How long a task waits before it is started again: twice as long after each of its failures, up to a limit. Of a mistaken job
- * ([MistakenJobs]) all failures count together, since its tasks are tried in turn.
+ * How long a task waits before it is started again: twice as long after each of its failures, up to a limit. Of a failing job
+ * ([FailingJobs]) all failures count together, since its tasks are tried in turn.
  *
  * Guards against tasks that fail at once and would keep machines and workers busy with nothing but starts.
  */
@@ -26,14 +26,14 @@
     /** The pause after a machine has refused a start: that says nothing of the task. */
     fun afterRefusal(): Duration = afterFailure(1)
 
-    /** A task of the mistaken job [job] has failed once more. */
+    /** A task of the failing job [job] has failed once more. */
     fun trialFailed(job: JobId, now: MonotonicTime) {
         val trials = trialsByJob.getOrPut(job) { Trials() }
         trials.failures++
         trials.nextAt = now + afterFailure(trials.failures)
     }
 
-    /** Whether a task of the mistaken job [job] may be tried again. */
+    /** Whether a task of the failing job [job] may be tried again. */
     fun mayTry(job: JobId, now: MonotonicTime): Boolean = trialsByJob[job]?.let { now >= it.nextAt } ?: true
 
     /** The job is over or no longer here. */
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -30,7 +30,7 @@
     GONE,
 }
 
-enum class StopReason { CANCELLED, RECALLED, PREEMPTED, DRAINED, RESTARTED }
+enum class StopReason { CANCELLED, PREEMPTED_FOR_GUARANTEE, PREEMPTED, DRAINED, RESTARTED }
 
 /** A task that is assigned to a shard, as its owner follows it. */
 class Run(
@@ -128,7 +128,7 @@
     }
 
     /** Bound as it is, it has to be started once more under the same attempt. */
-    fun startAgain(now: MonotonicTime) {
+    fun restartAttempt(now: MonotonicTime) {
         wasReported = false
         runningSince = null
         startSentAt = MonotonicTime.NEVER
--- a/src/main/kotlin/copperglade/tasks/ShardContext.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardContext.kt
@@ -1,14 +1,14 @@
 package copperglade.tasks
 
 import copperglade.fleet.MachineTypeCatalog
-import copperglade.membership.AbsentOwners
+import copperglade.membership.FormerIncarnations
 import copperglade.membership.Membership
 import copperglade.membership.SessionLease
-import copperglade.observability.DecisionLog
-import copperglade.observability.Workload
+import copperglade.observability.ActionAudit
+import copperglade.observability.EventLoopMetrics
 import copperglade.prediction.ProfileStore
 import copperglade.safety.ActionGuard
-import copperglade.settings.Tuning
+import copperglade.settings.OperatorSettings
 import copperglade.storage.Replica
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
@@ -23,29 +23,29 @@
     val membership: Membership,
     val types: MachineTypeCatalog,
     val profiles: ProfileStore,
-    val tuning: Tuning,
-    val reportS: Double,
+    val operatorSettings: OperatorSettings,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
-    val workload: Workload,
-    val absentOwners: AbsentOwners,
+    val metrics: EventLoopMetrics,
+    val formerIncarnations: FormerIncarnations,
     val guard: ActionGuard,
-    val decisions: DecisionLog,
+    val audit: ActionAudit,
 ) {
-    /** One for all shards of the process: the more machines are seen, the sooner a mistaken job is known. */
-    val evidence = FailureEvidence(tuning.machinesToBlameJob)
-    val mistakenJobs = MistakenJobs(replica, evidence)
+    /** One for all shards of the process: the more machines are seen, the sooner a failing job is known. */
+    val failureEvidence = FailureEvidence(operatorSettings.machinesToBlameJob)
+    val failingJobs = FailingJobs(replica, failureEvidence)
 
     /** After so long without an answer a worker's lease has run out for certain, whatever its clock's drift. */
-    val longestLease: Duration get() = (leaseS * (1 + SessionLease.DRIFT) + LEASE_MARGIN_S).seconds
+    val maxLease: Duration get() = (leaseS * (1 + SessionLease.DRIFT) + LEASE_MARGIN_S).seconds
 
     /** A machine of which nothing has come for so long is taken for silent. */
-    val silenceLimit: Duration get() = reportIntervals(SILENT_REPORTS)
+    val heartbeatTimeout: Duration get() = heartbeatIntervals(MISSED_HEARTBEATS)
 
     /** The time in which a worker sends [count] reports. */
-    fun reportIntervals(count: Double): Duration = (reportS * count).seconds
+    fun heartbeatIntervals(count: Double): Duration = (heartbeatIntervalS * count).seconds
 
     private companion object {
         const val LEASE_MARGIN_S = 0.5
-        const val SILENT_REPORTS = 2.5
+        const val MISSED_HEARTBEATS = 2.5
     }
 }
--- a/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
@@ -19,7 +19,7 @@
  * time. The more a look finds, the later the next one, up to [MAX_PAUSE]; timers are late by no more than that. Where
  * messages come one by one, none of them waits.
  */
-private class GatheringSelectStrategy : SelectStrategy {
+private class BatchingSelectStrategy : SelectStrategy {
     private var pause = MIN_PAUSE
     private var lastLook = System.nanoTime() - MAX_PAUSE
 
@@ -48,7 +48,7 @@
 /** A single NIO thread that serves every socket and makes every decision, each of them behind [barrier]. */
 class NettyEventLoop(val barrier: FaultBarrier = FaultBarrier.endingTheProcess()) : EventLoop {
     val group: EventLoopGroup =
-        MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider()) { GatheringSelectStrategy() })
+        MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider()) { BatchingSelectStrategy() })
 
     override fun now() = MonotonicTime(System.nanoTime() / NANOS_PER_MS)
 
