--- a/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
+++ b/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
@@ -2,8 +2,8 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
-import copperglade.protocol.Report
 import copperglade.sim.SimLoop
 import copperglade.sim.Simulation
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -17,17 +17,17 @@
 
     private fun machine(number: Int) = MachineName("i-$number")
 
-    private fun report(number: Int, session: Long) =
-        Report(machine(number), Endpoint("10.0.0.1", 1), "box", "north", false, session, 1, FencingToken(1), null, emptyList())
+    private fun heartbeat(number: Int, epoch: Long) =
+        Heartbeat(machine(number), Endpoint("10.0.0.1", 1), "box", "north", false, epoch, 1, FencingToken(1), null, emptyList())
 
     @Test
     fun `a fleet lost at once is remembered whole for as long as late copies may come`() {
-        repeat(MACHINES) { removed.expired(machine(it), session = 3) }
+        repeat(MACHINES) { removed.expired(machine(it), epoch = 3) }
         sim.run(50 * 60_000.0)
         removed.deleted(machine(MACHINES))
         repeat(MACHINES) { number ->
-            assertTrue(removed.covers(report(number, session = 3)))
-            assertFalse(removed.covers(report(number, session = 4)))
+            assertTrue(removed.covers(heartbeat(number, epoch = 3)))
+            assertFalse(removed.covers(heartbeat(number, epoch = 4)))
         }
     }
 
@@ -35,7 +35,7 @@
     fun `what was removed long ago takes no memory`() {
         repeat(MACHINES) { removed.deleted(machine(it)) }
         sim.run(61 * 60_000.0)
-        removed.expired(machine(MACHINES), session = 1)
+        removed.expired(machine(MACHINES), epoch = 1)
         assertEquals(1, removed.size)
         assertTrue(removed.knows(machine(MACHINES)))
     }
--- a/src/test/kotlin/copperglade/app/SocketSharesTest.kt
+++ b/src/test/kotlin/copperglade/app/ConnectionLimitsTest.kt
@@ -1,21 +1,21 @@
 package copperglade.app
 
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class SocketSharesTest {
+class ConnectionLimitsTest {
     @Test
     fun `a limit that leaves no connection for the other controllers is refused by name`() {
-        val problem = assertThrows(BadSetting::class.java) { SocketShares.of(limit = 99, peers = 4) }
+        val problem = assertThrows(InvalidSettingException::class.java) { ConnectionLimits.of(limit = 99, peers = 4) }
         assertTrue(problem.message!!.startsWith("deployment.resources.fd_limit:"))
     }
 
     @Test
     fun `the shares grow with the limit and leave some for everything else`() {
-        val shares = SocketShares.of(limit = 12_000, peers = 4)
+        val shares = ConnectionLimits.of(limit = 12_000, peers = 4)
         assertEquals(listOf(6240, 480, 4080), listOf(shares.users, shares.peers, shares.workers))
     }
 }
--- a/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
+++ b/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
@@ -28,7 +28,7 @@
     fun `garbage is collected before the budget is used up, and no more often where all of it is needed`(liveMib: Long, collections: Int) {
         val sim = Simulation(1)
         val heap = FakeHeap(4096 * MIB, liveMib * MIB)
-        HeapWatch(SimLoop(sim), heap, 112 * MIB).start()
+        HeapMonitor(SimLoop(sim), heap, 112 * MIB).start()
         sim.run(1_000.0)
         val before = heap.collections
         heap.usedBytes = 111 * MIB
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -181,14 +181,14 @@
             groups(page),
         )
         assertEquals(listOf(2, 160, 2), listOf(page.lastGeneration, page.frontier, page.version))
-        assertTrue(page.recalled.isEmpty)
+        assertTrue(page.preemptedForGuarantee.isEmpty)
     }
 
     @Test
     fun `an assignment that is recalled`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
         val page = RecordCodec.decodePage(sample.value.get("job-701/0"))
-        assertEquals("0-15", TaskIndexRanges.format(page.recalled))
+        assertEquals("0-15", TaskIndexRanges.format(page.preemptedForGuarantee))
         assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
         assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.frontier, page.version))
     }
@@ -252,7 +252,7 @@
         val machine = status.shards.flatMap { it.machines }.single()
         assertEquals(MachineName("i-000004"), machine.name)
         assertEquals(Resources(10.0, 0.0, 125.0), machine.free)
-        assertEquals(Resources(6.0, 0.0, 3.0), machine.yielding[Priority.NORMAL.ordinal])
+        assertEquals(Resources(6.0, 0.0, 3.0), machine.preemptible[Priority.NORMAL.ordinal])
     }
 
     private fun live(key: String): LiveRecord = RecordCodec.decodeLive(ProductionFiles.inSnapshot(key).value)!!
@@ -286,7 +286,7 @@
             assertEquals(listOf(false, false, false), listOf(spot, usable, worthKeeping))
             assertEquals(0, idleMs)
             assertEquals(Resources(4.0, 0.0, 122.0), free)
-            assertEquals(listOf(Resources.ZERO, Resources.ZERO, Resources(12.0, 0.0, 6.0), Resources.ZERO), yielding)
+            assertEquals(listOf(Resources.ZERO, Resources.ZERO, Resources(12.0, 0.0, 6.0), Resources.ZERO), preemptible)
             assertEquals(listOf("img-2", "img-1"), images.map { it.text })
         }
     }
@@ -361,7 +361,7 @@
         assertEquals(listOf(false, true, false), listOf(machine.spot, machine.usable, machine.worthKeeping))
         assertEquals(5, machine.idleMs)
         assertEquals(Resources(1.0, 2.0, 3.0), machine.free)
-        assertEquals(listOf(Resources(6.0, 7.0, 8.0)), machine.yielding)
+        assertEquals(listOf(Resources(6.0, 7.0, 8.0)), machine.preemptible)
         assertEquals(listOf(ImageName("img-1")), machine.images)
     }
 
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -239,7 +239,7 @@
         "usable".takeIf { machines.any { it.usable } },
         "to replace".takeIf { machines.any { !it.worthKeeping } },
         "images".takeIf { machines.any { it.images.isNotEmpty() } },
-        "yielding".takeIf { machines.any { room -> room.yielding.any { it.cpus > 0.0 } } },
+        "yielding".takeIf { machines.any { room -> room.preemptible.any { it.cpus > 0.0 } } },
     )
     return "note ${parts.joinToString(" ")}"
 }
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -38,7 +38,7 @@
         assertEquals("cg/now/block/north.0", Keys.shard(ShardName("north.0")))
         assertEquals("cg/now/images/north.0", Keys.images(ShardName("north.0")))
         assertEquals("cg/now/member/lorry-0", Keys.member(MemberId("lorry-0")))
-        assertEquals("cg/now/room/lorry-0", Keys.room(MemberId("lorry-0")))
+        assertEquals("cg/now/room/lorry-0", Keys.memberCapacity(MemberId("lorry-0")))
     }
 
     @Test
@@ -69,7 +69,7 @@
         is ParsedKey.Outcomes -> "Outcomes ${known.shard}"
         is ParsedKey.Shard -> "Block ${known.name}"
         is ParsedKey.Images -> "Images ${known.shard}"
-        is ParsedKey.Room -> "Room ${known.id}"
+        is ParsedKey.MemberCapacity -> "Room ${known.id}"
         is ParsedKey.Member -> "Member ${known.id}"
         ParsedKey.Leader -> "Leader"
     }
@@ -87,7 +87,7 @@
     @Test
     fun `paths of users and workers`() {
         assertEquals(listOf("/submissions", "/healthz", "cancel"), listOf(UserWire.JOBS_PATH, UserWire.HEALTH_PATH, UserWire.CANCEL_END))
-        assertEquals(listOf("/checkin", "/do"), listOf(WorkerWire.REPORT_PATH, WorkerWire.COMMAND_PATH))
+        assertEquals(listOf("/checkin", "/do"), listOf(WorkerWire.HEARTBEAT_PATH, WorkerWire.COMMAND_PATH))
     }
 
     @Test
@@ -117,7 +117,7 @@
         val dispatches = """"dispatches":[{"order":"start","box":"job-7/3","trip":9},""" +
             """{"order":"halt","box":"job-7/3","trip":8,"leewayS":2.5},{"order":"reap","box":"job-7/3","trip":7}]"""
         assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(FencingToken(4), commands).decodeToString())
-        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(FencingToken(4), session = 2, commands).decodeToString())
+        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(FencingToken(4), epoch = 2, commands).decodeToString())
         assertEquals("""{"dispatcher":"lorry-1"}""", WorkerWire.sendOn(MemberId("lorry-1")).decodeToString())
         assertEquals("{}", WorkerWire.sendOn(null).decodeToString())
     }
@@ -128,11 +128,14 @@
         assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wire })
         val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
             "baton":4,"recallS":2.5,"boxes":[{"box":"job-1/3","trip":2,"status":"ended","cause":"halted"}]}"""
-        val report = WorkerWire.parseReport(text.toByteArray())!!
-        assertEquals(listOf("i-1", "10.0.0.1:9000", "g", "a"), listOf(report.machine.text, "${report.endpoint}", report.type, report.zone))
-        assertEquals(listOf(1L, 8L, 4L), listOf(report.session, report.tally, report.fencingToken.number))
-        assertEquals(true to 2.5, report.spot to report.noticeS)
-        val reportedTask = report.reportedTasks.single()
+        val heartbeat = WorkerWire.parseHeartbeat(text.toByteArray())!!
+        assertEquals(
+            listOf("i-1", "10.0.0.1:9000", "g", "a"),
+            listOf(heartbeat.machine.text, "${heartbeat.endpoint}", heartbeat.type, heartbeat.zone),
+        )
+        assertEquals(listOf(1L, 8L, 4L), listOf(heartbeat.epoch, heartbeat.sequenceNumber, heartbeat.fencingToken.number))
+        assertEquals(true to 2.5, heartbeat.spot to heartbeat.noticeS)
+        val reportedTask = heartbeat.reportedTasks.single()
         assertEquals("job-1/3" to 2L, "${reportedTask.task}" to reportedTask.attempt.number)
         assertEquals(ReportedTaskState.EXITED to ExitCause.STOPPED, reportedTask.state to reportedTask.cause)
     }
--- a/src/test/kotlin/copperglade/membership/PeerMessengerTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class PeerMessengerTest {
+class PeerStatusExchangeTest {
     private val sim = Simulation(1)
     private val network = SimNetwork(sim)
     private val loop = SimLoop(sim)
@@ -34,7 +34,7 @@
     private val limits = StateLimits(1e6, 1e6, 2.0, 4)
     private val store = StateClient(loop, network.callerOf("member", loop), STATE, limits)
 
-    private fun room(number: Int) = MachineAvailability(
+    private fun memberCapacity(number: Int) = MachineAvailability(
         MachineName("i-machine-with-a-long-name-$number"),
         "type-with-a-long-name",
         "zone-with-a-long-name",
@@ -43,7 +43,7 @@
         worthKeeping = true,
         idleMs = 5,
         free = Resources(1.0, 2.0, 3.0),
-        yielding = List(4) { Resources(4.0, 0.0, 1.0) },
+        preemptible = List(4) { Resources(4.0, 0.0, 1.0) },
         images = emptyList(),
     )
 
@@ -53,7 +53,7 @@
         Revision(9),
         12,
         isLeader = false,
-        listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::room))),
+        listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::memberCapacity))),
         emptyList(),
         emptyList(),
         writesWanted = 1.0,
@@ -63,7 +63,7 @@
     fun `a room record holds as many machines as fit into a value`() {
         service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerS)
         val caller = network.callerOf("member", loop)
-        PeerMessenger(
+        PeerStatusExchange(
             loop,
             caller,
             store,
@@ -76,7 +76,7 @@
         ).start()
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
-        val value = Json.read(service.text(Keys.room(SELF))!!.toByteArray())!!
+        val value = Json.read(service.text(Keys.memberCapacity(SELF))!!.toByteArray())!!
         val told = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
             told.shards
--- a/src/test/kotlin/copperglade/membership/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessTest.kt
@@ -1,8 +1,8 @@
 package copperglade.membership
 
 import copperglade.controller.Controller
-import copperglade.settings.BadSetting
-import copperglade.settings.Tuning
+import copperglade.settings.InvalidSettingException
+import copperglade.settings.OperatorSettings
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -19,10 +19,10 @@
         repeat(20_000) {
             val leaseS = 1.0 + random.nextDouble() * 60.0
             val cancelS = leaseS + 0.01 + random.nextDouble() * random.nextDouble() * 60.0
-            val tuning = Tuning(stalenessMargin = (500 + random.nextInt(8000)).milliseconds)
+            val operatorSettings = OperatorSettings(stalenessMargin = (500 + random.nextInt(8000)).milliseconds)
             val limit = try {
-                Controller.stalenessLimit(leaseS, cancelS, tuning).toDouble(DurationUnit.SECONDS)
-            } catch (_: BadSetting) {
+                Controller.stalenessLimit(leaseS, cancelS, operatorSettings).toDouble(DurationUnit.SECONDS)
+            } catch (_: InvalidSettingException) {
                 return@repeat
             }
             accepted++
@@ -35,10 +35,12 @@
 
     @Test
     fun `settings that leave no time to act are refused by name`() {
-        val fault = assertThrows(BadSetting::class.java) { Controller.stalenessLimit(10.0, 11.0, Tuning()) }
+        val fault = assertThrows(InvalidSettingException::class.java) { Controller.stalenessLimit(10.0, 11.0, OperatorSettings()) }
         assertTrue("cancel_s" in fault.message!!)
         val margin =
-            assertThrows(BadSetting::class.java) { Controller.stalenessLimit(10.0, 30.0, Tuning(stalenessMargin = 19_500.milliseconds)) }
+            assertThrows(InvalidSettingException::class.java) {
+                Controller.stalenessLimit(10.0, 30.0, OperatorSettings(stalenessMargin = 19_500.milliseconds))
+            }
         assertTrue("hold.margin.s" in margin.message!!)
     }
 }
--- a/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
+++ b/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
@@ -52,17 +52,17 @@
 
     @Test
     fun `the largest profit wins, and the guard asks that the worst time beats the time left`() {
-        val safe = Option("safe", Prediction(listOf(20.0, 25.0)), 0.0)
-        val better = Option("better", Prediction(listOf(5.0, 10.0)), 0.0)
-        val risky = Option("risky", Prediction(listOf(1.0, 1.0, 1.0, 50.0)), 0.0)
-        val hopeless = Option("hopeless", Prediction(listOf(60.0, 70.0)), 0.0)
-        assertEquals("better", (RiskAssessment.weigh(listOf(safe, better), 40.0) as Verdict.Restart).option.place)
-        assertTrue(RiskAssessment.weigh(listOf(risky), 40.0) is Verdict.TooRisky)
-        assertTrue(RiskAssessment.weigh(listOf(hopeless), 40.0) is Verdict.NoProfit)
-        assertTrue(RiskAssessment.weigh(emptyList<Option<String>>(), 40.0) is Verdict.NoProfit)
+        val safe = RestartOption("safe", Prediction(listOf(20.0, 25.0)), 0.0)
+        val better = RestartOption("better", Prediction(listOf(5.0, 10.0)), 0.0)
+        val risky = RestartOption("risky", Prediction(listOf(1.0, 1.0, 1.0, 50.0)), 0.0)
+        val hopeless = RestartOption("hopeless", Prediction(listOf(60.0, 70.0)), 0.0)
+        assertEquals("better", (RiskAssessment.weigh(listOf(safe, better), 40.0) as RestartVerdict.Restart).option.place)
+        assertTrue(RiskAssessment.weigh(listOf(risky), 40.0) is RestartVerdict.TooRisky)
+        assertTrue(RiskAssessment.weigh(listOf(hopeless), 40.0) is RestartVerdict.NoProfit)
+        assertTrue(RiskAssessment.weigh(emptyList<RestartOption<String>>(), 40.0) is RestartVerdict.NoProfit)
         // The image fetch counts against the guard: 10 + 31 is no longer below 40.
         assertTrue(
-            RiskAssessment.weigh(listOf(Option("far", Prediction(listOf(5.0, 10.0)), 31.0)), 40.0) !is Verdict.Restart,
+            RiskAssessment.weigh(listOf(RestartOption("far", Prediction(listOf(5.0, 10.0)), 31.0)), 40.0) !is RestartVerdict.Restart,
         )
     }
 
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import copperglade.settings.PlatformSettings
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -74,7 +74,7 @@
     }
 
     /** The plain way to read a report, by a tree: what the streaming one must agree with. */
-    private fun plainReport(bytes: ByteArray): String? {
+    private fun plainHeartbeat(bytes: ByteArray): String? {
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
         val reportedTasks = root.present("boxes")
         if (reportedTasks != null && !reportedTasks.isArray) return null
@@ -98,8 +98,8 @@
         ).toString()
     }
 
-    private fun asText(report: Report) = with(report) {
-        listOf(machine, endpoint, type, zone, spot, session, tally, fencingToken, noticeS, reportedTasks).toString()
+    private fun asText(heartbeat: Heartbeat) = with(heartbeat) {
+        listOf(machine, endpoint, type, zone, spot, epoch, sequenceNumber, fencingToken, noticeS, reportedTasks).toString()
     }
 
     @ParameterizedTest
@@ -116,8 +116,8 @@
             var text = whole
             values.filter { random.nextInt(8) == 0 }.reversed().forEach { text = text.replaceRange(it, odd[random.nextInt(odd.size)]) }
             if (random.nextInt(10) == 0) text = text.take(random.nextInt(text.length))
-            val read = WorkerWire.parseReport(text.toByteArray())
-            assertEquals(plainReport(text.toByteArray()), read?.let(::asText), text)
+            val read = WorkerWire.parseHeartbeat(text.toByteArray())
+            assertEquals(plainHeartbeat(text.toByteArray()), read?.let(::asText), text)
             if (read != null) sound++
         }
         assertTrue(sound in 20..480, "$sound sound ones")
@@ -125,8 +125,8 @@
 
     @Test
     fun `bad reports are no reports`() {
-        assertNull(WorkerWire.parseReport("[]".toByteArray()))
-        assertNull(WorkerWire.parseReport("""{"truck":"i-1"}""".toByteArray()))
+        assertNull(WorkerWire.parseHeartbeat("[]".toByteArray()))
+        assertNull(WorkerWire.parseHeartbeat("""{"truck":"i-1"}""".toByteArray()))
     }
 
     @Test
@@ -140,7 +140,7 @@
             worthKeeping = true,
             idleMs = 5,
             free = Resources(1.0, 2.0, 3.0),
-            yielding = listOf(Resources.ZERO, Resources(4.0, 0.0, 1.0)),
+            preemptible = listOf(Resources.ZERO, Resources(4.0, 0.0, 1.0)),
             images = listOf(ImageName("img-1")),
         )
         val status = PeerStatus(
@@ -157,7 +157,7 @@
         val bytes = PeerWire.encode(status)
         val again = PeerWire.decode(bytes)!!
         assertEquals(status.knownRevision, again.knownRevision)
-        assertEquals(room.yielding, again.shards[0].machines[0].yielding)
+        assertEquals(room.preemptible, again.shards[0].machines[0].preemptible)
         assertEquals(status.retire, again.retire)
         for (cut in 0 until bytes.size) assertNull(PeerWire.decode(bytes.copyOf(cut)))
     }
@@ -166,9 +166,9 @@
     fun `a bad setting is named`() {
         val fault =
             assertThrows(
-                BadSetting::class.java,
+                InvalidSettingException::class.java,
             ) { PlatformSettings.parse("""{"outside":{},"deployment":{}}""".toByteArray()) }
         assertTrue(fault.message!!.contains("workers"))
-        assertThrows(BadSetting::class.java) { PlatformSettings.parse("no".toByteArray()) }
+        assertThrows(InvalidSettingException::class.java) { PlatformSettings.parse("no".toByteArray()) }
     }
 }
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -1,15 +1,15 @@
 package copperglade.safety
 
-import copperglade.membership.RightToAct
+import copperglade.membership.ActionAuthority
 import copperglade.protocol.Attempt
 import copperglade.protocol.Command
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
+import copperglade.protocol.Heartbeat
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobStatus
 import copperglade.protocol.MachineName
-import copperglade.protocol.Report
 import copperglade.protocol.ReportedTask
 import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.ShardName
@@ -38,7 +38,7 @@
 
 /** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
 class ActionGuardTest {
-    private class Right(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : RightToAct
+    private class Right(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : ActionAuthority
 
     private val free = JobId("job-1")
     private val cancelled = JobId("job-2")
@@ -48,9 +48,9 @@
     private val unknown = JobId("job-99")
     private val machine = MachineName("i-1")
     private val right = Right()
-    private val seen = ArrayList<Violation>()
+    private val seen = ArrayList<InvariantViolation>()
     private val replica = loadedReplica()
-    private val guard = ActionGuard(replica, right, Violations { seen += it })
+    private val guard = ActionGuard(replica, right, InvariantViolations { seen += it })
 
     private fun loadedReplica(): Replica {
         val sim = Simulation(1)
@@ -81,14 +81,14 @@
 
     private fun start(job: JobId) = Command.Start(TaskId(job, 0), Attempt(1))
 
-    private fun report(jobs: List<JobId>) = Report(
+    private fun heartbeat(jobs: List<JobId>) = Heartbeat(
         machine,
         Endpoint("10.0.0.1", 9000),
         "box",
         "north",
         spot = false,
-        session = 1,
-        tally = 1,
+        epoch = 1,
+        sequenceNumber = 1,
         fencingToken = FencingToken(1),
         noticeS = null,
         reportedTasks = jobs.map { ReportedTask(TaskId(it, 0), Attempt(1), ReportedTaskState.RUNNING, null) },
@@ -117,11 +117,11 @@
 
     @Test
     fun `an answer that lacks the stops of what is over gets them`() {
-        val report = report(listOf(free, cancelled, over, called, unknown))
-        val stops = guard.approveAnswer(report, emptyList()).map { it.task.job }
+        val heartbeat = heartbeat(listOf(free, cancelled, over, called, unknown))
+        val stops = guard.approveAnswer(heartbeat, emptyList()).map { it.task.job }
         assertEquals(listOf(cancelled, over, called), stops)
         assertReported(Invariant.ANSWER_STOPS_WHAT_IS_OVER)
-        assertEquals(guard.stopsFor(report), guard.approveAnswer(report, guard.stopsFor(report)))
+        assertEquals(guard.stopsFor(heartbeat), guard.approveAnswer(heartbeat, guard.stopsFor(heartbeat)))
         assertReported(Invariant.ANSWER_STOPS_WHAT_IS_OVER)
     }
 
--- a/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
@@ -12,20 +12,20 @@
 
     @Test
     fun `keys are read, and what is left out keeps its default`() {
-        val tuning = parse("lead.hold.s" to "2.5", "fleet.headroom" to "1.5")
-        assertEquals(2.5.seconds, tuning.leaderLease)
-        assertEquals(1.5, tuning.headroom)
-        assertEquals(8, tuning.nearestProfiles)
+        val operatorSettings = parse("lead.hold.s" to "2.5", "fleet.headroom" to "1.5")
+        assertEquals(2.5.seconds, operatorSettings.leaderLease)
+        assertEquals(1.5, operatorSettings.headroom)
+        assertEquals(8, operatorSettings.nearestProfiles)
     }
 
     @Test
     fun `unknown keys and bad values are refused by name`() {
         assertEquals(
             "unknown property hold.limit",
-            assertThrows(BadSetting::class.java) { parse("hold.limit" to "1") }.message,
+            assertThrows(InvalidSettingException::class.java) { parse("hold.limit" to "1") }.message,
         )
-        val fault = assertThrows(BadSetting::class.java) { parse("fleet.headroom" to "lots") }
+        val fault = assertThrows(InvalidSettingException::class.java) { parse("fleet.headroom" to "lots") }
         assertEquals(true, fault.message!!.startsWith("fleet.headroom"))
-        assertThrows(BadSetting::class.java) { parse("profiles.nearest" to "0") }
+        assertThrows(InvalidSettingException::class.java) { parse("profiles.nearest" to "0") }
     }
 }
--- a/src/test/kotlin/copperglade/settings/ObjectivesTest.kt
+++ b/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-class ObjectivesTest {
+class ServiceLevelObjectivesTest {
     private fun settings(objectives: String?) = PlatformSettings
         .parse(
             """{"member":"a","location":"z","client_listen":"10.0.0.1:1","cluster_listen":"10.0.0.1:2","known":[],
@@ -45,7 +45,7 @@
         "'{\"kind\":\"guarantee\",\"within_s\":\"soon\"}', within_s",
     )
     fun `bad aims are named`(aim: String, field: String) {
-        val fault = assertThrows(BadSetting::class.java) { settings("[$aim]") }
+        val fault = assertThrows(InvalidSettingException::class.java) { settings("[$aim]") }
         assertTrue(field in fault.message!!, fault.message)
     }
 }
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -44,7 +44,7 @@
         "'{\"txn_ops\":0.5}', txn_ops",
     )
     fun `bad announced limits are named`(next: String, field: String) {
-        val fault = assertThrows(BadSetting::class.java) { settings(""","next":$next""") }
+        val fault = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
         assertTrue(field in fault.message!!, fault.message)
     }
 }
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -1,7 +1,7 @@
 package copperglade.sim
 
 import copperglade.protocol.JobId
-import copperglade.settings.Tuning
+import copperglade.settings.OperatorSettings
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -12,30 +12,30 @@
 class FailingJobsTest {
     private val scale = SiteScale(machinesPerZone = 8, teamCpus = 400.0, guaranteedCpus = 200.0)
 
-    private val mistaken = (1..MISTAKEN).map { JobId("job-${300 + it}") }
+    private val failing = (1..FAILING).map { JobId("job-${300 + it}") }
 
     /** Sound arrays and services, and arrays that fail everywhere. */
-    private fun siteWithMistakenJobs(seed: Long, tuning: Tuning = Tuning()): SimSite {
-        val site = SimSite(Simulation(seed), tuning = tuning, scale = scale)
-        site.fails = { task, _ -> task.job in mistaken }
+    private fun siteWithFailingJobs(seed: Long, operatorSettings: OperatorSettings = OperatorSettings()): SimSite {
+        val site = SimSite(Simulation(seed), operatorSettings = operatorSettings, scale = scale)
+        site.fails = { task, _ -> task.job in failing }
         site.services(4)
         site.arrays(16)
-        repeat(MISTAKEN) { number ->
+        repeat(FAILING) { number ->
             site.sim.after(6_000.0 + number * 2_500.0) { site.submit(SimSite.job(301 + number, tasks = 12)) { 8.0 } }
         }
         return site
     }
 
-    private fun SimSite.cancelMistaken() = mistaken.forEach(::cancel)
+    private fun SimSite.cancelFailing() = failing.forEach(::cancel)
 
-    private fun SimSite.soundJobsDone() = users.values.count { it.work(0) != null && it.spec.id !in mistaken && it.told == "done" }
+    private fun SimSite.soundJobsDone() = users.values.count { it.work(0) != null && it.spec.id !in failing && it.told == "done" }
 
-    private fun mistakenStarts(site: SimSite) = mistaken.maxOf { site.startsOf[it] ?: 0 }
+    private fun failingStarts(site: SimSite) = failing.maxOf { site.startsOf[it] ?: 0 }
 
     @ParameterizedTest
     @ValueSource(longs = [2401, 2402, 2403])
     fun `jobs that fail everywhere take no machine out of use and end by cancellation alone`(seed: Long) {
-        val site = siteWithMistakenJobs(seed)
+        val site = siteWithFailingJobs(seed)
         site.run(75.0)
         val machines = site.workerNames()
         val rented = site.machinesRented
@@ -43,16 +43,16 @@
         assertEquals(16, site.soundJobsDone(), "sound jobs done")
         assertEquals(rented, site.machinesRented, "machines were rented in place of sound ones")
         assertTrue(site.workerNames().all { it in machines }, "machines were replaced")
-        assertTrue(mistakenStarts(site) < 60, "${mistakenStarts(site)} starts of one mistaken job")
-        assertTrue(mistaken.all { site.users.getValue(it).told in listOf("queued", "running") })
-        site.cancelMistaken()
+        assertTrue(failingStarts(site) < 60, "${failingStarts(site)} starts of one mistaken job")
+        assertTrue(failing.all { site.users.getValue(it).told in listOf("queued", "running") })
+        site.cancelFailing()
         site.assertKept()
-        assertTrue(mistaken.all { site.users.getValue(it).told == "aborted" })
+        assertTrue(failing.all { site.users.getValue(it).told == "aborted" })
     }
 
     @Test
     fun `without telling mistaken jobs from machines, sound machines are replaced`() {
-        val site = siteWithMistakenJobs(2404, Tuning(machinesToBlameJob = 1_000))
+        val site = siteWithFailingJobs(2404, OperatorSettings(machinesToBlameJob = 1_000))
         site.run(75.0)
         val machines = site.workerNames()
         site.run(60.0)
@@ -62,19 +62,19 @@
     @ParameterizedTest
     @ValueSource(longs = [2411, 2412, 2413])
     fun `a faulty machine is told from its jobs and gets no more of them, also beside mistaken jobs`(seed: Long) {
-        val site = siteWithMistakenJobs(seed)
+        val site = siteWithFailingJobs(seed)
         site.run(20.0)
         val faulty = site
             .runningTasks()
             .values
             .first()
             .name
-        site.fails = { task, machine -> task.job in mistaken || (machine == faulty && task.job.text.length < "job-500".length) }
+        site.fails = { task, machine -> task.job in failing || (machine == faulty && task.job.text.length < "job-500".length) }
         val before = site.startsOn.getValue(faulty)
         site.run(75.0)
         val after = site.startsOn.getValue(faulty) - before
         assertTrue(after < 25, "$after starts on $faulty")
-        site.cancelMistaken()
+        site.cancelFailing()
         site.assertKept()
         assertEquals(16, site.soundJobsDone())
     }
@@ -102,13 +102,13 @@
     @ParameterizedTest
     @ValueSource(longs = [2431, 2432, 2433])
     fun `a mistaken job is known to be one when the leader and the owners change, and may be mended`(seed: Long) {
-        val site = siteWithMistakenJobs(seed)
+        val site = siteWithFailingJobs(seed)
         site.run(40.0)
         (0 until site.nodes).forEach { site.crash(it, 500.0 + site.sim.random.nextInt(4000)) }
         site.run(20.0)
         site.leader()?.let { site.crash(it) }
         site.run(40.0)
-        assertTrue(mistakenStarts(site) < 80, "${mistakenStarts(site)} starts of one mistaken job")
+        assertTrue(failingStarts(site) < 80, "${failingStarts(site)} starts of one mistaken job")
         // What made it fail is gone: a task on trial is completed, and then the others run.
         site.fails = { _, _ -> false }
         site.run(75.0)
@@ -117,6 +117,6 @@
     }
 
     private companion object {
-        const val MISTAKEN = 8
+        const val FAILING = 8
     }
 }
--- a/src/test/kotlin/copperglade/sim/FaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FaultsTest.kt
@@ -49,17 +49,17 @@
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
         val random = site.sim.random
         var faults = 0
-        site.fails = { task, _ -> task.job.isMistaken() }
+        site.fails = { task, _ -> task.job.isFailing() }
         site.onReadingsOf(CANCELLED_MARK) { node ->
             if (random.nextInt(FAULT_ONE_IN) == 0) {
                 faults++
                 site.injectFault(node, random.nextInt(READINGS_PER_TURN))
             }
         }
-        val cancelled = (0 until JOBS).filter { it % 4 == 1 || JobId("job-$it").isMistaken() }
+        val cancelled = (0 until JOBS).filter { it % 4 == 1 || JobId("job-$it").isFailing() }
         repeat(JOBS) { number ->
             site.sim.after(number * 1_000.0) {
-                val before = if (number % 4 == 0 || JobId("job-$number").isMistaken()) emptyList() else listOf(JobId("job-${number - 1}"))
+                val before = if (number % 4 == 0 || JobId("job-$number").isFailing()) emptyList() else listOf(JobId("job-${number - 1}"))
                 val workS = 4.0 + random.nextDouble() * 20
                 site.submit(SimSite.job(number, tasks = 1 + random.nextInt(6), etaS = 10.0), before) { workS }
             }
@@ -122,18 +122,18 @@
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
         val random = site.sim.random
         val faulty = HashSet<Int>()
-        site.fails = { task, _ -> task.job.isMistaken() }
+        site.fails = { task, _ -> task.job.isFailing() }
         site.onReadingsOf(CANCELLED_MARK) { node ->
             if (random.nextInt(FAULT_ONE_IN) == 0 && faulty.add(node)) site.injectFault(node, random.nextInt(READINGS_PER_SMALL_TURN))
         }
         repeat(JOBS) { number ->
-            val tasks = if (JobId("job-$number").isMistaken()) 1 else 6
+            val tasks = if (JobId("job-$number").isFailing()) 1 else 6
             site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, etaS = 10.0)) { 10.0 } }
         }
         site.run(45.0)
         // So that owners learn of cancellations by their readings alone.
         site.cutPeers()
-        val cancelled = (0 until JOBS).map { JobId("job-$it") }.filter { it.isMistaken() }
+        val cancelled = (0 until JOBS).map { JobId("job-$it") }.filter { it.isFailing() }
         cancelled.forEachIndexed { index, job -> site.sim.after(index * 4_000.0) { site.cancel(job) } }
         site.run(60.0)
         assertTrue(faulty.isNotEmpty() && site.confirmedCancellations > 0)
@@ -151,7 +151,7 @@
         }
     }
 
-    private fun JobId.isMistaken() = text.substringAfter('-').toInt() % 5 == 2
+    private fun JobId.isFailing() = text.substringAfter('-').toInt() % 5 == 2
 
     private companion object {
         const val CANCELLED_MARK = "\"cancelled\":true"
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -11,7 +11,7 @@
 class FleetTest {
     private val fleet = SiteScale(
         machinesPerZone = 365,
-        reportS = 4.0,
+        heartbeatIntervalS = 4.0,
         leaseS = 22.0,
         cancelS = 42.0,
         stateRps = 400.0,
@@ -64,7 +64,7 @@
     fun `four thousand machines from nothing, a leader's end, and half of them lost at once`() {
         val huge = SiteScale(
             machinesPerZone = 1000,
-            reportS = 6.0,
+            heartbeatIntervalS = 6.0,
             leaseS = 30.0,
             cancelS = 60.0,
             stateRps = 600.0,
--- a/src/test/kotlin/copperglade/sim/MessageMeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageMeetingsTest.kt
@@ -156,7 +156,7 @@
         site.run(24.0)
         val before = site.state.text(Keys.LEADER)
         // Only what workers send is held back; it is delivered to whoever has the address by then.
-        site.holdReports(site.workerNames().take(3))
+        site.holdHeartbeats(site.workerNames().take(3))
         site.run(1.5)
         (0 until site.nodes).forEach { site.crash(it, 150.0 + it * 400.0) }
         site.run(4.0 + site.sim.random.nextInt(5))
--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
@@ -24,7 +24,7 @@
         { seconds -> freezeController(anyNode(), seconds * 1000) },
         { seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } },
         { seconds -> mute(someWorkers()).also { after(seconds) { loseNothing() } } },
-        { seconds -> holdReports(someWorkers()).also { after(seconds) { heal() } } },
+        { seconds -> holdHeartbeats(someWorkers()).also { after(seconds) { heal() } } },
         { seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } },
         { _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) },
         { _ -> if (workerCount() > 0) rebootMachine(sim.random.nextInt(workerCount())) },
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -12,11 +12,11 @@
 import copperglade.protocol.TaskId
 import copperglade.protocol.TeamName
 import copperglade.protocol.text
-import copperglade.settings.Objectives
+import copperglade.settings.OperatorSettings
 import copperglade.settings.Peer
 import copperglade.settings.PlatformSettings
+import copperglade.settings.ServiceLevelObjectives
 import copperglade.settings.Team
-import copperglade.settings.Tuning
 import copperglade.standin.CloudType
 import copperglade.standin.StandInCloud
 import copperglade.standin.StandInState
@@ -36,7 +36,7 @@
 /** How large a site is, and what its outside allows. */
 class SiteScale(
     val machinesPerZone: Int = 4,
-    val reportS: Double = 1.5,
+    val heartbeatIntervalS: Double = 1.5,
     val leaseS: Double = 10.0,
     val cancelS: Double = 30.0,
     val stateRps: Double = 200.0,
@@ -56,7 +56,7 @@
  */
 class SimSite(
     val sim: Simulation,
-    private val tuning: Tuning = Tuning(),
+    private val operatorSettings: OperatorSettings = OperatorSettings(),
     private val scale: SiteScale = SiteScale(),
     private val slowMachine: String? = null,
     /** The lease that the controllers are told; another than the workers' own only to see the referee at work. */
@@ -168,8 +168,8 @@
         state = STATE,
         zones = ZONES,
         teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, toldCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
-        objectives = Objectives(),
-        reportS = scale.reportS,
+        objectives = ServiceLevelObjectives(),
+        heartbeatIntervalS = scale.heartbeatIntervalS,
         leaseS = toldLeaseS,
         cancelS = toldCancelS,
         stateRps = limitsOf(node).requestsPerS,
@@ -185,7 +185,7 @@
         if (controllers[node]?.second?.alive == true) return
         val loop = SimLoop(sim, drift = node * DRIFT)
         if (takesFaults) loop.guard = FaultBarrier { crash(node) }::run
-        val its = if (outsideLimitS != null && node % 2 == 0) Tuning(stalenessLimit = outsideLimitS.seconds) else tuning
+        val its = if (outsideLimitS != null && node % 2 == 0) OperatorSettings(stalenessLimit = outsideLimitS.seconds) else operatorSettings
         val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its, onViolation = { violation ->
             breach("invariant", "${violation.invariant}: ${violation.what}")
         })
@@ -316,7 +316,7 @@
     fun workerCount() = workers.size
 
     /** Sessions that workers have begun because a lease of theirs ran out, and machines that are gone. */
-    val leasesOrMachinesLost: Long get() = workers.values.sumOf { it.session - 1 } + cloudMachines.count { it.gone }
+    val leasesOrMachinesLost: Long get() = workers.values.sumOf { it.epoch - 1 } + cloudMachines.count { it.gone }
 
     /** Tasks that save, and the machines that they are on. */
     fun savingTasks(): Map<TaskId, StandInWorker> =
@@ -327,7 +327,7 @@
     }
 
     /** What these machines report is held back until the cuts are healed; all else goes on. */
-    fun holdReports(workers: Collection<String>) =
+    fun holdHeartbeats(workers: Collection<String>) =
         workers.forEach { worker -> (0 until nodes).forEach { network.cutOneWay(worker, name(it)) } }
 
     private fun boot(machine: StandInCloud.Machine) {
@@ -335,7 +335,7 @@
         val endpoint = Endpoint(machine.address.substringBefore(':'), 9000)
         val loop = SimLoop(sim, drift = sim.random.nextDouble() * 0.0005)
         val speed = if (machine.name == slowMachine) SLOW else 1.0
-        val site = WorkerSite(scale.reportS, scale.leaseS, (0 until nodes).map { MemberId(name(it)) to client(it) })
+        val site = WorkerSite(scale.heartbeatIntervalS, scale.leaseS, (0 until nodes).map { MemberId(name(it)) to client(it) })
         val worker = StandInWorker(
             loop,
             network.callerOf(machine.name, loop),
@@ -641,7 +641,7 @@
     fun runningTasks(): Map<TaskId, StandInWorker> = onMachine
 
     companion object {
-        const val REPORT_S = 1.5
+        const val HEARTBEAT_S = 1.5
         const val LEASE_S = 10.0
         const val CANCEL_S = 30.0
         const val SLOW = 0.25
--- a/src/test/kotlin/copperglade/soak/Soak.kt
+++ b/src/test/kotlin/copperglade/soak/Soak.kt
@@ -1,6 +1,6 @@
 package copperglade.soak
 
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import java.util.concurrent.Callable
 import java.util.concurrent.Executors
 import kotlin.system.exitProcess
@@ -28,7 +28,7 @@
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
     val options = try {
         SoakOptions.parse(arguments.toList())
-    } catch (bad: BadSetting) {
+    } catch (bad: InvalidSettingException) {
         System.err.println("soak: ${bad.message}")
         exitProcess(2)
     }
--- a/src/test/kotlin/copperglade/soak/SoakNetwork.kt
+++ b/src/test/kotlin/copperglade/soak/SoakNetwork.kt
@@ -37,7 +37,7 @@
     var lostAnswerOneIn = 0
 
     /** One in so many reports comes once more, late; one in so many commands comes late, and unanswered. */
-    var lateReportOneIn = 0
+    var lateHeartbeatOneIn = 0
     var lateCommandOneIn = 0
 
     /** Messages that were held back, lost, late or refused: troubles that did happen. */
@@ -74,7 +74,7 @@
         delayMs = { 0 }
         lateWriteOneIn = 0
         lostAnswerOneIn = 0
-        lateReportOneIn = 0
+        lateHeartbeatOneIn = 0
         lateCommandOneIn = 0
         deliverHeld()
     }
@@ -150,7 +150,7 @@
             done(reply)
         }
         loop.after(timeout) { finish(null) }
-        if (path == REPORT && oneIn(lateReportOneIn)) late { caller.call(to, request, timeout) {} }
+        if (path == HEARTBEAT && oneIn(lateHeartbeatOneIn)) late { caller.call(to, request, timeout) {} }
         travel(Passage(from, name, path, answer = false)) {
             caller.call(to, request, timeout) { reply ->
                 if (reply == null) finish(null) else travel(Passage(name, from, path, answer = true)) { finish(reply) }
@@ -164,7 +164,7 @@
         const val USERS = "users"
         const val TRANSACTION = "/multi"
         const val COMMAND = "/do"
-        const val REPORT = "/checkin"
+        const val HEARTBEAT = "/checkin"
         private const val UNAVAILABLE = 503
         private const val SOONEST_LATE_MS = 1_000
         private const val LATEST_MS = 9_000
--- a/src/test/kotlin/copperglade/soak/SoakOptions.kt
+++ b/src/test/kotlin/copperglade/soak/SoakOptions.kt
@@ -1,6 +1,6 @@
 package copperglade.soak
 
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import java.nio.file.Path
 
 /** What a soak runs, as checked. */
@@ -27,13 +27,14 @@
             val given = HashMap<String, String>()
             for (word in words) {
                 val name = word.substringBefore('=')
-                if ('=' !in word) throw BadSetting("$word: not of the form name=value; $USAGE")
-                if (given.put(name, word.substringAfter('=')) != null) throw BadSetting("$name: given twice")
+                if ('=' !in word) throw InvalidSettingException("$word: not of the form name=value; $USAGE")
+                if (given.put(name, word.substringAfter('=')) != null) throw InvalidSettingException("$name: given twice")
             }
             val usual = SoakOptions()
             val options = SoakOptions(
                 firstSeed =
-                    given.remove("seed")?.let { it.toLongOrNull() ?: throw BadSetting("seed: not a whole number") } ?: usual.firstSeed,
+                    given.remove("seed")?.let { it.toLongOrNull() ?: throw InvalidSettingException("seed: not a whole number") }
+                        ?: usual.firstSeed,
                 runs = given.whole("runs", RUNS) ?: usual.runs,
                 workers = given.whole("workers", WORKERS) ?: usual.workers,
                 nodes = given.whole("nodes", 3..5) ?: usual.nodes,
@@ -42,15 +43,15 @@
                 atOnce = given.whole("at-once", AT_ONCE) ?: usual.atOnce,
                 keepIn = given.remove("keep")?.let { Path.of(it) } ?: usual.keepIn,
             )
-            given.keys.firstOrNull()?.let { throw BadSetting("$it: unknown option; $USAGE") }
-            if (options.nodes == 4) throw BadSetting("nodes: 3 or 5")
+            given.keys.firstOrNull()?.let { throw InvalidSettingException("$it: unknown option; $USAGE") }
+            if (options.nodes == 4) throw InvalidSettingException("nodes: 3 or 5")
             return options
         }
 
         private fun HashMap<String, String>.whole(name: String, range: IntRange): Int? {
             val text = remove(name) ?: return null
-            val number = text.toIntOrNull() ?: throw BadSetting("$name: not a whole number")
-            if (number !in range) throw BadSetting("$name: must be from ${range.first} to ${range.last}")
+            val number = text.toIntOrNull() ?: throw InvalidSettingException("$name: not a whole number")
+            if (number !in range) throw InvalidSettingException("$name: must be from ${range.first} to ${range.last}")
             return number
         }
     }
--- a/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.TaskId
-import copperglade.settings.BadSetting
+import copperglade.settings.InvalidSettingException
 import copperglade.sim.SimSite
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -194,7 +194,7 @@
             "colour=red",
             "runs",
         )) {
-            val problem = assertThrows(BadSetting::class.java) { SoakOptions.parse(listOf(bad)) }
+            val problem = assertThrows(InvalidSettingException::class.java) { SoakOptions.parse(listOf(bad)) }
             assertTrue(problem.message!!.startsWith(bad.substringBefore('=')), "$bad: ${problem.message}")
         }
     }
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -181,7 +181,7 @@
             loop,
             network.caller(machine.name, caller, ::nameOf),
             world,
-            WorkerSite(REPORT_S, LEASE_S, (0 until options.nodes).map { MemberId(name(it)) to clients[it] }),
+            WorkerSite(HEARTBEAT_S, LEASE_S, (0 until options.nodes).map { MemberId(name(it)) to clients[it] }),
             machine.name,
             NOWHERE,
             machine.type.name,
@@ -235,7 +235,7 @@
     }
 
     companion object {
-        const val REPORT_S = 1.0
+        const val HEARTBEAT_S = 1.0
         const val LEASE_S = 6.0
         const val CANCEL_S = 16.0
         private const val HOST = "127.0.0.1"
@@ -259,7 +259,7 @@
         private val USER_TIMEOUT = 5.seconds
         private val OWN_END_PAUSE = 1.seconds
         private const val DEPLOYMENT = """{"zones":["north","south"],"teams":[{"name":"team","cpus":16.0,"cpus_max":TEAM_CPUS,"gpus":0.0,
-            "gpus_max":0.0}],"workers":{"report_s":$REPORT_S,"lease_s":$LEASE_S,"cancel_s":$CANCEL_S},"state":{"rps":STATE_RPS,
+            "gpus_max":0.0}],"workers":{"report_s":$HEARTBEAT_S,"lease_s":$LEASE_S,"cancel_s":$CANCEL_S},"state":{"rps":STATE_RPS,
             "write_rps":STATE_WRITE_RPS,"value_kb":4.0,"txn_ops":12},"cloud":{"rps":$CLOUD_RPS,"list_lag_s":0.5},
             "resources":{"fd_limit":1500}}"""
 
--- a/src/test/kotlin/copperglade/soak/SoakTroubles.kt
+++ b/src/test/kotlin/copperglade/soak/SoakTroubles.kt
@@ -104,8 +104,8 @@
             later(ms) { network.lostAnswerOneIn = 0 }
         },
         Trouble("reports come again, late") { ms ->
-            network.lateReportOneIn = 4
-            later(ms) { network.lateReportOneIn = 0 }
+            network.lateHeartbeatOneIn = 4
+            later(ms) { network.lateHeartbeatOneIn = 0 }
         },
         Trouble("commands come late, unanswered") { ms ->
             network.lateCommandOneIn = 4
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -11,11 +11,11 @@
 import copperglade.protocol.ParsedJob
 import copperglade.protocol.TaskId
 import copperglade.protocol.TeamName
-import copperglade.settings.Objectives
+import copperglade.settings.OperatorSettings
 import copperglade.settings.Peer
 import copperglade.settings.PlatformSettings
+import copperglade.settings.ServiceLevelObjectives
 import copperglade.settings.Team
-import copperglade.settings.Tuning
 import copperglade.transport.NettyEventLoop
 import copperglade.transport.NettyHttpCaller
 import copperglade.transport.NettyHttpServer
@@ -52,7 +52,7 @@
     fun start() {
         NettyHttpServer(loop, SOCKETS, handler = rememberingJobs(state)).listen(STATE)
         NettyHttpServer(loop, SOCKETS, handler = cloud).listen(CLOUD)
-        repeat(NODES) { Main.run(settings(it), Tuning()) }
+        repeat(NODES) { Main.run(settings(it), OperatorSettings()) }
         println("controllers: ${(0 until NODES).joinToString { "http://${client(it)}" }}")
     }
 
@@ -69,7 +69,7 @@
 
     private fun boot(machine: StandInCloud.Machine) {
         val endpoint = Endpoint(HOST, nextPort++)
-        val site = WorkerSite(REPORT_S, LEASE_S, (0 until NODES).map { member(it) to client(it) })
+        val site = WorkerSite(HEARTBEAT_S, LEASE_S, (0 until NODES).map { member(it) to client(it) })
         val worker = StandInWorker(
             loop,
             http,
@@ -98,8 +98,8 @@
         state = STATE,
         zones = ZONES,
         teams = listOf(Team(TeamName("team"), 16.0, 48.0, 0.0, 0.0)).associateBy { it.name },
-        objectives = Objectives(),
-        reportS = REPORT_S,
+        objectives = ServiceLevelObjectives(),
+        heartbeatIntervalS = HEARTBEAT_S,
         leaseS = LEASE_S,
         cancelS = 30.0,
         stateRps = 200.0,
@@ -118,7 +118,7 @@
         const val CLIENT_PORT = 18080
         const val CLUSTER_PORT = 18180
         const val FIRST_WORKER_PORT = 18300
-        const val REPORT_S = 2.0
+        const val HEARTBEAT_S = 2.0
         const val LEASE_S = 10.0
         val ZONES = listOf("here", "there")
         val STATE = Endpoint(HOST, 18200)
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -36,7 +36,7 @@
     fun ended(worker: StandInWorker, task: TaskId, done: Boolean)
 }
 
-class WorkerSite(val reportS: Double, val leaseS: Double, val controllers: List<Pair<MemberId, Endpoint>>)
+class WorkerSite(val heartbeatIntervalS: Double, val leaseS: Double, val controllers: List<Pair<MemberId, Endpoint>>)
 
 /** One machine's worker, written from the protocol. */
 class StandInWorker(
@@ -66,16 +66,16 @@
 
     private val held = ArrayList<HeldTask>()
     private val images = HashSet<String>()
-    var session = 1L
+    var epoch = 1L
         private set
-    private var sessionBegan = loop.now()
+    private var epochBegan = loop.now()
     private var answeredSentAt: MonotonicTime? = null
-    private var tally = 0L
+    private var sequenceNumber = 0L
     private var fencingToken = 0L
     private var target = 0
     val reportsTo: Int get() = target
     private var reporting = false
-    private var lastReport = MonotonicTime.NEVER
+    private var lastHeartbeat = MonotonicTime.NEVER
     private var changed = true
     var alive = true
         private set
@@ -111,18 +111,18 @@
         // A hanging machine may resume within its lease, and no later: its tasks end with the lease all the same.
         expire()
         if (!hanging) {
-            val due = if (changed) 500.milliseconds else site.reportS.seconds
-            if (!reporting && loop.now() >= lastReport + due) report()
+            val due = if (changed) 500.milliseconds else site.heartbeatIntervalS.seconds
+            if (!reporting && loop.now() >= lastHeartbeat + due) heartbeat()
         }
         loop.after(TICK) { tick() }
     }
 
     private fun expire() {
-        val since = answeredSentAt ?: sessionBegan
+        val since = answeredSentAt ?: epochBegan
         if (loop.now().ms - since.ms <= site.leaseS * 1000) return
         wipe()
-        session++
-        sessionBegan = loop.now()
+        epoch++
+        epochBegan = loop.now()
         answeredSentAt = null
         changed = true
     }
@@ -132,19 +132,19 @@
         held.clear()
     }
 
-    private fun report() {
+    private fun heartbeat() {
         reporting = true
         changed = false
-        lastReport = loop.now()
+        lastHeartbeat = loop.now()
         val sent = loop.now()
-        val sentSession = session
-        tally++
+        val sentEpoch = epoch
+        sequenceNumber++
         http.call(site.controllers[target].second, Request(Method.POST, "/checkin", body()), 4.seconds) { reply ->
             if (!alive) return@call
             reporting = false
             val node = Json.read(reply?.body ?: ByteArray(0))
             when (reply?.status) {
-                200 -> if (sentSession == session) {
+                200 -> if (sentEpoch == epoch) {
                     val token = node?.long("baton") ?: -1
                     if (token >= fencingToken) {
                         answeredSentAt = sent
@@ -168,7 +168,7 @@
 
     private fun next() {
         target = (target + 1) % site.controllers.size
-        lastReport = loop.now() - site.reportS.seconds + 1.seconds
+        lastHeartbeat = loop.now() - site.heartbeatIntervalS.seconds + 1.seconds
     }
 
     private fun see(token: Long) {
@@ -184,19 +184,19 @@
             return
         }
         if (request.path == "/status") {
-            tally++
+            sequenceNumber++
             return responder.send(Reply(200, body()))
         }
         val node = Json.read(request.body)
         val token = node?.long("baton")
         val wanted = node?.long("shift")
         if (token == null || wanted == null) return responder.send(Reply(400))
-        val taken = token >= fencingToken && wanted == session
+        val taken = token >= fencingToken && wanted == epoch
         if (taken) {
             see(token)
             node.get("dispatches").forEach(::execute)
         }
-        tally++
+        sequenceNumber++
         responder.send(Reply(if (taken) 200 else 409, body()))
     }
 
@@ -277,8 +277,8 @@
             writeStringField("fleet", type)
             writeStringField("depot", zone)
             writeBooleanField("borrowed", spot)
-            writeNumberField("shift", session)
-            writeNumberField("tally", tally)
+            writeNumberField("shift", epoch)
+            writeNumberField("tally", sequenceNumber)
             writeNumberField("baton", fencingToken)
             writeNullField("recallS")
             array("boxes") {
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -75,7 +75,7 @@
             val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
             if (place in busyPages || (home != null && home in busy)) continue
             val draft = when (home) {
-                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: recordWithRoom(place, part, drafts)
+                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: recordWithCapacity(place, part, drafts)
                 else -> drafts[home] ?: Draft(home)
             }
             drafts[draft.key] = draft
@@ -104,7 +104,7 @@
 
     private fun fits(bytes: Int, place: TaskRange, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
 
-    private fun recordWithRoom(place: TaskRange, part: ByteArray, taken: Map<String, Draft>): Draft {
+    private fun recordWithCapacity(place: TaskRange, part: ByteArray, taken: Map<String, Draft>): Draft {
         val known = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), place, part)
         }
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -196,14 +196,14 @@
 
     @Test
     fun `a writer that does not see to the end of such writes is caught`() {
-        val mistaken = (5L..8L).any { seed ->
+        val failing = (5L..8L).any { seed ->
             val bench = Bench(seed, lateOneIn = 6, settles = false)
             (1..12).any {
                 repeat(12) { bench.step() }
                 bench.model != bench.reread()
             }
         }
-        assertTrue(mistaken)
+        assertTrue(failing)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -47,7 +47,7 @@
         val page = RecordCodec.decodePage(
             Json.read(RecordCodec.encode(AssignmentRange(emptyList(), bits(2), lastGeneration = 7, frontier = 5, version = 9)))!!,
         )
-        assertEquals(listOf(bits(2), 7, 5, 9), listOf(page.recalled, page.lastGeneration, page.frontier, page.version))
+        assertEquals(listOf(bits(2), 7, 5, 9), listOf(page.preemptedForGuarantee, page.lastGeneration, page.frontier, page.version))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -8,40 +8,40 @@
 import org.junit.jupiter.api.Test
 
 class FailureEvidenceTest {
-    private val evidence = FailureEvidence(machinesToBlameJob = 2)
+    private val failureEvidence = FailureEvidence(machinesToBlameJob = 2)
     private val now = MonotonicTime(100_000)
 
     private fun job(number: Int) = JobId("job-$number")
 
     private fun machine(number: Int) = MachineName("i-$number")
 
-    private fun fail(job: Int, machine: Int) = evidence.failed(job(job), machine(machine), now)
+    private fun fail(job: Int, machine: Int) = failureEvidence.failed(job(job), machine(machine), now)
 
     @Test
     fun `one failure only keeps the job from the machine for a while`() {
         fail(1, 1)
-        assertFalse(evidence.blamesJob(job(1)))
-        assertFalse(evidence.blamesMachine(machine(1)))
-        assertTrue(evidence.separates(job(1), machine(1), now))
-        assertFalse(evidence.separates(job(2), machine(1), now))
-        assertFalse(evidence.separates(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
+        assertFalse(failureEvidence.blamesJob(job(1)))
+        assertFalse(failureEvidence.blamesMachine(machine(1)))
+        assertTrue(failureEvidence.separates(job(1), machine(1), now))
+        assertFalse(failureEvidence.separates(job(2), machine(1), now))
+        assertFalse(failureEvidence.separates(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
     }
 
     @Test
     fun `a job that fails on several machines is blamed, and they are not`() {
         fail(1, 1)
         fail(1, 2)
-        assertTrue(evidence.blamesJob(job(1)))
+        assertTrue(failureEvidence.blamesJob(job(1)))
         fail(3, 1)
-        assertFalse(evidence.blamesMachine(machine(1)))
-        assertFalse(evidence.blamesMachine(machine(2)))
+        assertFalse(failureEvidence.blamesMachine(machine(1)))
+        assertFalse(failureEvidence.blamesMachine(machine(2)))
     }
 
     @Test
     fun `several mistaken jobs on one machine don't make it faulty`() {
         (1..3).forEach { job -> (1..3).forEach { fail(job, it) } }
-        (1..3).forEach { assertTrue(evidence.blamesJob(job(it))) }
-        (1..3).forEach { assertFalse(evidence.blamesMachine(machine(it))) }
+        (1..3).forEach { assertTrue(failureEvidence.blamesJob(job(it))) }
+        (1..3).forEach { assertFalse(failureEvidence.blamesMachine(machine(it))) }
     }
 
     @Test
@@ -50,9 +50,9 @@
         fail(2, 1)
         fail(1, 2)
         fail(3, 2)
-        assertTrue(evidence.blamesMachine(machine(1)))
-        assertTrue(evidence.blamesMachine(machine(2)))
-        assertFalse(evidence.blamesJob(job(1)))
+        assertTrue(failureEvidence.blamesMachine(machine(1)))
+        assertTrue(failureEvidence.blamesMachine(machine(2)))
+        assertFalse(failureEvidence.blamesJob(job(1)))
     }
 
     @Test
@@ -60,18 +60,18 @@
         fail(1, 1)
         fail(2, 1)
         fail(2, 2)
-        evidence.completed(job(3), machine(1))
-        assertFalse(evidence.blamesMachine(machine(1)))
-        assertTrue(evidence.blamesJob(job(2)))
-        evidence.completed(job(2), machine(3))
-        assertFalse(evidence.blamesJob(job(2)))
+        failureEvidence.completed(job(3), machine(1))
+        assertFalse(failureEvidence.blamesMachine(machine(1)))
+        assertTrue(failureEvidence.blamesJob(job(2)))
+        failureEvidence.completed(job(2), machine(3))
+        assertFalse(failureEvidence.blamesJob(job(2)))
     }
 
     @Test
     fun `what a job that is over left open is not held against its machines`() {
         fail(1, 1)
         fail(2, 1)
-        evidence.forgetJob(job(1))
-        assertFalse(evidence.blamesMachine(machine(1)))
+        failureEvidence.forgetJob(job(1))
+        assertFalse(failureEvidence.blamesMachine(machine(1)))
     }
 }
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -53,10 +53,10 @@
         val random = Random(1)
         repeat(MANY) {
             val bytes = ByteArray(random.nextInt(60)).also(random::nextBytes)
-            WorkerWire.parseReport(bytes)
+            WorkerWire.parseHeartbeat(bytes)
         }
         // UTF-32, as its first bytes say, and not valid as such.
-        assertNull(WorkerWire.parseReport(byteArrayOf(0, 0, 0, '{'.code.toByte(), 0x7f, 0x7f, 0x7f, 0x7f)))
+        assertNull(WorkerWire.parseHeartbeat(byteArrayOf(0, 0, 0, '{'.code.toByte(), 0x7f, 0x7f, 0x7f, 0x7f)))
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -152,7 +152,7 @@
                 worthKeeping = true,
                 idleMs = 0,
                 free = Resources(1.0, 0.0, 2.0),
-                yielding = List(4) { Resources(1.0, 0.0, 1.0) },
+                preemptible = List(4) { Resources(1.0, 0.0, 1.0) },
                 images = listOf(ImageName("img-1"), ImageName("img-2")),
             )
         }
