--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -72,7 +72,7 @@
 
     /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
     private fun forget(run: Run) {
-        context.audit.forgotten(run)
+        context.audit.forgotten(run.task, run.state.name, run.machine?.name, run.onMachine)
         run.unbind()
         runs.remove(run)
     }
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -9,7 +9,6 @@
 import copperglade.safety.InvariantViolations
 import copperglade.safety.Refusal
 import copperglade.storage.Replica
-import copperglade.tasks.Run
 import copperglade.transport.EventLoop
 import org.slf4j.LoggerFactory
 import java.util.TreeMap
@@ -58,11 +57,17 @@
         if (log.isDebugEnabled) log.debug("action=answer machine={} token={} stops={} {}", machine, token, stops, right())
     }
 
-    /** The shard follows the task of [run] no more, since its record says that it is over or assigned elsewhere. */
-    fun forgotten(run: Run) {
-        count(if (run.onMachine) "forget_on_machine" else "forget")
+    /**
+     * The shard no longer follows [task], since its record says that it is over or assigned elsewhere.
+     *
+     * @param state what its owner knew of it last.
+     * @param machine the machine that it is on, or was to be started on.
+     * @param onMachine whether it may be on that machine now, or come to be.
+     */
+    fun forgotten(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
+        count(if (onMachine) "forget_on_machine" else "forget")
         if (!log.isDebugEnabled) return
-        log.debug("action=forget task={} state={} machine={} {}", run.task, run.state, run.machine?.name, basis(run.task.job))
+        log.debug("action=forget task={} state={} machine={} {}", task, state, machine, basis(task.job))
     }
 
     /** The leader asks the state service to end [job]. */
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -53,7 +53,7 @@
     first: FencingToken,
 ) {
     private val state = ShardState(context, name, first)
-    private val outcomes = OutcomeLog(context.loop, store, context.replica, this)
+    private val outcomes = OutcomeLog(context.loop, store, context.replica, state)
     private val health = MachineHealth(state)
     private val summary = ShardSummary(state, health)
     private val lifecycle = RunLifecycle(state, outcomes)
@@ -69,9 +69,6 @@
     private val stragglers = StragglerRestarts(state, outcomes, stopper)
     private var nextSweep = MonotonicTime.NEVER
 
-    /** Jobs that fail wherever they run. */
-    val failingJobs: FailingJobs get() = context.failingJobs
-
     /** The shard's machines, as far as their workers have been heard. */
     val machines: Map<MachineName, Machine> get() = state.machines
 
@@ -106,9 +103,6 @@
     /** The job is over, or nothing is known of it any more. */
     fun drop(job: JobId) = reconciler.drop(job)
 
-    /** The runs of this shard's tasks on one page of a job's records. */
-    fun runsOf(place: TaskRange): Collection<Run> = state.runs.of(place)
-
     /**
      * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
      * that we may act.
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -8,7 +8,6 @@
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.scheduling.PlacementCost
-import copperglade.scheduling.PreemptibleCapacity
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
@@ -28,7 +27,7 @@
 ) {
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
         /** What stopping array tasks would free, by their priority; worked out once a round, for machines that are asked for it. */
-        private val preemptible by lazy(LazyThreadSafetyMode.NONE) { PreemptibleCapacity.of(machine.runs.filter { !it.isPledged }) }
+        private val preemptible by lazy(LazyThreadSafetyMode.NONE) { machine.runs.filter { !it.isPledged }.preemptibleCapacity() }
 
         /** Whether a task of [spec] would fit once all lower work on the machine is stopped. */
         fun fitsWithPreemption(spec: JobSpec): Boolean = spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
@@ -111,7 +110,7 @@
         var free = candidate.free
         val chosen = ArrayList<Run>()
         val candidates = candidate.machine.runs
-            .filter { PreemptibleCapacity.isPreemptible(it) && !it.isPledged && it.spec.priority > run.spec.priority }
+            .filter { it.isPreemptible && !it.isPledged && it.spec.priority > run.spec.priority }
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
--- /dev/null
+++ b/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
@@ -0,0 +1,17 @@
+package copperglade.placement
+
+import copperglade.protocol.JobKind
+import copperglade.protocol.Priority
+import copperglade.protocol.Resources
+import copperglade.scheduling.PreemptibleCapacity
+import copperglade.tasks.Run
+
+/** Whether this run may be stopped for work of higher priority. */
+internal val Run.isPreemptible: Boolean get() = onMachine && spec.kind == JobKind.ARRAY
+
+/** What those of these runs take that may be stopped, by priority. */
+internal fun Collection<Run>.preemptibleCapacity(): PreemptibleCapacity {
+    val byPriority = Array(Priority.entries.size) { Resources.ZERO }
+    for (run in this) if (run.isPreemptible) byPriority[run.spec.priority.ordinal] += run.spec.request
+    return PreemptibleCapacity(byPriority.asList())
+}
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -6,7 +6,6 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.ShardCapacity
-import copperglade.scheduling.PreemptibleCapacity
 import copperglade.storage.ImageRecord
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
@@ -45,7 +44,7 @@
             worthKeeping = health.isWorthKeeping(machine, now),
             idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
             free = free,
-            preemptible = PreemptibleCapacity.of(machine.runs).byPriority,
+            preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
         )
     }
--- a/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
@@ -1,9 +1,7 @@
 package copperglade.scheduling
 
-import copperglade.protocol.JobKind
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
-import copperglade.tasks.Run
 
 /** What stopping array tasks on a machine would free, by their priority. Services are never stopped for others. */
 class PreemptibleCapacity(val byPriority: List<Resources>) {
@@ -34,16 +32,4 @@
         }
         return sum
     }
-
-    companion object {
-        /** What those of [runs] take that may be stopped. */
-        fun of(runs: Collection<Run>): PreemptibleCapacity {
-            val byPriority = Array(Priority.entries.size) { Resources.ZERO }
-            for (run in runs) if (isPreemptible(run)) byPriority[run.spec.priority.ordinal] += run.spec.request
-            return PreemptibleCapacity(byPriority.asList())
-        }
-
-        /** Whether [run] may be stopped for work of higher priority. */
-        fun isPreemptible(run: Run): Boolean = run.onMachine && run.spec.kind == JobKind.ARRAY
-    }
 }
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -1,6 +1,5 @@
 package copperglade.tasks
 
-import copperglade.ownership.ShardOwner
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.storage.AssignmentRange
@@ -32,14 +31,14 @@
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val owner: ShardOwner,
+    private val shard: ShardState,
 ) {
     private val packer = RecordPacker(
         replica,
         store.limits,
-        Keys.outcomeRecords(owner.name),
-        { job, page -> job.works[ShardTaskRange(page, owner.name)] },
-        { job, page -> job.works[ShardTaskRange(page, owner.name)]?.let { RecordCodec.encode(it.value) } },
+        Keys.outcomeRecords(shard.name),
+        { job, page -> job.works[ShardTaskRange(page, shard.name)] },
+        { job, page -> job.works[ShardTaskRange(page, shard.name)]?.let { RecordCodec.encode(it.value) } },
     )
     private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.OUTCOME, ::ownership)
     private val dirtySince = LinkedHashMap<TaskRange, MonotonicTime>()
@@ -62,7 +61,7 @@
     }
 
     fun flush() {
-        if (dirtySince.isEmpty() || !owner.open) return
+        if (dirtySince.isEmpty() || !shard.open) return
         val now = loop.now()
         val scarcity = 1.0 - store.writeLevel()
         val due = dirtySince.any { (place, since) ->
@@ -85,9 +84,9 @@
         packer.pack(changes).forEach(::write)
     }
 
-    private fun ownership() = Condition(Keys.shard(owner.name), Revision(owner.fencingToken.number))
+    private fun ownership() = Condition(Keys.shard(shard.name), Revision(shard.token.number))
 
-    private fun moreToCome(place: TaskRange): Boolean = owner.runsOf(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
+    private fun moreToCome(place: TaskRange): Boolean = shard.runs.of(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
 
     private fun write(packedWrite: PackedWrite) {
         val conditions = LinkedHashSet<Condition>()
@@ -111,7 +110,7 @@
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
-                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { owner.open }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
                 else -> replica.readFresh { loop.after(AFTER_CONFLICT, again) }
             }
         }
@@ -119,13 +118,13 @@
 
     /** The record that says all that is known, or null where it says nothing new. */
     private fun updatedRecord(job: Job, page: Int): OutcomeRecord? {
-        val present = job.works[ShardTaskRange(page, owner.name)]?.value ?: OutcomeRecord.EMPTY
+        val present = job.works[ShardTaskRange(page, shard.name)]?.value ?: OutcomeRecord.EMPTY
         val done = present.done.clone() as BitSet
         val restarted = present.restarted.clone() as BitSet
         val returned = HashMap<Int, BitSet>()
         present.returned.forEach { (generation, tasks) -> returned[generation] = tasks.clone() as BitSet }
         var changed = false
-        for (run in owner.runsOf(TaskRange(job.id, page))) {
+        for (run in shard.runs.of(TaskRange(job.id, page))) {
             val index = run.task.index
             val gone = run.state == RunState.GONE || (run.state == RunState.DONE && job.cancelled)
             if (run.state == RunState.DONE && !gone) {
@@ -142,7 +141,7 @@
                 restarted.set(index)
             }
         }
-        val failing = done.isEmpty && (present.failing || job.id in owner.failingJobs)
+        val failing = done.isEmpty && (present.failing || job.id in shard.context.failingJobs)
         if (!changed && failing == present.failing) return null
         return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, failing)
     }
@@ -151,7 +150,7 @@
     private fun stillNeeded(returned: Map<Int, BitSet>, page: AssignmentRange?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in page?.groups.orEmpty()) {
-            if (group.shard != owner.name) continue
+            if (group.shard != shard.name) continue
             val tasks = (returned[group.generation] ?: continue).clone() as BitSet
             tasks.and(group.tasks)
             if (!tasks.isEmpty) needed[group.generation] = tasks
