--- a/src/test/kotlin/copperglade/sim/Days.kt
+++ b/src/test/kotlin/copperglade/sim/Days.kt
@@ -14,8 +14,8 @@
     submit(SimSite.job(500 + number, tasks = tasks, service = true, spot = false)) { null }
 }
 
-/** All troubles end; by the end of [forS] nothing may be left undone, unanswered, waiting or broken. */
-fun SimSite.assertKept(forS: Double = 120.0) {
+/** Ends all faults of the network, the state service and the controllers' access to it, and lets [forS] seconds pass. */
+fun SimSite.recover(forS: Double) {
     heal()
     loseNothing()
     network.delayMs = { 0.0 }
@@ -24,6 +24,11 @@
     (0 until nodes).forEach(::serveController)
     calmSince = sim.nowMs
     run(forS)
+}
+
+/** All troubles end; by the end of [forS] nothing may be left undone, unanswered, waiting or broken. */
+fun SimSite.assertKept(forS: Double = 120.0) {
+    recover(forS)
     checkForgotten()
     checkServed()
     checkOrphans()
--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
@@ -8,47 +8,6 @@
 
 /** Two or three troubles at once, by seed, four times a day, while users submit, ask and cancel. */
 class MixedTroublesTest {
-    /** Each begins at once and ends by itself or with [SimSite.assertKept]; all of them know how many seconds they last. */
-    private val troubles: List<SimSite.(Double) -> Unit> = listOf(
-        { seconds ->
-            state.outage = true
-            after(seconds) { state.outage = false }
-        },
-        { seconds -> (leader() ?: 0).let { node -> refuseController(node).also { after(seconds) { serveController(node) } } } },
-        { seconds -> isolateController(anyNode()).also { after(seconds) { heal() } } },
-        { seconds -> cutController(anyNode(), "workers").also { after(seconds) { heal() } } },
-        { seconds -> cutZone(SimSite.ZONES[sim.random.nextInt(2)]).also { after(seconds) { heal() } } },
-        { seconds -> cutPeers().also { after(seconds) { heal() } } },
-        { _ -> crash(leader() ?: 0, 150.0 + sim.random.nextInt(5000)) },
-        { _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } },
-        { seconds -> freezeController(anyNode(), seconds * 1000) },
-        { seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } },
-        { seconds -> mute(someWorkers()).also { after(seconds) { loseNothing() } } },
-        { seconds -> holdReports(someWorkers()).also { after(seconds) { heal() } } },
-        { seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } },
-        { _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) },
-        { _ -> if (workerCount() > 0) rebootMachine(sim.random.nextInt(workerCount())) },
-        { seconds ->
-            network.lateWriteOneIn = 5
-            after(seconds) { network.lateWriteOneIn = 0 }
-        },
-        { seconds ->
-            network.copyOneIn = 3
-            after(seconds) { network.copyOneIn = 0 }
-        },
-        { seconds ->
-            network.delayMs = { if (it.path == "/do" || it.from == "state") sim.random.nextInt(900).toDouble() else 0.0 }
-            after(seconds) { network.delayMs = { 0.0 } }
-        },
-        { seconds -> repeat(20) { after(it * seconds / 20) { oddRequest() } } },
-    )
-
-    private fun SimSite.after(seconds: Double, action: () -> Unit) = sim.after(seconds * 1000, action)
-
-    private fun SimSite.anyNode() = sim.random.nextInt(nodes)
-
-    private fun SimSite.someWorkers() = workerNames().filter { sim.random.nextInt(3) == 0 }
-
     private fun follower(number: Int) = JobId("job-${100 + number}")
 
     /** Beside the usual load, jobs that await one or two of it, and mostly one of their own kind before them. */
@@ -89,9 +48,9 @@
         site.run(22.0)
         var met = 0
         repeat(4) {
-            val chosen = troubles.shuffled(random).take(2 + random.nextInt(2))
+            val chosen = SiteFault.entries.shuffled(random).take(2 + random.nextInt(2))
             met += chosen.size
-            chosen.forEach { trouble -> site.after(random.nextDouble() * 3.0) { site.trouble(2.0 + random.nextDouble() * 20.0) } }
+            chosen.forEach { fault -> site.after(random.nextDouble() * 3.0) { fault.begin(site, 2.0 + random.nextDouble() * 20.0) } }
             repeat(3) { site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${1 + random.nextInt(24)}")) } }
             if (random.nextInt(3) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${500 + random.nextInt(5)}")) }
             if (random.nextInt(2) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(follower(random.nextInt(FOLLOWERS))) }
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -73,8 +73,10 @@
     endedBefore: Int = 0,
     /** Whether controllers take a fault in a decision as a real process does; else the test fails with it. */
     private val takesFaults: Boolean = false,
+    /** Told of every message between the processes and users of this site. */
+    wireObserver: WireObserver = WireObserver {},
 ) : World {
-    val network = SimNetwork(sim)
+    val network = SimNetwork(sim, wireObserver)
     private val worldLoop = SimLoop(sim)
     val state = StandInState(worldLoop)
     private val controllers = HashMap<Int, Pair<Controller, SimLoop>>()
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -103,7 +103,7 @@
  * Hosts and the ways between them, with cuts that hold messages back and deliver them late, messages that are lost, late or
  * come twice, and services that refuse a single caller. What happened is counted, so that a test can tell that it did.
  */
-class SimNetwork(private val sim: Simulation) {
+class SimNetwork(private val sim: Simulation, private val observer: WireObserver = WireObserver {}) {
     private class Host(val name: String, val loop: SimLoop, val handler: RequestHandler)
 
     private val hosts = HashMap<Endpoint, Host>()
@@ -135,12 +135,14 @@
     /** What becomes of a report before it arrives once more; other than itself only to see the referee at work. */
     var forge: (ByteArray) -> ByteArray = { it }
 
-    private fun copy(to: Endpoint, request: Request) {
+    private fun copy(from: String, to: Endpoint, request: Request) {
         sim.after(500.0 + sim.random.nextInt(latestCopyMs)) {
             val present = hosts[to]
             if (present != null && present.loop.alive) {
                 copiesDelivered++
-                present.handler.handle(Request(request.method, request.path, forge(request.body))) {}
+                val copy = Request(request.method, request.path, forge(request.body))
+                observe(WireStep.COPY_DELIVERED, from, present.name, copy)
+                present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
             }
         }
     }
@@ -225,12 +227,14 @@
         fun finish(reply: Reply?) {
             if (over || !loop.alive) return
             over = true
+            observe(if (reply == null) WireStep.UNANSWERED else WireStep.ANSWER_DELIVERED, hostName(to), name, original, reply)
             loop.guard { done(reply) }
         }
         calls++
         loop.after(timeout) { finish(null) }
         val request = tamperRequest(name, original)
-        if (copyOneIn > 0 && request.path == "/checkin" && sim.random.nextInt(copyOneIn) == 0) copy(to, request)
+        observe(WireStep.REQUEST_SENT, name, hostName(to), request)
+        if (copyOneIn > 0 && request.path == "/checkin" && sim.random.nextInt(copyOneIn) == 0) copy(name, to, request)
         if (request.path == "/do") commandsSent(request.body)
         val host = hosts[to]
         if (swallows(request)) return@HttpCaller
@@ -243,6 +247,7 @@
 
         fun answer(reply: Reply) {
             val honest = tamperAnswer(back, request, reply)
+            observe(WireStep.ANSWER_SENT, host.name, name, request, honest)
             if (path == "/checkin" && honest.status == OK) commandsSent(honest.body)
             travel(back) { loop.whenAwake { finish(honest) } }
         }
@@ -252,10 +257,11 @@
                 return@travel answer(Reply(UNAVAILABLE))
             }
             val late = path == "/multi" && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
-            if (late) return@travel carryOutLate(to, request)
+            if (late) return@travel carryOutLate(name, to, request)
             hosts[to]?.let { present ->
                 present.loop.whenAwake {
                     if (present.loop.alive) {
+                        observe(WireStep.REQUEST_DELIVERED, name, present.name, request)
                         present.loop.guard {
                             present.handler.handle(Request(request.method, request.path, request.body)) { reply ->
                                 if (host.name == STATE && name in refused) withheld += name to { answer(reply) } else answer(reply)
@@ -267,11 +273,22 @@
         }
     }
 
-    private fun carryOutLate(to: Endpoint, request: Request) = sim.after(2_000.0 + sim.random.nextInt(10_000)) {
+    private fun carryOutLate(from: String, to: Endpoint, request: Request) = sim.after(2_000.0 + sim.random.nextInt(10_000)) {
         lateWrites++
-        hosts[to]?.handler?.handle(request) { if (it.status == OK) lateWritesApplied++ }
+        observe(WireStep.LATE_WRITE, from, hostName(to), request)
+        hosts[to]?.handler?.handle(request) { reply ->
+            observe(WireStep.ANSWER_DISCARDED, hostName(to), from, request, reply)
+            if (reply.status == OK) lateWritesApplied++
+        }
     }
 
+    // ---- observation ----
+
+    private fun hostName(at: Endpoint) = hosts[at]?.name ?: "$at"
+
+    private fun observe(step: WireStep, from: String, to: String, request: Request, reply: Reply? = null) =
+        observer.observe(WireEvent(step, sim.nowMs, from, to, request, reply))
+
     private companion object {
         const val OK = 200
         const val UNAVAILABLE = 503
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -0,0 +1,50 @@
+package copperglade.sim
+
+/**
+ * Faults of a simulated site. Each begins at once and ends by itself after about the given number of seconds, or with [recover] at the
+ * latest. Their order is part of the seeded tests that draw from them.
+ */
+enum class SiteFault(private val action: SimSite.(seconds: Double) -> Unit) {
+    STATE_OUTAGE({ seconds ->
+        state.outage = true
+        after(seconds) { state.outage = false }
+    }),
+    LEADER_REFUSED({ seconds -> (leader() ?: 0).let { node -> refuseController(node).also { after(seconds) { serveController(node) } } } }),
+    CONTROLLER_ISOLATED({ seconds -> isolateController(anyNode()).also { after(seconds) { heal() } } }),
+    CONTROLLER_CUT_FROM_WORKERS({ seconds -> cutController(anyNode(), "workers").also { after(seconds) { heal() } } }),
+    ZONE_CUT({ seconds -> cutZone(SimSite.ZONES[sim.random.nextInt(2)]).also { after(seconds) { heal() } } }),
+    PEERS_CUT({ seconds -> cutPeers().also { after(seconds) { heal() } } }),
+    LEADER_CRASH({ _ -> crash(leader() ?: 0, 150.0 + sim.random.nextInt(5000)) }),
+    ALL_CONTROLLERS_CRASH({ _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } }),
+    CONTROLLER_FROZEN({ seconds -> freezeController(anyNode(), seconds * 1000) }),
+    COMMANDS_LOST({ seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } }),
+    MACHINES_MUTED({ seconds -> mute(someWorkers()).also { after(seconds) { loseNothing() } } }),
+    REPORTS_HELD_BACK({ seconds -> holdReports(someWorkers()).also { after(seconds) { heal() } } }),
+    MACHINES_HANG({ seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } }),
+    MACHINE_KILLED({ _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) }),
+    MACHINE_REBOOTED({ _ -> if (workerCount() > 0) rebootMachine(sim.random.nextInt(workerCount())) }),
+    LATE_WRITES({ seconds ->
+        network.lateWriteOneIn = 5
+        after(seconds) { network.lateWriteOneIn = 0 }
+    }),
+    LATE_REPORT_COPIES({ seconds ->
+        network.copyOneIn = 3
+        after(seconds) { network.copyOneIn = 0 }
+    }),
+    MESSAGES_DELAYED({ seconds ->
+        network.delayMs = { if (it.path == "/do" || it.from == "state") sim.random.nextInt(900).toDouble() else 0.0 }
+        after(seconds) { network.delayMs = { 0.0 } }
+    }),
+    ODD_REQUESTS({ seconds -> repeat(20) { after(it * seconds / 20) { oddRequest() } } }),
+    ;
+
+    /** Begins the fault at [site], to last about [seconds] seconds. */
+    fun begin(site: SimSite, seconds: Double) = site.action(seconds)
+}
+
+/** Calls [action] after so many seconds of simulated time. */
+internal fun SimSite.after(seconds: Double, action: () -> Unit) = sim.after(seconds * 1000, action)
+
+private fun SimSite.anyNode() = sim.random.nextInt(nodes)
+
+private fun SimSite.someWorkers() = workerNames().filter { sim.random.nextInt(3) == 0 }
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/WireObserver.kt
@@ -0,0 +1,36 @@
+package copperglade.sim
+
+import copperglade.transport.Reply
+import copperglade.transport.Request
+
+/** A step of a request or of its answer on the simulated network. */
+enum class WireStep {
+    REQUEST_SENT,
+    REQUEST_DELIVERED,
+    ANSWER_SENT,
+    ANSWER_DELIVERED,
+
+    /** The caller gives up: no answer came within its timeout, or nobody listens at the address. */
+    UNANSWERED,
+
+    /** A duplicate of a report reaches its receiver. */
+    COPY_DELIVERED,
+
+    /** The state service carries out a transaction long after it was sent. */
+    LATE_WRITE,
+
+    /** An answer to a duplicate or to a late transaction, which nobody receives. */
+    ANSWER_DISCARDED,
+}
+
+/**
+ * One step of one message, at simulated time [atMs]. [from] and [to] are the sender and the receiver of this step's message; [request] is
+ * the request that it belongs to, and [reply] the answer if the step is one of an answer.
+ */
+class WireEvent(val step: WireStep, val atMs: Double, val from: String, val to: String, val request: Request, val reply: Reply?)
+
+/** Observes every message of a [SimNetwork] without any influence on it. */
+fun interface WireObserver {
+    /** Called in the order in which the steps happen in simulated time. */
+    fun observe(event: WireEvent)
+}
