--- a/src/main/kotlin/copperglade/coordination/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/coordination/GuaranteePreemption.kt
@@ -24,7 +24,7 @@
         // What has been recalled before and is still there is on its way out.
         needed -= lent.sumOf { job -> job.standing.count { it.recalled } * job.spec.request.cpus }
         val spare = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.cpus }
-        val chosen = HashMap<Job, MutableList<Assignment>>()
+        val chosen = LinkedHashMap<Job, MutableList<Assignment>>()
         for (borrowed in lent.sortedWith(
             compareBy<Borrowed> {
                 if (it.spec.checkpointS >
