--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -59,7 +59,7 @@
         if (known != null && !assignedAnew) return known
         val first = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
         val newRun = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
-        newRun.restarted = job.restarted(assignment.task)
+        newRun.restarted = job.wasRestarted(assignment.task)
         runs.add(newRun)
         return newRun
     }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -90,7 +90,7 @@
             readers = settings.peers.size + 1,
             idleRefreshInterval,
             maxCatchUp = staleness,
-            EndedJobs.endsThatFitInto(heapBytes),
+            EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
             profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
         }
@@ -190,10 +190,10 @@
     val clusterHandler = metrics.measured(RequestHandler(::handlePeer))
 
     fun start() {
-        replica.listen(formerIncarnations)
-        replica.listen(shardOwnership)
-        replica.listen(jobFinalizer)
-        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatusExchange::receiveIndirect) }
+        replica.addListener(formerIncarnations)
+        replica.addListener(shardOwnership)
+        replica.addListener(jobFinalizer)
+        replica.addListener { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatusExchange::receiveIndirect) }
         membership.onChange = shardOwnership::reconcile
         types.start()
         replica.start()
@@ -232,7 +232,10 @@
         // The leader rents and lists, the others only return what is idle.
         val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
-        store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
+        store.setShares(
+            BUDGET_USED / (others.size + 1),
+            BUDGET_USED * BudgetShare.of(store.writeDemandPerS, others, settings.stateWriteRps),
+        )
     }
 
     private fun composeStatus(): PeerStatus? {
@@ -242,12 +245,12 @@
             member = settings.member,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMs = loop.now().ms - store.lastGood.ms,
+            stateSilentMs = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
-            writesWanted = store.writesWanted,
+            writesWanted = store.writeDemandPerS,
         )
     }
 
@@ -321,7 +324,7 @@
      * any other controller is probably alone: users who stayed with it would get no answer for as long as that lasts.
      */
     private fun health(): Reply {
-        val silent = loop.now().secondsSince(store.lastGood)
+        val silent = loop.now().secondsSince(store.lastAnswerAt)
         val alone = peersReachStateService()
         val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
         val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -73,7 +73,7 @@
         send(peer)
     }
 
-    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.revision) }
+    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.applyRemoteCancellation(it.job, it.revision) }
 
     private companion object {
         const val MAX_AT_ONCE = 500
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -2,6 +2,7 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.DependencyOutcome
 import copperglade.storage.ReadOutcome
 import copperglade.storage.Replica
@@ -28,7 +29,12 @@
 class DependencyResolver(private val replica: Replica) {
     fun resolve(names: List<JobId>, done: (Resolution) -> Unit) {
         if (names.all(::isKnown)) return done(judge(names))
-        replica.readFresh { known -> if (known) lookUp(names, done) else done(Resolution.Unavailable) }
+        replica.catchUp { outcome ->
+            when (outcome) {
+                CatchUpOutcome.Current -> lookUp(names, done)
+                CatchUpOutcome.Unavailable -> done(Resolution.Unavailable)
+            }
+        }
     }
 
     private fun isKnown(id: JobId): Boolean = replica.dependencies.outcomeOf(id) != DependencyOutcome.UNKNOWN
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -65,7 +65,7 @@
         for (job in jobs) {
             val end = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             conditions += Condition(Keys.live(job.id), job.liveRevision())
-            writes += Write.Set(Keys.over(job.id), RecordCodec.encode(end))
+            writes += Write.Set(Keys.ended(job.id), RecordCodec.encode(end))
             writes += Write.Delete(Keys.live(job.id))
         }
         val transaction = Transaction(conditions, writes)
@@ -73,10 +73,10 @@
         inFlight += ids
         store.commit(WritePriority.CLEANUP, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
-                replica.applied(transaction, outcome.revision)
+                replica.applyCommitted(transaction, outcome.revision)
                 inFlight -= ids.toSet()
             } else {
-                replica.readFresh {
+                replica.catchUp {
                     inFlight -= ids.toSet()
                     ids.forEach(::lookAgain)
                 }
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -18,6 +18,7 @@
 import copperglade.protocol.UserWire
 import copperglade.protocol.text
 import copperglade.settings.Team
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Job
 import copperglade.storage.Keys
@@ -59,7 +60,7 @@
         when (parsed) {
             is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
             is ParsedJob.Good -> {
-                if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
+                if (!types.known || replica.state != ReplicaState.CURRENT || store.isUserQueueFull()) return responder.send(later())
                 val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(recordOf(parsed.spec))) null else tooLarge("body")
                 if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
             }
@@ -100,13 +101,13 @@
     private fun accept(record: LiveRecord, responder: Responder, tries: Int) {
         val spec = record.spec
         val transaction = Transaction(
-            listOf(Condition(Keys.live(spec.id), Revision.ABSENT), Condition(Keys.over(spec.id), Revision.ABSENT)),
+            listOf(Condition(Keys.live(spec.id), Revision.ABSENT), Condition(Keys.ended(spec.id), Revision.ABSENT)),
             listOf(Write.Set(Keys.live(spec.id), RecordCodec.encode(record))),
         )
         store.commit(WritePriority.USER, transaction) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied -> {
-                    replica.applied(transaction, outcome.revision)
+                    replica.applyCommitted(transaction, outcome.revision)
                     log.debug("{} accepted: {} tasks of {}", spec.id, spec.tasks, spec.load)
                     val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
                     responder.send(Reply(HttpStatus.CREATED, UserWire.short(spec.id, status)))
@@ -153,7 +154,7 @@
                     // Tasks may have become done just before the mark, so it is read again what the job has become.
                     when (outcome) {
                         is TransactionOutcome.Applied -> {
-                            replica.applied(transaction, outcome.revision)
+                            replica.applyCommitted(transaction, outcome.revision)
                             cancellationBroadcast.tell(Cancellation(id, outcome.revision)) { cancel(id, responder, tries - 1) }
                         }
                         TransactionOutcome.Refused -> responder.send(later())
@@ -180,22 +181,22 @@
     }
 
     private fun status(id: JobId, asked: MonotonicTime, responder: Responder, done: (JobAnswer?) -> Unit) {
-        replica.readFresh { known ->
+        replica.catchUp { outcome ->
             val job = replica.jobs[id]
             val end = replica.endOf(id)
             when {
                 // This process may have stood still between the reading and now, and another may have told the user more.
-                !known || loop.now() >= asked + MAX_READING -> responder.send(later())
+                outcome != CatchUpOutcome.Current || loop.now() >= asked + MAX_READING -> responder.send(later())
                 end != null -> done(JobAnswer(id, end.status, end.tasksDone, 0))
                 // A job that it waits for ended before this process began, and is not known to be done or cancelled yet.
                 replica.dependencies.hasUnknownDependencies(id) -> responder.send(later())
                 // The mark was learned ahead of the reading: the last task may have been recorded just before it.
-                job != null && job.markedAfter(replica.knownRevision) && !job.complete -> status(id, asked, responder, done)
+                job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> status(id, asked, responder, done)
                 job?.live != null -> done(answerOf(job))
-                else -> replica.readEnd(id) { outcome ->
+                else -> replica.readEnd(id) { endRead ->
                     val found = replica.endOf(id)
                     when {
-                        outcome == ReadOutcome.Failed -> responder.send(later())
+                        endRead == ReadOutcome.Failed -> responder.send(later())
                         found != null -> done(JobAnswer(id, found.status, found.tasksDone, 0))
                         else -> done(null)
                     }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -3,6 +3,7 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.protocol.secondsSince
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.LeaderRecord
@@ -48,7 +49,7 @@
     val leadingForS: Double get() = loop.now().secondsSince(since)
 
     fun start() {
-        replica.listen { changes -> if (changes.clusterRecordsChanged) logLeader() }
+        replica.addListener { changes -> if (changes.clusterRecordsChanged) logLeader() }
         loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
     }
 
@@ -103,7 +104,7 @@
             store.commit(WritePriority.LEASE, transaction) { outcome ->
                 if (outcome !is TransactionOutcome.Applied) return@commit stepDown("lost the campaign")
                 revision = outcome.revision
-                replica.applied(transaction, outcome.revision)
+                replica.applyCommitted(transaction, outcome.revision)
                 catchUp()
             }
         }
@@ -112,10 +113,14 @@
     /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
     private fun catchUp() {
         moveTo(LeadershipState.CATCHING_UP, "elected with stamp $revision")
-        replica.readFresh { known ->
-            if (!known) return@readFresh stepDown("could not catch up")
-            since = loop.now()
-            moveTo(LeadershipState.LEADING, "caught up")
+        replica.catchUp { outcome ->
+            when (outcome) {
+                CatchUpOutcome.Unavailable -> stepDown("could not catch up")
+                CatchUpOutcome.Current -> {
+                    since = loop.now()
+                    moveTo(LeadershipState.LEADING, "caught up")
+                }
+            }
         }
     }
 
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -45,7 +45,7 @@
         get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: MonotonicTime.NEVER.ms }?.let { MonotonicTime(it) } ?: MonotonicTime.NEVER
 
     fun start() = loop.again({ INTERVAL }) {
-        if (store.isSilent() && intact()) peers.filter { it.member !in asking }.forEach(::ask)
+        if (store.isUnreachable() && intact()) peers.filter { it.member !in asking }.forEach(::ask)
     }
 
     private fun ask(peer: Peer) {
@@ -64,7 +64,7 @@
 
     /** Whether we endorse [member]; if so, we keep to it. */
     fun endorse(member: MemberId): Boolean {
-        if (!store.isSilent()) return false
+        if (!store.isUnreachable()) return false
         endorsedMembers[member] = loop.now() + ENDORSEMENT_LENGTH
         return true
     }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -5,6 +5,7 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.LeaseOutcome
@@ -118,8 +119,11 @@
             loop.after(LOOK) { register() }
             return
         }
-        replica.readFresh { known ->
-            if (!known) return@readFresh retry("state service silent")
+        replica.catchUp { caughtUp ->
+            when (caughtUp) {
+                CatchUpOutcome.Unavailable -> return@catchUp retry("state service silent")
+                CatchUpOutcome.Current -> {}
+            }
             val before = replica.members[self]?.revision ?: Revision.ABSENT
             val record = MemberRecord(Incarnation(leaseId.number))
             val transaction = Transaction(
@@ -129,7 +133,7 @@
             store.commit(WritePriority.LEASE, transaction) { outcome ->
                 if (outcome is TransactionOutcome.Applied) {
                     revision = outcome.revision
-                    replica.applied(transaction, outcome.revision)
+                    replica.applyCommitted(transaction, outcome.revision)
                     moveTo(MemberState.MEMBER, "incarnation $leaseId")
                 } else {
                     retry("could not register")
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -12,6 +12,7 @@
 import copperglade.protocol.ShardName
 import copperglade.protocol.WorkerWire
 import copperglade.shards.ShardMap
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -57,7 +58,7 @@
         loop.again({ GIVE_UP_INTERVAL }, ::releaseIfWorkersUnreachable)
         // At leisure: image records spare fetches after a takeover, and nothing depends on them.
         loop.again({ REMEMBER_INTERVAL }) {
-            if (membership.mayAct && store.writeLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
+            if (membership.mayAct && store.writeBudgetLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
         }
     }
 
@@ -73,7 +74,7 @@
         unreachableCheckedAt = now
         val shards = owned.values.filter { it.open }
         val machines = shards.sumOf { it.machines.size }
-        val unreachable = machines >= MIN_TO_TELL && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isSilent()
+        val unreachable = machines >= MIN_TO_TELL && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isUnreachable()
         unreachableTimes = if (unreachable && onTime) unreachableTimes + 1 else 0
         if (unreachableTimes < TIMES_TO_TELL) return
         unreachableTimes = 0
@@ -99,7 +100,7 @@
             listOf(Write.Set(key, value)),
         )
         store.commit(WritePriority.CLEANUP, transaction) { outcome ->
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
@@ -142,9 +143,12 @@
 
     /** Outcomes that the former owner wrote must be known before anything is started. */
     private fun openOnceFresh(shard: ShardOwner) {
-        replica.readFresh { known ->
-            if (owned[shard.name] !== shard) return@readFresh
-            if (known) shard.open() else loop.after(RETRY) { openOnceFresh(shard) }
+        replica.catchUp { outcome ->
+            if (owned[shard.name] !== shard) return@catchUp
+            when (outcome) {
+                CatchUpOutcome.Current -> shard.open()
+                CatchUpOutcome.Unavailable -> loop.after(RETRY) { openOnceFresh(shard) }
+            }
         }
     }
 
@@ -181,7 +185,7 @@
             if (!shard.open || !keyInFlight.add(name)) continue
             close(shard)
             val key = Keys.shard(name)
-            val write = if (unreachable) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Delete(key)
+            val write = if (unreachable) Write.Set(key, RecordCodec.encode(ShardRecord.releasedBy(membership.self))) else Write.Delete(key)
             rewrite(name, shard.fencingToken, write) { outcome ->
                 if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, shard.fencingToken)
             }
@@ -202,11 +206,11 @@
         val transaction = Transaction(listOf(Condition(Keys.shard(name), Revision(fencingToken.number))), listOf(write))
         store.commit(WritePriority.LEASE, transaction) { outcome ->
             done(outcome)
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
-    private fun settleKey(name: ShardName) = replica.readFresh {
+    private fun settleKey(name: ShardName) = replica.catchUp {
         keyInFlight -= name
         reconcile()
     }
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -77,8 +77,8 @@
         if (waiting.isEmpty()) return
         // The scarcer the budget, the longer is gathered, and the more is decided at a time. Also what is urgent: a write
         // for each new service took the whole budget of a grown day's burst, and for 90 s no array was assigned.
-        nextUrgentRoundAt = now + URGENT_BATCH_WINDOW * (1.0 - store.writeLevel())
-        if (isFullRound) nextFullRoundAt = now + MIN_BATCH_WINDOW + MAX_BATCH_WINDOW * (1.0 - store.writeLevel())
+        nextUrgentRoundAt = now + URGENT_BATCH_WINDOW * (1.0 - store.writeBudgetLevel())
+        if (isFullRound) nextFullRoundAt = now + MIN_BATCH_WINDOW + MAX_BATCH_WINDOW * (1.0 - store.writeBudgetLevel())
         val capacities = RoundCapacity(capacityTable.capacities(statusOf).filter { it.machine.usable })
         if (capacities.all.isEmpty()) return
         val plan = AssignmentPlan()
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -56,8 +56,8 @@
             replica,
             store.limits,
             Keys.assignmentRecords(kind),
-            { job, page -> job.pages[page] },
-            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+            { job, page -> job.assignmentRanges[page] },
+            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
         )
     }
 
@@ -75,7 +75,7 @@
         if (term == leadership.revision) return
         term = leadership.revision
         pending.clear()
-        packers.values.forEach { it.endAll() }
+        packers.values.forEach { it.clearAllInFlight() }
     }
 
     fun pends(job: JobId): Boolean = job in pending
@@ -87,7 +87,7 @@
 
     /** The page with the [choices] added, and without the tasks that are done or given back. */
     private fun pageWith(job: Job, page: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
-        val present = job.pages[page]?.value ?: AssignmentRange.EMPTY
+        val present = job.assignmentRanges[page]?.value ?: AssignmentRange.EMPTY
         val groups = assignedGroups(job, page, present)
         val generation = present.lastGeneration + 1
         var frontier = present.frontier
@@ -125,7 +125,7 @@
         for (group in present.groups) {
             val tasks = group.tasks.clone() as BitSet
             tasks.andNot(job.done)
-            job.works[ShardTaskRange(page, group.shard)]
+            job.outcomes[ShardTaskRange(page, group.shard)]
                 ?.value
                 ?.returned
                 ?.get(group.generation)
@@ -149,17 +149,17 @@
         // queue of decisions about lesser work would hold up the urgent ones behind it.
         var affordable = store.affordableAssignments()
         for (packedWrite in pack(changes)) {
-            val urgent = packedWrite.places.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
+            val urgent = packedWrite.ranges.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
             if (!urgent) {
                 // However little there is, some of it is theirs.
-                if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + MAX_WITHOUT) {
-                    store.missed(1)
+                if (affordable <= store.urgentReserve && loop.now() < unhurriedWrittenAt + MAX_WITHOUT) {
+                    store.recordUnmetDemand(1)
                     continue
                 }
                 unhurriedWrittenAt = loop.now()
             }
             affordable--
-            commit(packedWrite, packedWrite.places.associateWith { chosen.getValue(it) })
+            commit(packedWrite, packedWrite.ranges.associateWith { chosen.getValue(it) })
         }
     }
 
@@ -172,7 +172,7 @@
         val packer = packers.getValue(job.spec?.kind ?: return null)
         var kept = choices
         while (true) {
-            val bytes = RecordCodec.encode(pageWith(job, place.page, kept, guaranteePreemptions))
+            val bytes = RecordCodec.encode(pageWith(job, place.index, kept, guaranteePreemptions))
             if (packer.fitsValue(place, bytes)) return FittingRange(kept, bytes)
             if (kept.isEmpty()) return null
             kept = kept.take(kept.size / 2)
@@ -200,7 +200,7 @@
         val counts = HashMap<JobId, Int>()
         choices.forEach { (place, chosen) -> counts.merge(place.job, chosen.size, Int::plus) }
         counts.forEach { (job, count) -> pending.merge(job, count, Int::plus) }
-        packedWrite.packer.begin(packedWrite)
+        packedWrite.packer.markInFlight(packedWrite)
         val spell = term
         store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
             if (spell != term) return@commit
@@ -211,12 +211,12 @@
                         val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
                         chosen.forEach { capacityTable.reserve(it.machineCapacity, outcome.revision, request) }
                     }
-                    replica.applied(transaction, outcome.revision)
+                    replica.applyCommitted(transaction, outcome.revision)
                     settled(packedWrite, counts)
                 }
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(packedWrite, counts) }
                 // Somebody cancelled, a shard changed hands: surely not applied, but what stood in the way must be known.
-                is TransactionOutcome.Conflict -> replica.readFresh { if (spell == term) settled(packedWrite, counts) }
+                is TransactionOutcome.Conflict -> replica.catchUp { if (spell == term) settled(packedWrite, counts) }
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
                 TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
@@ -230,9 +230,9 @@
         val part = firstHalf(choices)
         if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
         val changes = part.mapValues { (place, chosen) ->
-            RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, guaranteePreemptions = null))
+            RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.index, chosen, guaranteePreemptions = null))
         }
-        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { part.getValue(it) }) }
+        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.ranges.associateWith { part.getValue(it) }) }
     }
 
     /** Half of the pages, or half of the tasks where there is one page. */
@@ -242,7 +242,7 @@
     }
 
     private fun settled(packedWrite: PackedWrite, counts: Map<JobId, Int>) {
-        packedWrite.packer.end(packedWrite)
+        packedWrite.packer.clearInFlight(packedWrite)
         counts.forEach { (job, count) -> pending.computeIfPresent(job) { _, sum -> (sum - count).takeIf { it > 0 } } }
     }
 
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -57,7 +57,7 @@
         observeGrants()
         val now = loop.now()
         replica.shards.values
-            .filter { it.value.givenUp }
+            .filter { it.value.released }
             .forEach { unreachableUntil[it.value.member] = now + UNREACHABLE }
         val hearing = replica.members.keys.filter { now >= (unreachableUntil[it] ?: MonotonicTime.NEVER) }
         val load = hearing.ifEmpty { replica.members.keys }.associateWithTo(HashMap()) { 0 }
@@ -69,7 +69,7 @@
         for (shard in orphans) {
             if (shard in inFlight) continue
             val holder = replica.shards[shard]?.value?.member
-            val left = replica.shards[shard]?.value?.givenUp ?: false
+            val left = replica.shards[shard]?.value?.released ?: false
             if (!left && holder != null && holder !in replica.members && !leaseEndorsement.mayGrantAway(holder)) continue
             val chosen = choose(shard, load) ?: continue
             load.merge(chosen, 1, Int::plus)
@@ -123,7 +123,7 @@
         conditions += leadership.condition
         conditions += Condition(Keys.member(to), member.revision)
         conditions += Condition(Keys.shard(shard), present?.revision ?: Revision.ABSENT)
-        present?.value?.takeIf { it.member != to && !it.givenUp }?.member?.let { holder ->
+        present?.value?.takeIf { it.member != to && !it.released }?.member?.let { holder ->
             conditions += Condition(Keys.member(holder), replica.members[holder]?.revision ?: Revision.ABSENT)
         }
         val record = RecordCodec.encode(ShardRecord(to, member.value.incarnation))
@@ -133,7 +133,7 @@
             inFlight -= shard
             if (outcome is TransactionOutcome.Applied) {
                 log.info("block {} granted to {} with baton {}", shard, to, outcome.revision)
-                replica.applied(transaction, outcome.revision)
+                replica.applyCommitted(transaction, outcome.revision)
             }
         }
     }
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -105,7 +105,7 @@
         else -> DependencyOutcome.ABORTED
     }
 
-    private fun isSurelyMarked(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.markedAfter(knownUpTo())
+    private fun isSurelyMarked(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownUpTo())
 
     /** Takes in that the records of [changes] have changed; returns the jobs for which something else follows now. */
     fun update(changes: Collection<JobId>): Set<JobId> {
--- a/src/main/kotlin/copperglade/storage/EndedJobs.kt
+++ b/src/main/kotlin/copperglade/storage/EndedJobs.kt
@@ -51,11 +51,11 @@
     }
 
     private fun readNext() {
-        while (asked.isNotEmpty() && store.mayRead()) {
+        while (asked.isNotEmpty() && store.hasReadBudget()) {
             val (id, waiting) = asked.entries.first()
             // Whoever asks from now on is not served by this reading: it may be older than the question.
             asked.remove(id)
-            store.read(Keys.over(id)) { outcome ->
+            store.read(Keys.ended(id)) { outcome ->
                 if (outcome is ReadOutcome.Present) {
                     remember(id, outcome.value)
                     learned(id)
@@ -79,9 +79,9 @@
     }
 
     private fun load(from: String?) {
-        store.list(Keys.OVER, from) { listing ->
+        store.list(Keys.ENDED, from) { listing ->
             listing?.entries?.forEach { entry ->
-                val id = (Keys.parse(entry.key) as? ParsedKey.Over)?.job ?: return@forEach
+                val id = (Keys.parse(entry.key) as? ParsedKey.Ended)?.job ?: return@forEach
                 remember(id, entry.value)
                 learned(id)
             }
@@ -103,7 +103,7 @@
         private const val MIN = 10_000
 
         /** A sixteenth of the heap: 36,700 ends in 112 MB. */
-        fun endsThatFitInto(heapBytes: Long): Int =
+        fun maxEndsFor(heapBytes: Long): Int =
             (heapBytes / PART_OF_HEAP / BYTES_AN_END).coerceIn(MIN.toLong(), Int.MAX_VALUE.toLong()).toInt()
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -19,7 +19,7 @@
 )
 
 /** A part of a packed record, and which record that is. */
-class PackedPart<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
+class PackedEntry<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
     /** Only the record's writer asks for it: worked out by every controller for every change, it cost as much as reading. */
     val bytes: Int by lazy(LazyThreadSafetyMode.NONE) { encode(value).size }
 }
@@ -39,8 +39,8 @@
     /** Kept by [DependencyGraph]; until that has looked at the job, one with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
         private set
-    private val pageRecords = HashMap<Int, PackedPart<AssignmentRange>>()
-    private val workRecords = HashMap<ShardTaskRange, PackedPart<OutcomeRecord>>()
+    private val assignmentEntries = HashMap<Int, PackedEntry<AssignmentRange>>()
+    private val outcomeEntries = HashMap<ShardTaskRange, PackedEntry<OutcomeRecord>>()
 
     /** What is assigned and neither done nor given back, as worked out last; null after a change. */
     private var assigned: List<Assignment>? = null
@@ -48,8 +48,8 @@
     /** Tasks that are done. Only ever grows while the job is live. */
     val done = BitSet()
 
-    val pages: Map<Int, PackedPart<AssignmentRange>> get() = pageRecords
-    val works: Map<ShardTaskRange, PackedPart<OutcomeRecord>> get() = workRecords
+    val assignmentRanges: Map<Int, PackedEntry<AssignmentRange>> get() = assignmentEntries
+    val outcomes: Map<ShardTaskRange, PackedEntry<OutcomeRecord>> get() = outcomeEntries
 
     /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
     val spec: JobSpec? get() = scheduledSpec
@@ -69,11 +69,11 @@
     val startableSinceMs: Long get() = releasedAtMs ?: live?.value?.acceptedAtMs ?: 0
 
     /** Whether it fails wherever it runs, by what owners have recorded; a completed task has disproved that. */
-    val failing: Boolean get() = done.isEmpty && workRecords.values.any { it.value.failing }
+    val failing: Boolean get() = done.isEmpty && outcomeEntries.values.any { it.value.failing }
 
     /** How many of its tasks should be on machines now: all that are not done, or one on trial where it is [failing]. */
     val wantedTasks: Int get() = spec?.let { if (failing) FAILING_JOB_TRIALS else it.tasks - done.cardinality() } ?: 0
-    val empty: Boolean get() = live == null && pages.isEmpty() && works.isEmpty()
+    val empty: Boolean get() = live == null && assignmentRanges.isEmpty() && outcomes.isEmpty()
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
 
     /** By its own mark, or because a dependency was cancelled. */
@@ -100,14 +100,14 @@
         return true
     }
 
-    fun setPage(page: Int, record: PackedPart<AssignmentRange>?) {
+    fun setAssignmentRange(rangeIndex: Int, record: PackedEntry<AssignmentRange>?) {
         assigned = null
-        if (record == null) pageRecords.remove(page) else pageRecords[page] = record
+        if (record == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = record
     }
 
-    fun setWork(place: ShardTaskRange, record: PackedPart<OutcomeRecord>?) {
+    fun setOutcome(range: ShardTaskRange, record: PackedEntry<OutcomeRecord>?) {
         assigned = null
-        if (record == null) workRecords.remove(place) else workRecords[place] = record
+        if (record == null) outcomeEntries.remove(range) else outcomeEntries[range] = record
         record?.let { done.or(it.value.done) }
     }
 
@@ -131,14 +131,14 @@
 
     private fun workOut(): List<Assignment> {
         val found = ArrayList<Assignment>()
-        for ((number, page) in pageRecords) {
-            for (group in page.value.groups) {
-                val returned = workRecords[ShardTaskRange(number, group.shard)]?.value?.returned?.get(group.generation)
+        for ((rangeIndex, entry) in assignmentEntries) {
+            for (group in entry.value.groups) {
+                val returned = outcomeEntries[ShardTaskRange(rangeIndex, group.shard)]?.value?.returned?.get(group.generation)
                 var task = group.tasks.nextSetBit(0)
                 while (task >= 0) {
                     if (!done.get(task) && returned?.get(task) != true) {
                         found +=
-                            Assignment(task, group.shard, group.fencingToken, group.generation, page.value.preemptedForGuarantee.get(task))
+                            Assignment(task, group.shard, group.fencingToken, group.generation, entry.value.preemptedForGuarantee.get(task))
                     }
                     task = group.tasks.nextSetBit(task + 1)
                 }
@@ -147,12 +147,12 @@
         return found
     }
 
-    fun restarted(task: Int): Boolean = workRecords.any { (place, work) ->
-        place.page == task / Keys.TASKS_PER_RANGE && work.value.restarted.get(task)
+    fun wasRestarted(task: Int): Boolean = outcomeEntries.any { (range, entry) ->
+        range.index == task / Keys.TASKS_PER_RANGE && entry.value.restarted.get(task)
     }
 
     /** Whether its cancelled mark is newer than [revision]. */
-    fun markedAfter(revision: Revision): Boolean = live?.let { it.value.cancelled && it.revision > revision } ?: false
+    fun isCancelledAfter(revision: Revision): Boolean = live?.let { it.value.cancelled && it.revision > revision } ?: false
 
     fun liveRevision(): Revision = live?.revision ?: Revision.ABSENT
 
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -30,37 +30,37 @@
     const val ROOT = "cg/"
 
     /** All that a starting controller has to read. */
-    const val NOW = "cg/now/"
-    const val OVER = "cg/over/"
+    const val CURRENT = "cg/now/"
+    const val ENDED = "cg/over/"
     const val LEADER = "cg/now/lead"
 
     /** Tasks a page: a page of the most scattered ranges stays far below the smallest value limit. */
     const val TASKS_PER_RANGE = 256
 
-    fun live(job: JobId) = "${NOW}live/$job"
+    fun live(job: JobId) = "${CURRENT}live/$job"
 
     /** The leader's packed records: each holds the assignments of several jobs' pages. */
-    fun assignmentRecords(kind: JobKind) = "${NOW}task/${kind.name.lowercase()}/"
+    fun assignmentRecords(kind: JobKind) = "${CURRENT}task/${kind.name.lowercase()}/"
 
     /** A shard's packed records: each holds what became of several jobs' pages in that shard. */
-    fun outcomeRecords(shard: ShardName) = "${NOW}work/$shard/"
+    fun outcomeRecords(shard: ShardName) = "${CURRENT}work/$shard/"
 
-    fun shard(name: ShardName) = "${NOW}block/$name"
+    fun shard(name: ShardName) = "${CURRENT}block/$name"
 
-    fun member(id: MemberId) = "${NOW}member/$id"
+    fun member(id: MemberId) = "${CURRENT}member/$id"
 
     /** What a member would tell the leader of its room, while it can't reach it. */
-    fun memberCapacity(id: MemberId) = "${NOW}room/$id"
+    fun memberCapacity(id: MemberId) = "${CURRENT}room/$id"
 
-    fun images(shard: ShardName) = "${NOW}images/$shard"
+    fun images(shard: ShardName) = "${CURRENT}images/$shard"
 
-    fun over(job: JobId) = "$OVER$job"
+    fun ended(job: JobId) = "$ENDED$job"
 
     fun parse(key: String): ParsedKey? {
         if (key == LEADER) return ParsedKey.Leader
-        if (key.startsWith(OVER)) return JobId.parse(key.substring(OVER.length))?.let { ParsedKey.Over(it) }
-        if (!key.startsWith(NOW)) return null
-        val parts = key.substring(NOW.length).split('/')
+        if (key.startsWith(ENDED)) return JobId.parse(key.substring(ENDED.length))?.let { ParsedKey.Ended(it) }
+        if (!key.startsWith(CURRENT)) return null
+        val parts = key.substring(CURRENT.length).split('/')
         return when (parts[0]) {
             "live" -> JobId.parse(parts[1])?.let { ParsedKey.Live(it) }
             "task" -> ParsedKey.Assignments
@@ -75,11 +75,11 @@
 }
 
 /** A page's tasks in a shard. */
-data class ShardTaskRange(val page: Int, val shard: ShardName)
+data class ShardTaskRange(val index: Int, val shard: ShardName)
 
 /** A page of a job, as a packed record names it: `job-000412/0`. */
-data class TaskRange(val job: JobId, val page: Int) {
-    override fun toString() = "$job/$page"
+data class TaskRange(val job: JobId, val index: Int) {
+    override fun toString() = "$job/$index"
 
     companion object {
         // A page is named like a task: job and number.
@@ -96,7 +96,7 @@
 
     class Outcomes(val shard: ShardName) : ParsedKey
 
-    class Over(val job: JobId) : ParsedKey
+    class Ended(val job: JobId) : ParsedKey
 
     class Shard(val name: ShardName) : ParsedKey
 
--- a/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.Revision
 
 /** A packed record: its revision, and which pages it tells of. */
-class PackedRecord(val revision: Revision, val places: Set<TaskRange>)
+class PackedRecord(val revision: Revision, val ranges: Set<TaskRange>)
 
 /** How a packed record's parts reach the jobs that they tell of. */
 internal interface JobRecords {
@@ -29,36 +29,36 @@
     fun clear() = records.clear()
 
     /** Takes in a packed record; a malformed part counts as not written. */
-    fun put(key: String, value: JsonNode, revision: Revision, parts: PackedParts, jobs: JobRecords) {
+    fun put(key: String, value: JsonNode, revision: Revision, entries: PackedEntries, jobs: JobRecords) {
         val before = records[key]
         if (before != null && before.revision >= revision) return
-        val places = HashSet<TaskRange>()
-        for ((name, part) in value.properties()) {
-            val place = TaskRange.parse(name) ?: continue
-            places += place
-            putPart(key, place, part, parts, jobs)
+        val ranges = HashSet<TaskRange>()
+        for ((name, entry) in value.properties()) {
+            val range = TaskRange.parse(name) ?: continue
+            ranges += range
+            putEntry(key, range, entry, entries, jobs)
         }
-        before?.places?.forEach { if (it !in places) removePart(key, it, parts, jobs) }
-        records[key] = PackedRecord(revision, places)
+        before?.ranges?.forEach { if (it !in ranges) removeEntry(key, it, entries, jobs) }
+        records[key] = PackedRecord(revision, ranges)
     }
 
-    private fun putPart(key: String, place: TaskRange, part: JsonNode, parts: PackedParts, jobs: JobRecords) {
-        val known = jobs.present(place.job)?.let { parts.present(it, place.page) }
+    private fun putEntry(key: String, range: TaskRange, entry: JsonNode, entries: PackedEntries, jobs: JobRecords) {
+        val known = jobs.present(range.job)?.let { entries.present(it, range.index) }
         Decoding.orNull("record") {
             // The same, or older than what stands in another packed record.
-            val isNews = known == null || known.value.version < RecordCodec.versionOf(part)
-            if (isNews) parts.set(jobs.touch(place.job), place.page, part, key)
+            val isNews = known == null || known.value.version < RecordCodec.versionOf(entry)
+            if (isNews) entries.set(jobs.touch(range.job), range.index, entry, key)
         }
     }
 
-    fun drop(key: String, revision: Revision, parts: PackedParts, jobs: JobRecords) {
+    fun drop(key: String, revision: Revision, entries: PackedEntries, jobs: JobRecords) {
         val before = records[key]?.takeIf { it.revision < revision } ?: return
-        before.places.forEach { removePart(key, it, parts, jobs) }
+        before.ranges.forEach { removeEntry(key, it, entries, jobs) }
         records.remove(key)
     }
 
     /** A part that has moved to another record meanwhile stays. */
-    private fun removePart(key: String, place: TaskRange, parts: PackedParts, jobs: JobRecords) = jobs.edit(place.job) {
-        if (parts.present(it, place.page)?.recordKey == key) parts.remove(it, place.page)
+    private fun removeEntry(key: String, range: TaskRange, entries: PackedEntries, jobs: JobRecords) = jobs.edit(range.job) {
+        if (entries.present(it, range.index)?.recordKey == key) entries.remove(it, range.index)
     }
 }
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -65,7 +65,7 @@
         }
     }
 
-    fun decodePage(node: JsonNode): AssignmentRange {
+    fun decodeAssignmentRange(node: JsonNode): AssignmentRange {
         val groups = node.get("g").map {
             AssignmentGroup(
                 ShardName(it[0].asText()),
@@ -90,7 +90,7 @@
         }
     }
 
-    fun decodeWork(node: JsonNode): OutcomeRecord {
+    fun decodeOutcome(node: JsonNode): OutcomeRecord {
         val returned = HashMap<Int, BitSet>()
         node.get("b")?.properties()?.forEach { (generation, tasks) ->
             returned[generation.toInt()] =
@@ -100,11 +100,11 @@
     }
 
     /** A packed record: its parts under the pages' names, as they were encoded. */
-    fun encodePackedRecord(parts: Map<TaskRange, ByteArray>): ByteArray = Json.write {
+    fun encodePackedRecord(entries: Map<TaskRange, ByteArray>): ByteArray = Json.write {
         obj {
-            for ((place, part) in parts) {
-                writeFieldName(place.toString())
-                writeRawValue(part.decodeToString())
+            for ((range, entry) in entries) {
+                writeFieldName(range.toString())
+                writeRawValue(entry.decodeToString())
             }
         }
     }
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -4,7 +4,7 @@
 import org.slf4j.LoggerFactory
 
 /** The write of one packed record, its condition, and the pages that it changes. */
-class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val places: Set<TaskRange>)
+class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val ranges: Set<TaskRange>)
 
 /**
  * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
@@ -31,7 +31,7 @@
     private val replica: Replica,
     limits: StateLimits,
     private val prefix: String,
-    private val packed: (Job, Int) -> PackedPart<*>?,
+    private val packed: (Job, Int) -> PackedEntry<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val valueBytes = limits.valueBytes
@@ -42,22 +42,22 @@
      * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
      * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
-    private val busyPages = HashSet<TaskRange>()
+    private val busyRanges = HashSet<TaskRange>()
 
     /** Pages that were logged as too large. */
     private val tooLarge = HashSet<TaskRange>()
 
     /** A packed record as it would be written: what counts of its present content, with changes. */
     private inner class Draft(val key: String) {
-        private val parts = LinkedHashMap<TaskRange, ByteArray>()
+        private val entries = LinkedHashMap<TaskRange, ByteArray>()
         val changed = HashSet<TaskRange>()
         var bytes = BYTES_AROUND
             private set
 
         init {
-            for (place in replica.packedRecords[key]?.places.orEmpty()) {
-                val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-                if (packed(job, place.page)?.recordKey == key) encode(job, place.page)?.let { put(place, it) }
+            for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
+                val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
+                if (packed(job, range.index)?.recordKey == key) encode(job, range.index)?.let { put(range, it) }
             }
         }
 
@@ -65,34 +65,35 @@
         private val writable = bytes <= valueBytes
 
         /** Whether the packed record, where [place] stands already, still fits into a value with [part] in its stead. */
-        fun holds(place: TaskRange, part: ByteArray): Boolean {
-            val after = bytes - (parts[place]?.let { sizeOf(place, it.size) } ?: 0) + sizeOf(place, part.size)
-            val alone = parts.keys.all { it == place }
+        fun holds(range: TaskRange, entry: ByteArray): Boolean {
+            val after = bytes - (entries[range]?.let { sizeOf(range, it.size) } ?: 0) + sizeOf(range, entry.size)
+            val alone = entries.keys.all { it == range }
             return writable && after <= if (alone) valueBytes else fullBytes
         }
 
-        fun change(place: TaskRange, part: ByteArray) {
-            put(place, part)
-            changed += place
+        fun change(range: TaskRange, entry: ByteArray) {
+            put(range, entry)
+            changed += range
         }
 
-        private fun put(place: TaskRange, part: ByteArray) {
-            parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
-            parts[place] = part
-            bytes += sizeOf(place, part.size)
+        private fun put(range: TaskRange, entry: ByteArray) {
+            entries.remove(range)?.let { bytes -= sizeOf(range, it.size) }
+            entries[range] = entry
+            bytes += sizeOf(range, entry.size)
         }
 
         fun write(): PackedWrite {
             val condition = Condition(key, replica.packedRecords[key]?.revision ?: Revision.ABSENT)
-            return PackedWrite(this@RecordPacker, condition, Write.Set(key, RecordCodec.encodePackedRecord(parts)), changed)
+            return PackedWrite(this@RecordPacker, condition, Write.Set(key, RecordCodec.encodePackedRecord(entries)), changed)
         }
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = TaskRange(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
+    fun ready(job: Job, rangeIndex: Int): Boolean =
+        TaskRange(job.id, rangeIndex) !in busyRanges && packed(job, rangeIndex)?.recordKey !in busy
 
     /** Whether a value can hold [part] at all. */
-    fun fitsValue(place: TaskRange, part: ByteArray): Boolean = BYTES_AROUND + sizeOf(place, part.size) <= valueBytes
+    fun fitsValue(range: TaskRange, entry: ByteArray): Boolean = BYTES_AROUND + sizeOf(range, entry.size) <= valueBytes
 
     /**
      * The writes that bring about [changes], each with a higher version than the page has now; those of packed records
@@ -100,16 +101,16 @@
      */
     fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
-        for ((place, part) in changes) {
-            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
-            if (place in busyPages || (home != null && home in busy)) continue
-            if (!fitsValue(place, part)) {
-                if (tooLarge.add(place)) log.warn("page {} of {} bytes is too large for a value", place, part.size)
+        for ((range, entry) in changes) {
+            val home = replica.jobs[range.job]?.let { packed(it, range.index)?.recordKey }
+            if (range in busyRanges || (home != null && home in busy)) continue
+            if (!fitsValue(range, entry)) {
+                if (tooLarge.add(range)) log.warn("page {} of {} bytes is too large for a value", range, entry.size)
                 continue
             }
-            val present = home?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.holds(place, part) }
-            val draft = present ?: draftWithCapacity(place, part, drafts)
-            draft.change(place, part)
+            val present = home?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.holds(range, entry) }
+            val draft = present ?: draftWithCapacity(range, entry, drafts)
+            draft.change(range, entry)
         }
         return drafts.values.filter { it.changed.isNotEmpty() }.map { it.write() }
     }
@@ -118,12 +119,12 @@
      * Writes the packed record of [write] as it is, only to change its revision: a late copy of [write] dies of that. Its
      * present content fits into a value, as it did when [write] was made: nobody else has written it since.
      */
-    fun same(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
+    fun rewriteUnchanged(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
-    private fun draftWithCapacity(place: TaskRange, part: ByteArray, drafts: MutableMap<String, Draft>): Draft {
-        drafts.values.firstOrNull { fits(it.bytes, place, part) }?.let { return it }
+    private fun draftWithCapacity(range: TaskRange, entry: ByteArray, drafts: MutableMap<String, Draft>): Draft {
+        drafts.values.firstOrNull { fits(it.bytes, range, entry) }?.let { return it }
         val known = replica.packedRecords.keys.firstOrNull {
-            it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), place, part)
+            it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), range, entry)
         }
         val key = known ?: unusedKey(drafts.keys)
         return Draft(key).also { drafts[key] = it }
@@ -135,34 +136,34 @@
         return "$prefix$number"
     }
 
-    private fun fits(bytes: Int, place: TaskRange, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+    private fun fits(bytes: Int, range: TaskRange, entry: ByteArray) = bytes + sizeOf(range, entry.size) <= fullBytes * ROOM_TO_GROW
 
     /** What of a packed record still counts. */
     private fun bytesOf(key: String): Int {
         var sum = BYTES_AROUND
-        for (place in replica.packedRecords[key]?.places.orEmpty()) {
-            val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-            packed(job, place.page)?.takeIf { it.recordKey == key }?.let { sum += sizeOf(place, it.bytes) }
+        for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
+            val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
+            packed(job, range.index)?.takeIf { it.recordKey == key }?.let { sum += sizeOf(range, it.bytes) }
         }
         return sum
     }
 
-    private fun sizeOf(place: TaskRange, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
+    private fun sizeOf(range: TaskRange, bytes: Int) = range.job.text.length + bytes + BYTES_AROUND
 
-    fun begin(write: PackedWrite) {
+    fun markInFlight(write: PackedWrite) {
         busy += write.write.key
-        busyPages += write.places
+        busyRanges += write.ranges
     }
 
     /** [write] is not on its way any more. */
-    fun end(write: PackedWrite) {
+    fun clearInFlight(write: PackedWrite) {
         busy -= write.write.key
-        busyPages -= write.places
+        busyRanges -= write.ranges
     }
 
-    fun endAll() {
+    fun clearAllInFlight() {
         busy.clear()
-        busyPages.clear()
+        busyRanges.clear()
         tooLarge.clear()
     }
 
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -93,13 +93,13 @@
 /** Who owns a shard; the revision of the record is the fencing token of the shard's workers. */
 data class ShardRecord(val member: MemberId, val incarnation: Incarnation) {
     /** Nobody owns it: [member] gave it up and had better not get it back at once. */
-    val givenUp: Boolean get() = incarnation == NO_LIFE
+    val released: Boolean get() = incarnation == NO_INCARNATION
 
     companion object {
         /** The state service's leases are numbered from 1. */
-        private val NO_LIFE = Incarnation(0)
+        private val NO_INCARNATION = Incarnation(0)
 
-        fun givenUpBy(member: MemberId) = ShardRecord(member, NO_LIFE)
+        fun releasedBy(member: MemberId) = ShardRecord(member, NO_INCARNATION)
     }
 }
 
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -38,7 +38,7 @@
 
 /**
  * A copy of the live records, kept up by one watch. The watch is reopened at a pace, since every opening costs a
- * request; whoever must not answer from the past asks for [readFresh] first, and many such questions share one request.
+ * request; whoever must not answer from the past asks for [catchUp] first, and many such questions share one request.
  */
 class Replica(
     private val loop: EventLoop,
@@ -52,7 +52,7 @@
      */
     private val maxCatchUp: Duration = MAX_CATCH_UP,
     /** The ends of so many jobs are remembered; beyond them, the state service is asked. */
-    maxEndedJobs: Int = EndedJobs.endsThatFitInto(Runtime.getRuntime().maxMemory()),
+    maxEndedJobs: Int = EndedJobs.maxEndsFor(Runtime.getRuntime().maxMemory()),
     /** How long a job's tasks are predicted to run, in seconds. */
     predictRunS: (JobSpec) -> Double = { it.estimateS },
 ) {
@@ -75,7 +75,7 @@
     private val dropped = HashMap<String, Revision>()
     private val listeners = ArrayList<ReplicaListener>()
     private val packedRecordTable = PackedRecordTable()
-    private var waiters = ArrayList<(Boolean) -> Unit>()
+    private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
     private var readInFlight = false
     private var watching = false
     private var lastReading = MonotonicTime.NEVER
@@ -98,7 +98,7 @@
     var knownRevision = Revision.ABSENT
         private set
 
-    fun listen(listener: ReplicaListener) {
+    fun addListener(listener: ReplicaListener) {
         listeners += listener
     }
 
@@ -115,7 +115,7 @@
 
     /** The open watch does not say how old its silence is, so something is asked now and then. */
     private fun keepCurrent() {
-        if (loop.now() >= readTime + idleRefreshInterval && state == ReplicaState.CURRENT && !readInFlight) readFresh {}
+        if (loop.now() >= readTime + idleRefreshInterval && state == ReplicaState.CURRENT && !readInFlight) catchUp {}
     }
 
     private fun moveTo(next: ReplicaState, why: String) {
@@ -124,7 +124,7 @@
     }
 
     private fun load(from: String?, since: Revision?) {
-        store.list(Keys.NOW, from) { listing ->
+        store.list(Keys.CURRENT, from) { listing ->
             if (listing == null) {
                 loop.after(RETRY) { load(null, null) }
                 return@list
@@ -183,9 +183,9 @@
         }
     }
 
-    private fun takeWaiters(): List<(Boolean) -> Unit> = waiters.also { waiters = ArrayList() }
+    private fun takeWaiters(): List<(CatchUpOutcome) -> Unit> = waiters.also { waiters = ArrayList() }
 
-    private fun read(asked: List<(Boolean) -> Unit>, wait: Duration, after: (ChangesOutcome) -> Unit) {
+    private fun read(asked: List<(CatchUpOutcome) -> Unit>, wait: Duration, after: (ChangesOutcome) -> Unit) {
         val sent = loop.now()
         lastReading = sent
         store.changes(Keys.ROOT, knownRevision, wait) { outcome ->
@@ -197,7 +197,8 @@
             // What comes amid a new loading is not taken in, so it must not make what is known look newer than it is.
             if (outcome is ChangesOutcome.Received && sent > readTime && state == ReplicaState.CURRENT) readTime = sent
             after(outcome)
-            asked.forEach { it(outcome is ChangesOutcome.Received && state == ReplicaState.CURRENT) }
+            val caughtUp = outcome is ChangesOutcome.Received && state == ReplicaState.CURRENT
+            asked.forEach { it(if (caughtUp) CatchUpOutcome.Current else CatchUpOutcome.Unavailable) }
         }
     }
 
@@ -217,7 +218,7 @@
 
     /** Whether readings fail though the service answers other requests, for so long that nothing may be done on what is known. */
     private fun cannotCatchUp() =
-        failedReadings >= MAX_FAILED_READINGS && loop.now() >= readTime + maxCatchUp && !store.isSilent()
+        failedReadings >= MAX_FAILED_READINGS && loop.now() >= readTime + maxCatchUp && !store.isUnreachable()
 
     private fun reload(why: String) {
         if (state == ReplicaState.LOADING) return
@@ -226,10 +227,10 @@
         load(null, null)
     }
 
-    /** Calls back once every change made before this call is known; with false where that can't be had now. */
-    fun readFresh(done: (Boolean) -> Unit) {
+    /** Calls back once every change made before this call is known, or at once where too many callers wait already. */
+    fun catchUp(done: (CatchUpOutcome) -> Unit) {
         if (state != ReplicaState.CURRENT || waiters.size >= maxOf(MAX_WAITERS, jobs.size * QUESTIONS_PER_JOB)) {
-            done(false)
+            done(CatchUpOutcome.Unavailable)
             return
         }
         waiters += done
@@ -269,7 +270,7 @@
     }
 
     /** Takes over what a transaction of our own has changed, without waiting for the watch. */
-    fun applied(transaction: Transaction, revision: Revision) {
+    fun applyCommitted(transaction: Transaction, revision: Revision) {
         if (state != ReplicaState.CURRENT) return
         val changes = ReplicaChanges()
         for (write in transaction.writes) {
@@ -285,7 +286,7 @@
      * Another controller says that it has written the cancelled mark of [id] with [revision]. The mark is durable, so it may be
      * acted on before the watch brings it; nothing relies on being told.
      */
-    fun cancelledElsewhere(id: JobId, revision: Revision) {
+    fun applyRemoteCancellation(id: JobId, revision: Revision) {
         val live = jobs[id]?.live ?: return
         if (state != ReplicaState.CURRENT || live.value.cancelled || revision <= live.revision) return
         val changes = ReplicaChanges()
@@ -307,9 +308,9 @@
                 val job = job(parsed.job, changes)
                 if (revision > job.liveRevision()) decoded { RecordCodec.decodeLive(value) }?.let { job.live = StoredRecord(it, revision) }
             }
-            ParsedKey.Assignments -> packedRecordTable.put(key, value, revision, AssignmentParts, ChangedJobs(changes))
-            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, revision, OutcomeParts(parsed.shard), ChangedJobs(changes))
-            is ParsedKey.Over -> rememberEnd(parsed.job, value, changes)
+            ParsedKey.Assignments -> packedRecordTable.put(key, value, revision, AssignmentEntries, ChangedJobs(changes))
+            is ParsedKey.Outcomes -> packedRecordTable.put(key, value, revision, OutcomeEntries(parsed.shard), ChangedJobs(changes))
+            is ParsedKey.Ended -> rememberEnd(parsed.job, value, changes)
             is ParsedKey.Shard -> if (newer(revision, shards[parsed.name])) {
                 changes.clusterRecordsChanged = true
                 decoded { RecordCodec.decodeShard(value) }?.let { shards[parsed.name] = StoredRecord(it, revision) }
@@ -340,10 +341,10 @@
     private fun drop(key: String, revision: Revision, changes: ReplicaChanges) {
         if (revision > knownRevision) dropped[key] = revision
         when (val parsed = decoded { Keys.parse(key) }) {
-            null, is ParsedKey.Over, is ParsedKey.MemberCapacity -> return
+            null, is ParsedKey.Ended, is ParsedKey.MemberCapacity -> return
             is ParsedKey.Live -> editJob(parsed.job, changes) { if (older(it.live, revision)) it.live = null }
-            ParsedKey.Assignments -> packedRecordTable.drop(key, revision, AssignmentParts, ChangedJobs(changes))
-            is ParsedKey.Outcomes -> packedRecordTable.drop(key, revision, OutcomeParts(parsed.shard), ChangedJobs(changes))
+            ParsedKey.Assignments -> packedRecordTable.drop(key, revision, AssignmentEntries, ChangedJobs(changes))
+            is ParsedKey.Outcomes -> packedRecordTable.drop(key, revision, OutcomeEntries(parsed.shard), ChangedJobs(changes))
             is ParsedKey.Shard -> if (older(shards[parsed.name], revision)) {
                 changes.clusterRecordsChanged = true
                 shards.remove(parsed.name)
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -45,11 +45,11 @@
     private var malformedReportedAt = MonotonicTime.NEVER
 
     /** When the service last answered as it should. */
-    var lastGood: MonotonicTime = MonotonicTime.NEVER
+    var lastAnswerAt: MonotonicTime = MonotonicTime.NEVER
         private set
 
     /** Whether the service has not answered lately. */
-    fun isSilent(): Boolean = loop.now() >= lastGood + SILENCE
+    fun isUnreachable(): Boolean = loop.now() >= lastAnswerAt + SILENCE
 
     /** Sets this controller's parts of the budgets. */
     fun setShares(ofRequests: Double, ofWrites: Double) {
@@ -58,10 +58,10 @@
     }
 
     /** Changes a second that there have been to make lately, those still waiting included. */
-    val writesWanted: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
+    val writeDemandPerS: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
 
     /** How much of the write budget is left, from 0 to 1: batches widen as it shrinks. */
-    fun writeLevel(): Double = writes.level(loop.now())
+    fun writeBudgetLevel(): Double = writes.level(loop.now())
 
     /**
      * Assignments that could be written at once. What is less urgent doesn't count: on a quiet bench day a queue of
@@ -75,13 +75,13 @@
     }
 
     /** So much of the budget less urgent assignments leave to urgent ones. */
-    val keptForUrgent: Int get() = (writes.capacity * KEPT_FOR_URGENT).toInt()
+    val urgentReserve: Int get() = (writes.capacity * KEPT_FOR_URGENT).toInt()
 
     /** Takes note of changes that would have been made, had there been budget. */
-    fun missed(changes: Int) = demand.add(changes, loop.now())
+    fun recordUnmetDemand(changes: Int) = demand.add(changes, loop.now())
 
     /** Whether a further transaction of a user would have to wait for long. */
-    fun crowded(): Boolean = queues.getValue(WritePriority.USER).size >= MAX_QUEUED
+    fun isUserQueueFull(): Boolean = queues.getValue(WritePriority.USER).size >= MAX_QUEUED
 
     fun commit(urgency: WritePriority, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
         val queue = queues.getValue(urgency)
@@ -178,7 +178,7 @@
     }
 
     /** Whether the budget has room for a reading that nothing else waits for. */
-    fun mayRead(): Boolean = requests.available(loop.now()) >= 1
+    fun hasReadBudget(): Boolean = requests.available(loop.now()) >= 1
 
     fun read(key: String, done: (ReadOutcome) -> Unit) {
         if (!requests.tryTake(1, loop.now())) {
@@ -273,7 +273,7 @@
     private fun request(request: Request, timeout: Duration, counted: Boolean = false, done: (Reply?) -> Unit) {
         if (!counted) requests.take(1, loop.now())
         http.call(endpoint, request, timeout) { reply ->
-            if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastGood = loop.now()
+            if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastAnswerAt = loop.now()
             if (reply?.status == HttpStatus.TOO_MANY) log.info("over the state service's budget")
             done(reply)
         }
--- a/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
+++ b/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
@@ -22,16 +22,19 @@
     /** Calls [resolved] once no copy of [packedWrite] can be applied any more, unless [ours] has come to be false before. */
     fun resolve(packedWrite: PackedWrite, ours: () -> Boolean, resolved: () -> Unit) {
         val again = { loop.after(PAUSE) { resolve(packedWrite, ours, resolved) } }
-        replica.readFresh { known ->
-            if (!ours()) return@readFresh
-            if (!known) return@readFresh again()
-            if (changed(packedWrite.condition)) return@readFresh resolved()
-            val same = packedWrite.packer.same(packedWrite)
+        replica.catchUp { caughtUp ->
+            if (!ours()) return@catchUp
+            when (caughtUp) {
+                CatchUpOutcome.Unavailable -> return@catchUp again()
+                CatchUpOutcome.Current -> {}
+            }
+            if (changed(packedWrite.condition)) return@catchUp resolved()
+            val same = packedWrite.packer.rewriteUnchanged(packedWrite)
             val transaction = Transaction(listOf(condition(), same.condition), listOf(same.write))
             store.commit(urgency, transaction) { outcome ->
                 if (!ours()) return@commit
                 if (outcome is TransactionOutcome.Applied) {
-                    replica.applied(transaction, outcome.revision)
+                    replica.applyCommitted(transaction, outcome.revision)
                     resolved()
                 } else {
                     again()
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -37,8 +37,8 @@
         replica,
         store.limits,
         Keys.outcomeRecords(shard.name),
-        { job, page -> job.works[ShardTaskRange(page, shard.name)] },
-        { job, page -> job.works[ShardTaskRange(page, shard.name)]?.let { RecordCodec.encode(it.value) } },
+        { job, page -> job.outcomes[ShardTaskRange(page, shard.name)] },
+        { job, page -> job.outcomes[ShardTaskRange(page, shard.name)]?.let { RecordCodec.encode(it.value) } },
     )
     private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.OUTCOME, ::ownership)
     private val dirtySince = LinkedHashMap<TaskRange, MonotonicTime>()
@@ -63,7 +63,7 @@
     fun flush() {
         if (dirtySince.isEmpty() || !shard.open) return
         val now = loop.now()
-        val scarcity = 1.0 - store.writeLevel()
+        val scarcity = 1.0 - store.writeBudgetLevel()
         val due = dirtySince.any { (place, since) ->
             val pause = if (place in hasty || !moreToCome(place)) MIN_PAUSE else LONGER_PAUSE
             now >= since + pause + WIDEST_PAUSE * scarcity
@@ -74,10 +74,10 @@
         for (place in dirtySince.keys.toList()) {
             if (changes.size == mostPages) break
             val job = replica.jobs[place.job]?.takeIf { it.live != null }
-            val record = job?.let { updatedRecord(it, place.page) }
+            val record = job?.let { updatedRecord(it, place.index) }
             if (job == null || record == null) {
                 dirtySince.remove(place)
-            } else if (packer.ready(job, place.page)) {
+            } else if (packer.ready(job, place.index)) {
                 changes[place] = RecordCodec.encode(record)
             }
         }
@@ -93,32 +93,32 @@
         conditions += ownership()
         conditions += packedWrite.condition
         // The live record changes with a cancellation, after which nothing may become done any more.
-        packedWrite.places.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveRevision()) }
+        packedWrite.ranges.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveRevision()) }
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
-        packer.begin(packedWrite)
-        val since = packedWrite.places.associateWith { dirtySince.remove(it) ?: loop.now() }
+        packer.markInFlight(packedWrite)
+        val since = packedWrite.ranges.associateWith { dirtySince.remove(it) ?: loop.now() }
         store.commit(WritePriority.OUTCOME, transaction) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
-                packer.end(packedWrite)
-                replica.applied(transaction, outcome.revision)
+                packer.clearInFlight(packedWrite)
+                replica.applyCommitted(transaction, outcome.revision)
                 return@commit
             }
             // Whatever stood in the way, or became of the write: read first, then try what is still new.
             val again = {
-                packer.end(packedWrite)
+                packer.clearInFlight(packedWrite)
                 since.forEach { (place, first) -> dirtySince.merge(place, first) { a, b -> minOf(a, b) } }
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
                 TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
-                else -> replica.readFresh { loop.after(AFTER_CONFLICT, again) }
+                else -> replica.catchUp { loop.after(AFTER_CONFLICT, again) }
             }
         }
     }
 
     /** The record that says all that is known, or null where it says nothing new. */
     private fun updatedRecord(job: Job, page: Int): OutcomeRecord? {
-        val present = job.works[ShardTaskRange(page, shard.name)]?.value ?: OutcomeRecord.EMPTY
+        val present = job.outcomes[ShardTaskRange(page, shard.name)]?.value ?: OutcomeRecord.EMPTY
         val done = present.done.clone() as BitSet
         val restarted = present.restarted.clone() as BitSet
         val returned = HashMap<Int, BitSet>()
@@ -143,7 +143,7 @@
         }
         val failing = done.isEmpty && (present.failing || job.id in shard.context.failingJobs)
         if (!changed && failing == present.failing) return null
-        return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, failing)
+        return OutcomeRecord(done, stillNeeded(returned, job.assignmentRanges[page]?.value), restarted, present.version + 1, failing)
     }
 
     /** Give-backs matter only as long as the leader's page still names the assignment. */
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -24,7 +24,7 @@
     fun of(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
 
     /** The runs of the tasks on one page of a job's records: outcomes are written page by page. */
-    fun of(place: TaskRange): Collection<Run> = byJob[place.job]?.get(place.page)?.values.orEmpty()
+    fun of(place: TaskRange): Collection<Run> = byJob[place.job]?.get(place.index)?.values.orEmpty()
 
     fun add(run: Run) {
         val pages = byJob.getOrPut(run.task.job) { HashMap() }
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -86,8 +86,8 @@
     /** What the present code writes for a record that it has read. */
     private fun rewritten(directory: String, value: JsonNode): ByteArray = when (directory) {
         "live" -> RecordCodec.encode(RecordCodec.decodeLive(value)!!)
-        "task" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodePage(it)) }
-        "work" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeWork(it)) }
+        "task" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeAssignmentRange(it)) }
+        "work" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeOutcome(it)) }
         "over" -> RecordCodec.encode(RecordCodec.decodeEnd(value)!!)
         "block" -> RecordCodec.encode(RecordCodec.decodeShard(value)!!)
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
@@ -175,7 +175,7 @@
     fun `a packed record of assignments`() {
         val pages = ProductionFiles.inSnapshot("cg/now/task/array/0").value
         assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), pages.fieldNames().asSequence().toList())
-        val page = RecordCodec.decodePage(pages.get("job-605/0"))
+        val page = RecordCodec.decodeAssignmentRange(pages.get("job-605/0"))
         assertEquals(
             listOf("north.2 baton 11 generation 1: 0-47", "north.1 baton 6 generation 1: 48-111", "south.1 baton 10 generation 2: 112-159"),
             groups(page),
@@ -187,7 +187,7 @@
     @Test
     fun `an assignment that is recalled`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
-        val page = RecordCodec.decodePage(sample.value.get("job-701/0"))
+        val page = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
         assertEquals("0-15", TaskIndexRanges.format(page.preemptedForGuarantee))
         assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
         assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.frontier, page.version))
@@ -206,7 +206,7 @@
         assertEquals("done 1,3, returned {}, restarted 5, version 3", described(restarted))
     }
 
-    private fun work(record: RecordSample, page: String) = RecordCodec.decodeWork(record.value.get(page))
+    private fun work(record: RecordSample, page: String) = RecordCodec.decodeOutcome(record.value.get(page))
 
     private fun described(work: OutcomeRecord): String {
         val returned = work.returned.mapValues { TaskIndexRanges.format(it.value) }
@@ -227,10 +227,10 @@
     fun `blocks that are owned and given up, members and the leader`() {
         val owned = RecordCodec.decodeShard(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
         assertEquals(ShardRecord(MemberId("lorry-2"), Incarnation(2)), owned)
-        assertFalse(owned.givenUp)
+        assertFalse(owned.released)
         val givenUp = RecordCodec.decodeShard(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
-        assertEquals(ShardRecord.givenUpBy(MemberId("lorry-1")), givenUp)
-        assertTrue(givenUp.givenUp)
+        assertEquals(ShardRecord.releasedBy(MemberId("lorry-1")), givenUp)
+        assertTrue(givenUp.released)
         val member = RecordCodec.decodeMember(ProductionFiles.inSnapshot("cg/now/member/lorry-0").value)
         assertEquals(MemberRecord(Incarnation(3)), member)
         val leader = RecordCodec.decodeLeader(ProductionFiles.inSnapshot("cg/now/lead").value)
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -193,7 +193,7 @@
 
 /** Says by the key and by the fields that are there which kind of record it is. */
 private fun recordKind(key: String, value: JsonNode): String {
-    val directory = key.removePrefix(Keys.NOW).substringBefore('/')
+    val directory = key.removePrefix(Keys.CURRENT).substringBefore('/')
     val features = when (directory) {
         "live" -> liveFeatures(value)
         "task" -> listOf(key.split('/')[3]) + packedRecordFeatures(value) + groupFeatures(value)
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -29,9 +29,9 @@
 class WireNamesTest {
     @Test
     fun `the keys of the state service`() {
-        assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.NOW, Keys.OVER, Keys.LEADER))
+        assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.CURRENT, Keys.ENDED, Keys.LEADER))
         assertEquals("cg/now/live/job-000412", Keys.live(JobId("job-000412")))
-        assertEquals("cg/over/job-000412", Keys.over(JobId("job-000412")))
+        assertEquals("cg/over/job-000412", Keys.ended(JobId("job-000412")))
         assertEquals("cg/now/task/array/", Keys.assignmentRecords(JobKind.ARRAY))
         assertEquals("cg/now/task/service/", Keys.assignmentRecords(JobKind.SERVICE))
         assertEquals("cg/now/work/north.0/", Keys.outcomeRecords(ShardName("north.0")))
@@ -64,7 +64,7 @@
     private fun parsed(key: String): String? = when (val known = Keys.parse(key)) {
         null -> null
         is ParsedKey.Live -> "Live ${known.job}"
-        is ParsedKey.Over -> "Over ${known.job}"
+        is ParsedKey.Ended -> "Over ${known.job}"
         ParsedKey.Assignments -> "Assignments"
         is ParsedKey.Outcomes -> "Outcomes ${known.shard}"
         is ParsedKey.Shard -> "Block ${known.name}"
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -29,7 +29,7 @@
 
     /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
     private fun SimSite.assignEverywhere(job: JobId) {
-        val shards = state.keys("${Keys.NOW}block/")
+        val shards = state.keys("${Keys.CURRENT}block/")
         val groups = shards.mapIndexed { task, key ->
             val token = FencingToken(revisionOf(key))
             AssignmentGroup(ShardName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -298,7 +298,7 @@
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         var interrupted = false
         site.network.tamperAnswer = { _, request, reply ->
-            val closes = request.path == "/multi" && "\"${Keys.over(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
+            val closes = request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
             if (closes && reply.status == 200 && !interrupted) {
                 interrupted = true
                 site.state.outage = true
@@ -308,7 +308,7 @@
         }
         site.cancel(id(1))
         site.await(20.0) { interrupted }
-        val closed = shape.jobs.count { site.state.text(Keys.over(id(it))) != null }
+        val closed = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
         assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
         site.run(8.0)
         site.state.outage = false
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -146,7 +146,7 @@
         network.commandsSent = ::checkCommands
         network.listen(STATE, "state", worldLoop, state)
         network.listen(CLOUD, "cloud", worldLoop, cloud)
-        repeat(endedBefore) { state.put(Keys.over(JobId("job-${ENDED_FROM + it}")), RecordCodec.encode(EndRecord(JobStatus.DONE, 1))) }
+        repeat(endedBefore) { state.put(Keys.ended(JobId("job-${ENDED_FROM + it}")), RecordCodec.encode(EndRecord(JobStatus.DONE, 1))) }
         repeat(nodes) { startController(it) }
     }
 
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.Revision
 
 /** One transaction of the former version: the packed records it writes, and the pages that it changes. */
-class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val places: Set<TaskRange>)
+class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val ranges: Set<TaskRange>)
 
 /**
  * The packer of the version that knows no announced limits, as it was: it moves a page by rewriting both packed
@@ -25,7 +25,7 @@
     private val replica: Replica,
     limits: StateLimits,
     private val prefix: String,
-    private val packed: (Job, Int) -> PackedPart<*>?,
+    private val packed: (Job, Int) -> PackedEntry<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val fullBytes = minOf(limits.valueBytes * FULL, LARGEST_BYTES).toInt()
@@ -35,57 +35,58 @@
      * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
      * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
      */
-    private val busyPages = HashSet<TaskRange>()
+    private val busyRanges = HashSet<TaskRange>()
 
     private inner class Draft(val key: String) {
-        val parts = LinkedHashMap<TaskRange, ByteArray>()
+        val entries = LinkedHashMap<TaskRange, ByteArray>()
         val changed = HashSet<TaskRange>()
         var bytes = BYTES_AROUND
 
         init {
-            for (place in replica.packedRecords[key]?.places.orEmpty()) {
-                val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-                if (packed(job, place.page)?.recordKey == key) encode(job, place.page)?.let { put(place, it) }
+            for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
+                val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
+                if (packed(job, range.index)?.recordKey == key) encode(job, range.index)?.let { put(range, it) }
             }
         }
 
-        fun put(place: TaskRange, part: ByteArray) {
-            remove(place)
-            parts[place] = part
-            bytes += sizeOf(place, part.size)
+        fun put(range: TaskRange, entry: ByteArray) {
+            remove(range)
+            entries[range] = entry
+            bytes += sizeOf(range, entry.size)
         }
 
-        fun remove(place: TaskRange) {
-            parts.remove(place)?.let { bytes -= sizeOf(place, it.size) }
+        fun remove(range: TaskRange) {
+            entries.remove(range)?.let { bytes -= sizeOf(range, it.size) }
         }
 
         fun condition() = Condition(key, replica.packedRecords[key]?.revision ?: Revision.ABSENT)
 
-        fun write() = Write.Set(key, RecordCodec.encodePackedRecord(parts))
+        fun write() = Write.Set(key, RecordCodec.encodePackedRecord(entries))
     }
 
     /** Whether no write is under way that the page's own would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = TaskRange(job.id, page) !in busyPages && packed(job, page)?.recordKey !in busy
+    fun ready(job: Job, rangeIndex: Int): Boolean =
+        TaskRange(job.id, rangeIndex) !in busyRanges && packed(job, rangeIndex)?.recordKey !in busy
 
     /** The writes that bring about [changes]; those of packed records under way are left out. In order of the changes. */
     fun pack(changes: Map<TaskRange, ByteArray>): List<FormerPackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         val moved = HashMap<String, MutableList<Draft>>()
-        for ((place, part) in changes) {
-            val home = replica.jobs[place.job]?.let { packed(it, place.page)?.recordKey }
-            if (place in busyPages || (home != null && home in busy)) continue
+        for ((range, entry) in changes) {
+            val home = replica.jobs[range.job]?.let { packed(it, range.index)?.recordKey }
+            if (range in busyRanges || (home != null && home in busy)) continue
             val draft = when (home) {
-                null -> drafts.values.firstOrNull { fits(it.bytes, place, part) } ?: recordWithCapacity(place, part, drafts)
+                null -> drafts.values.firstOrNull { fits(it.bytes, range, entry) } ?: recordWithCapacity(range, entry, drafts)
                 else -> drafts[home] ?: Draft(home)
             }
             drafts[draft.key] = draft
-            draft.put(place, part)
-            draft.changed += place
-            if (draft.bytes <= fullBytes || draft.parts.size == 1) continue
+            draft.put(range, entry)
+            draft.changed += range
+            if (draft.bytes <= fullBytes || draft.entries.size == 1) continue
             // It has outgrown its packed record: a new one for it alone.
-            draft.remove(place)
+            draft.remove(range)
             val alone = emptyDraft(drafts.keys + moved.values.flatten().map { it.key })
-            alone.put(place, part)
+            alone.put(range, entry)
             moved.getOrPut(draft.key) { ArrayList() } += alone
         }
         return drafts.values.map { draft ->
@@ -97,16 +98,16 @@
     /**
      * Writes the first of [write]'s packed records as it is, only to change its revision: a late copy of [write] dies of that.
      */
-    fun same(write: FormerPackedWrite): FormerPackedWrite {
+    fun rewriteUnchanged(write: FormerPackedWrite): FormerPackedWrite {
         val draft = Draft(write.writes.first().key)
         return FormerPackedWrite(listOf(draft.condition()), listOf(draft.write()), emptySet())
     }
 
-    private fun fits(bytes: Int, place: TaskRange, part: ByteArray) = bytes + sizeOf(place, part.size) <= fullBytes * ROOM_TO_GROW
+    private fun fits(bytes: Int, range: TaskRange, entry: ByteArray) = bytes + sizeOf(range, entry.size) <= fullBytes * ROOM_TO_GROW
 
-    private fun recordWithCapacity(place: TaskRange, part: ByteArray, taken: Map<String, Draft>): Draft {
+    private fun recordWithCapacity(range: TaskRange, entry: ByteArray, taken: Map<String, Draft>): Draft {
         val known = replica.packedRecords.keys.firstOrNull {
-            it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), place, part)
+            it.startsWith(prefix) && it !in busy && it !in taken && fits(bytesOf(it), range, entry)
         }
         return if (known != null) Draft(known) else emptyDraft(taken.keys)
     }
@@ -120,29 +121,29 @@
     /** What of a packed record still matters. */
     private fun bytesOf(key: String): Int {
         var sum = BYTES_AROUND
-        for (place in replica.packedRecords[key]?.places.orEmpty()) {
-            val job = replica.jobs[place.job]?.takeIf { it.live != null } ?: continue
-            packed(job, place.page)?.let { sum += sizeOf(place, it.bytes) }
+        for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
+            val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
+            packed(job, range.index)?.let { sum += sizeOf(range, it.bytes) }
         }
         return sum
     }
 
-    private fun sizeOf(place: TaskRange, bytes: Int) = place.job.text.length + bytes + BYTES_AROUND
+    private fun sizeOf(range: TaskRange, bytes: Int) = range.job.text.length + bytes + BYTES_AROUND
 
-    fun begin(write: FormerPackedWrite) {
+    fun markInFlight(write: FormerPackedWrite) {
         write.writes.forEach { busy += it.key }
-        busyPages += write.places
+        busyRanges += write.ranges
     }
 
     /** No packed record of [write] is on its way any more. */
-    fun end(write: FormerPackedWrite) {
+    fun clearInFlight(write: FormerPackedWrite) {
         write.writes.forEach { busy -= it.key }
-        busyPages -= write.places
+        busyRanges -= write.ranges
     }
 
-    fun endAll() {
+    fun clearAllInFlight() {
         busy.clear()
-        busyPages.clear()
+        busyRanges.clear()
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -55,8 +55,8 @@
             replica,
             limits,
             Keys.assignmentRecords(JobKind.ARRAY),
-            { job, page -> job.pages[page] },
-            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+            { job, page -> job.assignmentRanges[page] },
+            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
         )
 
         /** The writer is replaced by one that is told lower limits, and the service enforces them from now on. */
@@ -74,15 +74,15 @@
             store.commit(
                 WritePriority.LEASE,
                 transaction,
-            ) { if (it is TransactionOutcome.Applied) replica.applied(transaction, it.revision) }
+            ) { if (it is TransactionOutcome.Applied) replica.applyCommitted(transaction, it.revision) }
         }
 
         private val former = FormerRecordPacker(
             replica,
             StateLimits(1e6, 1e6, 8.0, 12),
             Keys.assignmentRecords(JobKind.ARRAY),
-            { job, page -> job.pages[page] },
-            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+            { job, page -> job.assignmentRanges[page] },
+            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
         )
 
         /** A round of the former version; nothing of another writer may be under way. */
@@ -91,13 +91,13 @@
             val pages = changedPages { job, page -> former.ready(job, page) }
             for (packedWrite in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
                 val transaction = Transaction(packedWrite.conditions, packedWrite.writes)
-                former.begin(packedWrite)
+                former.markInFlight(packedWrite)
                 store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
-                        replica.applied(transaction, outcome.revision)
+                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        replica.applyCommitted(transaction, outcome.revision)
                     }
-                    loop.after(sim.random.nextInt(40).milliseconds) { former.end(packedWrite) }
+                    loop.after(sim.random.nextInt(40).milliseconds) { former.clearInFlight(packedWrite) }
                 }
             }
             sim.run(sim.random.nextInt(12).toDouble())
@@ -111,25 +111,25 @@
                 assertTrue(packedWrite.write.value.size <= limits.valueBytes)
                 assertTrue(
                     packer
-                        .same(packedWrite)
+                        .rewriteUnchanged(packedWrite)
                         .write.value.size <= limits.valueBytes,
                 )
                 val transaction = Transaction(listOf(packedWrite.condition), listOf(packedWrite.write))
-                packer.begin(packedWrite)
+                packer.markInFlight(packedWrite)
                 store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        packedWrite.places.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
-                        replica.applied(transaction, outcome.revision)
+                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        replica.applyCommitted(transaction, outcome.revision)
                     }
                     if (outcome == TransactionOutcome.Unknown && settles) {
                         unresolvedWrites.resolve(packedWrite, ours = { true }) {
-                            packedWrite.places.forEach(::adopt)
-                            packer.end(packedWrite)
+                            packedWrite.ranges.forEach(::adopt)
+                            packer.clearInFlight(packedWrite)
                         }
                         return@commit
                     }
                     // Its end is known a little later than its effect, as after a conflict.
-                    loop.after(sim.random.nextInt(40).milliseconds) { packer.end(packedWrite) }
+                    loop.after(sim.random.nextInt(40).milliseconds) { packer.clearInFlight(packedWrite) }
                 }
             }
             sim.run(sim.random.nextInt(12).toDouble())
@@ -138,33 +138,33 @@
         private fun changedPages(ready: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
             val pages = LinkedHashMap<TaskRange, AssignmentRange>()
             repeat(1 + sim.random.nextInt(6)) {
-                val place = TaskRange(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
-                val job = replica.jobs.getValue(place.job)
-                if (!ready(job, place.page)) return@repeat
-                val present = job.pages[place.page]?.value ?: AssignmentRange.EMPTY
+                val range = TaskRange(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
+                val job = replica.jobs.getValue(range.job)
+                if (!ready(job, range.index)) return@repeat
+                val present = job.assignmentRanges[range.index]?.value ?: AssignmentRange.EMPTY
                 val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
                 val group = AssignmentGroup(ShardName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
                 val page = AssignmentRange(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
-                pages[place] = page
+                pages[range] = page
             }
             return pages
         }
 
         /** What has become of a page whose write had no answer. */
-        private fun adopt(place: TaskRange) {
-            replica.jobs[place.job]
-                ?.pages
-                ?.get(place.page)
-                ?.let { model[place] = RecordCodec.encode(it.value).decodeToString() }
+        private fun adopt(range: TaskRange) {
+            replica.jobs[range.job]
+                ?.assignmentRanges
+                ?.get(range.index)
+                ?.let { model[range] = RecordCodec.encode(it.value).decodeToString() }
         }
 
         fun reread(): Map<TaskRange, String> {
             sim.run(if (lateOneIn > 0) 16_000.0 else 2000.0)
-            val readFresh = Replica(loop, StateClient(loop, network.callerOf("reader", loop), AT, limits)).also { it.start() }
+            val reader = Replica(loop, StateClient(loop, network.callerOf("reader", loop), AT, limits)).also { it.start() }
             sim.run(2000.0)
-            return readFresh.jobs.values
+            return reader.jobs.values
                 .flatMap { job ->
-                    job.pages.map { (page, packed) ->
+                    job.assignmentRanges.map { (page, packed) ->
                         TaskRange(job.id, page) to
                             RecordCodec.encode(packed.value).decodeToString()
                     }
@@ -249,7 +249,7 @@
         val small = "{\"v\":1}".toByteArray()
         val large = ByteArray(256) { '1'.code.toByte() }
         val writes = bench.pack(mapOf(TaskRange(JobId("job-1"), 0) to large, TaskRange(JobId("job-2"), 0) to small))
-        assertEquals(listOf(setOf(TaskRange(JobId("job-2"), 0))), writes.map { it.places })
+        assertEquals(listOf(setOf(TaskRange(JobId("job-2"), 0))), writes.map { it.ranges })
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/storage/RecordsTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordsTest.kt
@@ -42,9 +42,9 @@
 
     @Test
     fun `records survive their JSON`() {
-        val work = RecordCodec.decodeWork(Json.read(RecordCodec.encode(OutcomeRecord(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8)))!!)
+        val work = RecordCodec.decodeOutcome(Json.read(RecordCodec.encode(OutcomeRecord(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8)))!!)
         assertEquals(listOf(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8), listOf(work.done, work.returned, work.restarted, work.version))
-        val page = RecordCodec.decodePage(
+        val page = RecordCodec.decodeAssignmentRange(
             Json.read(RecordCodec.encode(AssignmentRange(emptyList(), bits(2), lastGeneration = 7, frontier = 5, version = 9)))!!,
         )
         assertEquals(listOf(bits(2), 7, 5, 9), listOf(page.preemptedForGuarantee, page.lastGeneration, page.frontier, page.version))
@@ -55,9 +55,9 @@
         val job = Job(JobId("job-1"))
         job.live = StoredRecord(LiveRecord(SimSite.job(1, tasks = 4), 0, cancelled = false), Revision(1))
         val shard = ShardName("north.0")
-        job.setPage(
+        job.setAssignmentRange(
             0,
-            PackedPart(
+            PackedEntry(
                 AssignmentRange(listOf(AssignmentGroup(shard, FencingToken(5), 2, bits(0, 1, 2))), BitSet(), 2, 3, 1),
                 "sheet",
                 RecordCodec::encode,
@@ -65,7 +65,7 @@
         )
         // Task 0 was given back in an earlier generation, task 1 in this one, task 2 is done.
         val work = OutcomeRecord(bits(2), mapOf(1 to bits(0), 2 to bits(1)), BitSet(), 1)
-        job.setWork(ShardTaskRange(0, shard), PackedPart(work, "sheet", RecordCodec::encode))
+        job.setOutcome(ShardTaskRange(0, shard), PackedEntry(work, "sheet", RecordCodec::encode))
         assertEquals(listOf(0), job.assignments().map { it.task })
         assertEquals(JobStatus.RUNNING, job.status())
     }
