--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -22,11 +22,11 @@
     private val loop = state.context.loop
 
     /** The commands due for [machine]: stops first, since they make room and may be urgent, and as many as one message may hold. */
-    fun dueFor(machine: Machine): List<Command> {
+    fun dueCommands(machine: Machine): List<Command> {
         val now = loop.now()
         val commands = unknownTaskCommands(machine, now)
         for (run in machine.runs) runCommand(run, now)?.let(commands::add)
-        return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MAX_COMMANDS)
+        return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MAX_COMMANDS_PER_MESSAGE)
     }
 
     /** What is due for tasks that no run of ours is bound to. */
@@ -39,17 +39,17 @@
         if (reported.state != ReportedTaskState.EXITED) return Command.Stop(reported.task, reported.attempt, 0.0)
         // Not before its outcome is on record, and never while a late copy of its start could start it once more.
         val removalSentAt = machine.removalSentAt[reported.attempt] ?: MonotonicTime.NEVER
-        val removable = !machine.hasUnresolvedStart(reported.task, reported.attempt) && now >= removalSentAt + RESEND_PAUSE
+        val removable = !machine.hasUnresolvedStart(reported.task, reported.attempt) && now >= removalSentAt + RESEND_INTERVAL
         return if (removable) Command.Remove(reported.task, reported.attempt) else null
     }
 
     private fun runCommand(run: Run, now: MonotonicTime): Command? = when (run.state) {
-        RunState.STOPPING -> if (now >= run.stopSentAt + RESEND_PAUSE) {
+        RunState.STOPPING -> if (now >= run.stopSentAt + RESEND_INTERVAL) {
             Command.Stop(run.task, run.attempt, graceFor(run))
         } else {
             null
         }
-        RunState.STARTING -> if (!run.wasReported && now >= run.startSentAt + RESEND_PAUSE && mayStart(run)) {
+        RunState.STARTING -> if (!run.confirmedByWorker && now >= run.startSentAt + RESEND_INTERVAL && mayStart(run)) {
             Command.Start(run.task, run.attempt)
         } else {
             null
@@ -62,7 +62,7 @@
     /** A cancelled task gets no time to save. */
     private fun graceFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) 0.0 else run.spec.saveS
 
-    /** Takes note that [commands] go out to [machine] now: none of them is due again for [RESEND_PAUSE]. */
+    /** Takes note that [commands] go out to [machine] now: none of them is due again for [RESEND_INTERVAL]. */
     fun markSent(machine: Machine, commands: List<Command>) {
         val now = loop.now()
         for (command in commands) {
@@ -80,8 +80,8 @@
 
     companion object {
         /** How long a command has to take effect before it is sent again. */
-        val RESEND_PAUSE = 1000.milliseconds
-        private const val MAX_COMMANDS = 200
+        val RESEND_INTERVAL = 1000.milliseconds
+        private const val MAX_COMMANDS_PER_MESSAGE = 200
         private val COMMAND_ORDER = listOf(Command.Stop::class, Command.Remove::class, Command.Start::class)
     }
 }
--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -27,7 +27,7 @@
      * that we may act.
      */
     fun handleHeartbeat(heartbeat: Heartbeat): ByteArray? {
-        if (tracker.isOfRemovedMachine(heartbeat)) {
+        if (tracker.isFromRemovedMachine(heartbeat)) {
             tracker.probeRemovedMachine(heartbeat)
             return null
         }
@@ -38,8 +38,8 @@
             commands.fence(known)
             return null
         }
-        val machine = tracker.hear(heartbeat)
-        machine.sentBy(heartbeat, loop.now())
+        val machine = tracker.receive(heartbeat)
+        machine.recordHeartbeat(heartbeat, loop.now())
         if (answersDoNotArrive(machine)) {
             commands.fence(machine)
             return null
@@ -48,14 +48,14 @@
     }
 
     private fun answerTrusted(machine: Machine, heartbeat: Heartbeat): ByteArray {
-        machine.answeredAt = loop.now()
+        machine.leaseRenewedAt = loop.now()
         if (!state.open || !state.isFenced(machine)) {
-            machine.unacknowledgedAnswers++
+            machine.unacknowledgedReplies++
             commands.fence(machine)
             return answer(heartbeat)
         }
-        machine.unacknowledgedAnswers = 0
-        return answer(heartbeat, commands.withAnswer(machine))
+        machine.unacknowledgedReplies = 0
+        return answer(heartbeat, commands.forReply(machine))
     }
 
     /**
@@ -65,9 +65,9 @@
      */
     fun extendWorkerLease(heartbeat: Heartbeat): ByteArray? {
         val known = state.machines[heartbeat.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
-        if (heartbeat.fencingToken > state.token || known.isUnverified(heartbeat) || known.isDuplicate(heartbeat)) return null
-        tracker.hear(heartbeat).sentBy(heartbeat, loop.now())
-        known.answeredAt = loop.now()
+        if (heartbeat.fencingToken > state.fencingToken || known.isUnverified(heartbeat) || known.isDuplicate(heartbeat)) return null
+        tracker.receive(heartbeat).recordHeartbeat(heartbeat, loop.now())
+        known.leaseRenewedAt = loop.now()
         return answer(heartbeat)
     }
 
@@ -77,9 +77,9 @@
      */
     private fun answerUnverified(machine: Machine, heartbeat: Heartbeat): ByteArray? {
         commands.fence(machine)
-        if (loop.now() >= machine.heardAt + state.context.heartbeatTimeout) return null
-        machine.heartbeatsArrive(loop.now())
-        machine.answeredAt = loop.now()
+        if (loop.now() >= machine.lastContactAt + state.context.heartbeatTimeout) return null
+        machine.recordUnverifiedHeartbeat(loop.now())
+        machine.leaseRenewedAt = loop.now()
         return answer(heartbeat)
     }
 
@@ -88,7 +88,7 @@
      * arrival, but it must be reckoned with; so the worker gets none any more, and its lease surely runs out.
      */
     private fun answersDoNotArrive(machine: Machine): Boolean =
-        state.open && !state.isFenced(machine) && machine.unacknowledgedAnswers >= MAX_UNACKNOWLEDGED_ANSWERS
+        state.open && !state.isFenced(machine) && machine.unacknowledgedReplies >= MAX_UNACKNOWLEDGED_REPLIES
 
     /** Every answer of 200 is made here: see [ActionGuard.stopsFor] for what none of them may lack. */
     private fun answer(heartbeat: Heartbeat, commands: List<Command> = emptyList()): ByteArray {
@@ -98,12 +98,12 @@
             command is Command.Stop && stops.any { it.attempt == command.attempt && it.task == command.task }
         }
         val approved = guard.approveAnswer(heartbeat, stops + others)
-        state.context.audit.commanded(heartbeat.machine, state.token, approved, way = "answer")
-        state.context.audit.answered(heartbeat.machine, state.token, stops.size)
-        return WorkerWire.answer(state.token, approved)
+        state.context.audit.commanded(heartbeat.machine, state.fencingToken, approved, way = "answer")
+        state.context.audit.answered(heartbeat.machine, state.fencingToken, stops.size)
+        return WorkerWire.answer(state.fencingToken, approved)
     }
 
     private companion object {
-        const val MAX_UNACKNOWLEDGED_ANSWERS = 4
+        const val MAX_UNACKNOWLEDGED_REPLIES = 4
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -15,7 +15,7 @@
      * is running out.
      */
     fun isUsable(machine: Machine, now: MonotonicTime): Boolean =
-        isSound(machine, now) && !machine.unresponsive && now < machine.reportedAt + context.heartbeatTimeout
+        isSound(machine, now) && !machine.unresponsive && now < machine.lastHeartbeatAt + context.heartbeatTimeout
 
     /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
     fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
@@ -27,13 +27,13 @@
      */
     fun countUnreachable(now: MonotonicTime): Int {
         val limit = context.heartbeatIntervals(MISSED_HEARTBEATS)
-        return state.machines.values.count { now >= it.heardAt + limit }
+        return state.machines.values.count { now >= it.lastContactAt + limit }
     }
 
     private fun isSound(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
         !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) && !isSilent(machine, now)
 
-    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.heardAt + context.heartbeatTimeout
+    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.lastContactAt + context.heartbeatTimeout
 
     private companion object {
         const val MISSED_HEARTBEATS = 1.6
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -31,11 +31,11 @@
     private val probed = HashSet<MachineName>()
 
     /** Takes in a report if it is new; the machine that it is of. */
-    fun hear(heartbeat: Heartbeat): Machine {
+    fun receive(heartbeat: Heartbeat): Machine {
         val machine = machines.getOrPut(heartbeat.machine) { discover(heartbeat) }
         val epochBefore = machine.epoch
         if (machine.update(heartbeat, loop.now())) {
-            if (machine.epoch > epochBefore) loseAll(machine, "session ${machine.epoch} began")
+            if (machine.epoch > epochBefore) releaseAll(machine, "session ${machine.epoch} began")
             if (state.open && state.isFenced(machine)) observer.match(machine)
         }
         return machine
@@ -45,24 +45,24 @@
      * Takes in [heartbeat], the machine's answer to a command that was sent at [sentAt]. A machine that was asked after its
      * last numbers were taken in, yet answers with none higher, counts from the start again.
      */
-    fun hearReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        if (sentAt > machine.takenAt && !heartbeat.newerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
-        hear(heartbeat)
+    fun receiveReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
+        if (sentAt > machine.lastUpdateAt && !heartbeat.newerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
+        receive(heartbeat)
     }
 
     /** Whether [heartbeat] is of a machine that was dropped, and from before that or from a count begun anew. */
-    fun isOfRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.covers(heartbeat)
+    fun isFromRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.covers(heartbeat)
 
     /** Asks a machine that was dropped whether it lives; late copies of its reports get no answer. */
     fun probeRemovedMachine(heartbeat: Heartbeat) {
-        if (!state.open || removedMachines.forGood(heartbeat.machine) || !probed.add(heartbeat.machine)) return
+        if (!state.open || removedMachines.isPermanent(heartbeat.machine) || !probed.add(heartbeat.machine)) return
         commands.probe(heartbeat.endpoint, heartbeat.epoch) { answer ->
             probed -= heartbeat.machine
             if (answer != null && answer.machine == heartbeat.machine && removedMachines.knows(answer.machine)) {
                 log.info("{} is back in session {}", answer.machine, answer.epoch)
                 val removedEpoch = removedMachines.epochOf(answer.machine)
-                hear(answer).markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
-                removedMachines.isBack(answer.machine)
+                receive(answer).markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
+                removedMachines.forget(answer.machine)
             }
         }
     }
@@ -71,7 +71,7 @@
     fun dropExpired(now: MonotonicTime) {
         for (machine in machines.values.toList()) {
             unresolved.forgetExpired(machine, now)
-            if (now < machine.answeredAt + context.maxLease) continue
+            if (now < machine.leaseRenewedAt + context.maxLease) continue
             log.info("{} silent for longer than its lease, {} tasks lost", machine.name, machine.runs.size)
             drop(machine)
         }
@@ -115,10 +115,10 @@
         context.profiles.forgetMachine(machine.name)
         context.failureEvidence.forgetMachine(machine.name)
         removedMachines.expired(machine.name, machine.epoch)
-        loseAll(machine, "${machine.name} is gone")
+        releaseAll(machine, "${machine.name} is gone")
     }
 
-    private fun loseAll(machine: Machine, why: String) = machine.runs.toList().forEach { lifecycle.lost(it, why) }
+    private fun releaseAll(machine: Machine, why: String) = machine.runs.toList().forEach { lifecycle.lost(it, why) }
 
     private companion object {
         val log = LoggerFactory.getLogger("owner")
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -45,9 +45,9 @@
     fun covers(heartbeat: Heartbeat): Boolean = removals[heartbeat.machine]?.let { heartbeat.epoch <= it.epoch } ?: false
 
     /** Whether nothing can ever be heard of the machine again. */
-    fun forGood(machine: MachineName): Boolean = removals[machine]?.epoch == Long.MAX_VALUE
+    fun isPermanent(machine: MachineName): Boolean = removals[machine]?.epoch == Long.MAX_VALUE
 
-    fun isBack(machine: MachineName) {
+    fun forget(machine: MachineName) {
         removals.remove(machine)
     }
 
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -44,7 +44,7 @@
             if (assignment.shard != state.name) continue
             assigned += assignment.task
             val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
-            run.reschedule(spec)
+            run.updateSpec(spec)
             if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
         }
@@ -58,7 +58,7 @@
         val assignedAnew = known != null && known.generation != assignment.generation && known.state == RunState.GONE
         if (known != null && !assignedAnew) return known
         val first = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
-        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::moved)
+        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::onStateChanged)
         newRun.restarted = job.restarted(assignment.task)
         runs.add(newRun)
         return newRun
@@ -72,7 +72,7 @@
 
     /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
     private fun forget(run: Run) {
-        context.audit.forgotten(run.task, run.state.name, run.machine?.name, run.onMachine)
+        context.audit.forgotten(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
         run.unbind()
         runs.remove(run)
     }
@@ -84,9 +84,9 @@
     fun releaseMissing(now: MonotonicTime) {
         val missing = runs.missing
         if (missing.isEmpty() || now < formerLeasesOverAt) return
-        if (state.machines.values.any { !state.isFenced(it) && !it.ours }) return
+        if (state.machines.values.any { !state.isFenced(it) && !it.startedUnderCurrentOwner }) return
         for (run in missing) {
-            run.moveTo(RunState.WAITING, "on no worker", now)
+            run.transitionTo(RunState.WAITING, "on no worker", now)
             if (context.guard.isCancelled(run.task.job)) stopper.stop(run, StopReason.CANCELLED)
         }
     }
--- a/src/main/kotlin/copperglade/agents/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -23,8 +23,8 @@
             }
             RunState.STARTING, RunState.FETCHING, RunState.RUNNING -> {
                 run.stopFor(reason)
-                run.moveTo(RunState.STOPPING, reason.name, state.context.loop.now())
-                run.machine?.let(commands::settle)
+                run.transitionTo(RunState.STOPPING, reason.name, state.context.loop.now())
+                run.machine?.let(commands::sendDue)
             }
             RunState.STOPPING -> if (reason == StopReason.CANCELLED || reason == StopReason.PREEMPTED_FOR_GUARANTEE) run.stopFor(reason)
             RunState.MISSING, RunState.DONE, RunState.GONE -> Unit
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -41,7 +41,7 @@
             val reported = machine.reportedTask(run.task, run.attempt)
             if (reported != null) observe(run, machine, reported) else absent(run, machine)
         }
-        commands.settle(machine)
+        commands.sendDue(machine)
     }
 
     /** Binds a missing run to the machine on which a former owner started it. */
@@ -50,19 +50,25 @@
         if (run.state != RunState.MISSING) return
         if (reported.state == ReportedTaskState.EXITED && reported.cause != ExitCause.DONE) return
         run.bind(machine, reported.attempt)
-        run.wasReported = true
-        run.moveTo(RunState.STARTING, "found on ${machine.name}", loop.now())
+        run.confirmedByWorker = true
+        run.transitionTo(RunState.STARTING, "found on ${machine.name}", loop.now())
         if (context.guard.isCancelled(reported.task.job)) stopper.stop(run, StopReason.CANCELLED)
     }
 
     private fun observe(run: Run, machine: Machine, reported: ReportedTask) {
-        run.wasReported = true
+        run.confirmedByWorker = true
         val stopping = run.state == RunState.STOPPING
         when (reported.state) {
-            ReportedTaskState.FETCHING, ReportedTaskState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
+            ReportedTaskState.FETCHING, ReportedTaskState.WAITING -> if (!stopping) {
+                run.transitionTo(
+                    RunState.FETCHING,
+                    "reported",
+                    loop.now(),
+                )
+            }
             ReportedTaskState.RUNNING -> {
-                context.types[machine.typeName]?.let { machine.usedImage(run.spec.image, it.cacheGb) }
-                if (!stopping) run.moveTo(RunState.RUNNING, "reported", loop.now())
+                context.types[machine.typeName]?.let { machine.recordImageUse(run.spec.image, it.cacheGb) }
+                if (!stopping) run.transitionTo(RunState.RUNNING, "reported", loop.now())
             }
             ReportedTaskState.SAVING -> Unit
             ReportedTaskState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
@@ -80,7 +86,7 @@
             ExitCause.STOPPED -> lifecycle.lost(run, "stopped")
             ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
                 log.info("{} refused by {}: {}", run.task, machine.name, cause)
-                tryElsewhere(run, machine, backoff.afterRefusal())
+                tryElsewhere(run, machine, backoff.delayAfterRefusal())
             }
         }
     }
@@ -92,17 +98,17 @@
         // What another owner has found out about the job holds for this one's machines, too.
         if (context.replica.jobs[job]?.failing != true) context.failureEvidence.failed(job, machine.name, loop.now())
         if (job in context.failingJobs) {
-            backoff.trialFailed(job, loop.now())
+            backoff.recordFailure(job, loop.now())
             outcomes.recordFailingJob(run)
         }
-        tryElsewhere(run, machine, backoff.afterFailure(run.failures))
+        tryElsewhere(run, machine, backoff.delayAfterFailures(run.failures))
     }
 
     /** Lets [run] start again after [pause], on another machine; once half of the shard has been tried, anywhere. */
     private fun tryElsewhere(run: Run, machine: Machine, pause: Duration) {
-        if (run.avoid.size * 2 >= state.machines.size) run.avoid.clear()
-        run.avoid += machine.name
-        run.notBefore = loop.now() + pause
+        if (run.avoidedMachines.size * 2 >= state.machines.size) run.avoidedMachines.clear()
+        run.avoidedMachines += machine.name
+        run.earliestStartAt = loop.now() + pause
         lifecycle.lost(run, "failed")
     }
 
@@ -111,7 +117,7 @@
         val began = run.runningSince ?: return
         val seconds = (loop.now().ms - began.ms) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
-        run.straggledS?.let {
+        run.stragglerRunSeconds?.let {
             log.info("straggler {} done on {}: ran {} s here, {} s before", run.task, machine.name, seconds, it)
         }
         context.profiles.record(Profile(machine.name, factors(run, machine), seconds))
@@ -123,7 +129,7 @@
     /** A run that a newer report does not show. */
     private fun absent(run: Run, machine: Machine) {
         when {
-            run.wasReported -> lifecycle.lost(run, "no longer reported")
+            run.confirmedByWorker -> lifecycle.lost(run, "no longer reported")
             run.state != RunState.STOPPING -> Unit
             // The start was answered or never sent, and the worker does not have it.
             !machine.commandInFlight && !machine.hasUnresolvedStart(run.task, run.attempt) -> lifecycle.lost(run, "never arrived")
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -17,13 +17,13 @@
     private val context = state.context
 
     /**
-     * Takes note that the starts among [commands] are on their way to [machine]; [actsUntil] is null where a copy may
+     * Takes note that the starts among [commands] are on their way to [machine]; [expiresAt] is null where a copy may
      * arrive at any later time.
      */
-    fun begin(machine: Machine, commands: List<Command>, actsUntil: MonotonicTime?): List<UnresolvedStart> {
+    fun begin(machine: Machine, commands: List<Command>, expiresAt: MonotonicTime?): List<UnresolvedStart> {
         val starts = commands
             .filterIsInstance<Command.Start>()
-            .map { UnresolvedStart(it.task, it.attempt, machine.epoch, state.token, context.loop.now(), actsUntil) }
+            .map { UnresolvedStart(it.task, it.attempt, machine.epoch, state.fencingToken, context.loop.now(), expiresAt) }
         machine.unresolvedStarts += starts
         return starts
     }
@@ -35,7 +35,7 @@
 
     /** Forgets starts that went out with an answer which its worker would drop by now. */
     fun forgetExpired(machine: Machine, now: MonotonicTime) {
-        machine.unresolvedStarts.removeIf { it.actsUntil != null && now >= it.actsUntil }
+        machine.unresolvedStarts.removeIf { it.expiresAt != null && now >= it.expiresAt }
     }
 
     /**
@@ -47,16 +47,16 @@
     fun needHigherToken(): Boolean {
         val now = context.loop.now()
         return state.machines.values.any { machine ->
-            now < machine.heardAt + context.heartbeatTimeout && machine.unresolvedStarts.any { shards(it, machine, now) }
+            now < machine.lastContactAt + context.heartbeatTimeout && machine.unresolvedStarts.any { blocksRun(it, machine, now) }
         }
     }
 
-    private fun shards(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
-        start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
+    private fun blocksRun(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
+        start.expiresAt == null && start.fencingToken == state.fencingToken && now >= start.sentAt + TOKEN_RENEWAL_DELAY &&
             (!machine.unresponsive || context.guard.isOver(start.task.job))
 
     private companion object {
         /** How long a start may stay unresolved before the token is raised. */
-        val PATIENCE = 5.seconds
+        val TOKEN_RENEWAL_DELAY = 5.seconds
     }
 }
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -38,31 +38,31 @@
     private val loop = context.loop
 
     /** Sends a machine whatever it is still to be told. */
-    fun settle(machine: Machine) {
+    fun sendDue(machine: Machine) {
         if (!state.open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
         if (!state.isFenced(machine)) return fence(machine)
         if (machine.unresponsive) fence(machine)
         for (run in machine.runs.toList()) {
-            if (run.state == RunState.STOPPING && !run.wasReported &&
+            if (run.state == RunState.STOPPING && !run.confirmedByWorker &&
                 run.startSentAt == MonotonicTime.NEVER
             ) {
                 lifecycle.lost(run, "never sent")
             }
         }
-        val commands = planner.dueFor(machine)
+        val commands = planner.dueCommands(machine)
         if (commands.any { it !is Command.Remove }) send(machine, commands)
     }
 
     /** Shows a machine our fencing token, and asks it for a report, by a message without commands. */
     fun fence(machine: Machine) {
-        if (!state.open || machine.commandInFlight || loop.now() < machine.commandSentAt + CommandPlanner.RESEND_PAUSE) return
+        if (!state.open || machine.commandInFlight || loop.now() < machine.commandSentAt + CommandPlanner.RESEND_INTERVAL) return
         send(machine, emptyList())
     }
 
     /** Asks the worker at [endpoint], of which nothing is known for certain, for a report; [done] gets null if none comes. */
     fun probe(endpoint: Endpoint, epoch: Long, done: (Heartbeat?) -> Unit) {
         if (!context.guard.approveSending("probe of $endpoint")) return done(null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.token, epoch, emptyList()))
+        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.fencingToken, epoch, emptyList()))
         context.http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
             done(reply?.let { WorkerWire.parseHeartbeat(it.body) })
         }
@@ -73,8 +73,8 @@
      * other one; a command in an answer is never executed late. Removals go with it in any case: a message of its own for
      * every finished task was a third of all commands.
      */
-    fun withAnswer(machine: Machine): List<Command> {
-        val due = planner.dueFor(machine)
+    fun forReply(machine: Machine): List<Command> {
+        val due = planner.dueCommands(machine)
         val planned = when {
             machine.unresponsive && !machine.commandInFlight -> due
             removalsAreDue(machine) -> due.filterIsInstance<Command.Remove>()
@@ -83,7 +83,7 @@
         val commands = context.guard.approveCommands(machine.name, planned + unknownStops(machine, planned))
         if (commands.isNotEmpty()) {
             planner.markSent(machine, commands)
-            unresolved.begin(machine, commands, actsUntil = loop.now() + ANSWER_LIFETIME)
+            unresolved.begin(machine, commands, expiresAt = loop.now() + ANSWER_LIFETIME)
         }
         return commands
     }
@@ -98,19 +98,19 @@
      * Every removal makes the worker report once more. So removals wait for a while, until the next start takes them along,
      * but not where nothing else is left: a machine is idle only once it is empty.
      */
-    private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.onMachine } ||
+    private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.occupiesMachine } ||
         loop.now() >= machine.lastRemovalSentAt + context.heartbeatIntervals(HEARTBEATS_PER_REMOVAL)
 
     private fun send(machine: Machine, planned: List<Command>) {
         if (!context.membership.mayAct) return
         val commands = context.guard.approveCommands(machine.name, planned)
-        context.audit.commanded(machine.name, state.token, commands, way = "direct")
+        context.audit.commanded(machine.name, state.fencingToken, commands, way = "direct")
         planner.markSent(machine, commands)
         val sentAt = loop.now()
         machine.commandInFlight = true
         machine.commandSentAt = sentAt
-        val body = WorkerWire.order(state.token, machine.epoch, commands)
-        val starts = unresolved.begin(machine, commands, actsUntil = null)
+        val body = WorkerWire.order(state.fencingToken, machine.epoch, commands)
+        val starts = unresolved.begin(machine, commands, expiresAt = null)
         val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
         context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
             machine.commandInFlight = false
@@ -124,14 +124,14 @@
         if (reply.status == HttpStatus.OK || reply.status == HttpStatus.CONFLICT) unresolved.resolve(machine, starts)
         val heartbeat = WorkerWire.parseHeartbeat(reply.body)
         if (heartbeat != null && heartbeat.machine == machine.name) {
-            if (heartbeat.fencingToken > state.token) {
-                log.info("{} obeys a higher baton {} than ours, {}", machine.name, heartbeat.fencingToken, state.token)
+            if (heartbeat.fencingToken > state.fencingToken) {
+                log.info("{} obeys a higher baton {} than ours, {}", machine.name, heartbeat.fencingToken, state.fencingToken)
             }
             heartbeatReceived(machine, heartbeat, sentAt)
         } else {
             log.warn("{} answered a command with {}", machine.name, reply.status)
         }
-        settle(machine)
+        sendDue(machine)
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -58,7 +58,7 @@
     private val summary = ShardSummary(state, health)
     private val lifecycle = RunLifecycle(state, outcomes)
     private val unresolved = UnresolvedStarts(state)
-    private val commands = WorkerCommands(state, CommandPlanner(state), unresolved, lifecycle, ::heardReply)
+    private val commands = WorkerCommands(state, CommandPlanner(state), unresolved, lifecycle, ::receiveReply)
     private val stopper = RunStopper(state, lifecycle, commands)
     private val backoff = RetryBackoff()
     private val reconciler = RunReconciler(state, stopper, backoff)
@@ -73,7 +73,7 @@
     val machines: Map<MachineName, Machine> get() = state.machines
 
     /** The fencing token under which workers are commanded now. */
-    val fencingToken: FencingToken get() = state.token
+    val fencingToken: FencingToken get() = state.fencingToken
 
     /** Nothing is commanded until the records are known to be as new as the grant. */
     val open: Boolean get() = state.open
@@ -116,8 +116,8 @@
     fun extendWorkerLease(heartbeat: Heartbeat): ByteArray? = heartbeatHandler.extendWorkerLease(heartbeat)
 
     /** Commands need the tracker for what they bring back, and the tracker needs commands: this ties the two together. */
-    private fun heardReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        tracker.hearReply(machine, heartbeat, sentAt)
+    private fun receiveReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
+        tracker.receiveReply(machine, heartbeat, sentAt)
     }
 
     /**
@@ -140,7 +140,7 @@
     private fun sweep(now: MonotonicTime) {
         tracker.dropExpired(now)
         reconciler.releaseMissing(now)
-        if (context.membership.mayAct) machines.values.toList().forEach(commands::settle)
+        if (context.membership.mayAct) machines.values.toList().forEach(commands::sendDue)
     }
 
     /** Drops a machine that the cloud has deleted. */
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -27,7 +27,9 @@
 ) {
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
         /** What stopping array tasks would free, by their priority; worked out once a round, for machines that are asked for it. */
-        private val preemptible by lazy(LazyThreadSafetyMode.NONE) { machine.runs.filter { !it.isPledged }.preemptibleCapacity() }
+        private val preemptible by lazy(
+            LazyThreadSafetyMode.NONE,
+        ) { machine.runs.filter { !it.isPreemptedForWaitingRun }.preemptibleCapacity() }
 
         /** Whether a task of [spec] would fit once all lower work on the machine is stopped. */
         fun fitsWithPreemption(spec: JobSpec): Boolean = spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
@@ -35,7 +37,7 @@
 
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
         val candidates = usable.mapNotNull { machine ->
-            types[machine.typeName]?.let { Candidate(machine, it, machine.free(it, now, requestOf)) }
+            types[machine.typeName]?.let { Candidate(machine, it, machine.freeCapacity(it, now, requestOf)) }
         }
         val hopeless = HashSet<JobId>()
         val keptFor = HashSet<JobId>()
@@ -43,26 +45,26 @@
             // Nothing makes room in a round, so what holds for one task of a job holds for the next. Weighing every machine again for
             // hundreds of tasks that wait took half of a controller's processor on a recorded day.
             if (run.task.job in hopeless) {
-                if (now >= run.since + PATIENCE) giveBack(run)
+                if (now >= run.stateSince + PATIENCE) giveBack(run)
                 continue
             }
             val chosen = choose(run, candidates)
             if (chosen != null) {
                 chosen.free -= run.spec.request
-                run.target = null
+                run.restartTarget = null
                 start(run, chosen.machine)
                 continue
             }
             // What was stopped for it is on its way out, which takes a while where that is saved.
-            if (run.awaitsVictims) continue
+            if (run.awaitsPreemption) continue
             if (mayPreempt(run) && preemptFor(run, candidates)) continue
             // Room gathers for it on one machine, or smaller tasks would take every piece that comes free.
             if (keptFor.add(run.task.job)) {
                 candidates.filter { allowed(run.spec, it.machine) }.maxByOrNull { it.free.cpus }?.free = Resources.ZERO
             }
             // Others may be kept from fewer machines than a task that has failed somewhere.
-            if (run.avoid.isEmpty()) hopeless += run.task.job
-            if (now >= run.since + PATIENCE) giveBack(run)
+            if (run.avoidedMachines.isEmpty()) hopeless += run.task.job
+            if (now >= run.stateSince + PATIENCE) giveBack(run)
         }
     }
 
@@ -71,16 +73,16 @@
     /** The cheapest place, then the fullest: what is empty can be returned. */
     private fun choose(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
-            run.spec.request.fitsIn(it.free) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
+            run.spec.request.fitsIn(it.free) && allowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines &&
                 !separated(run, it.machine) && it.machine.reportedTasks.none { reportedTask -> reportedTask.task == run.task }
         }.minWithOrNull(
-            compareBy<Candidate> { if (it.machine.name == run.target) 0 else 1 }
+            compareBy<Candidate> { if (it.machine.name == run.restartTarget) 0 else 1 }
                 .thenBy { cost(run.spec, it, preempts = false) }
                 .thenBy { it.free.cpus },
         )
 
     private fun cost(spec: JobSpec, candidate: Candidate, preempts: Boolean): Double {
-        val there = candidate.machine.hasImage(spec.image) || candidate.machine.fetching(spec.image)
+        val there = candidate.machine.hasImage(spec.image) || candidate.machine.isFetching(spec.image)
         return PlacementCost.of(spec, candidate.type, candidate.machine.spot, there, preempts)
     }
 
@@ -91,7 +93,7 @@
      */
     private fun preemptFor(run: Run, candidates: List<Candidate>): Boolean {
         val costs = candidates
-            .filter { it.fitsWithPreemption(run.spec) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid }
+            .filter { it.fitsWithPreemption(run.spec) && allowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines }
             .map { it to cost(run.spec, it, preempts = true) }
             .sortedBy { it.second }
         val plan = costs
@@ -110,7 +112,7 @@
         var free = candidate.free
         val chosen = ArrayList<Run>()
         val candidates = candidate.machine.runs
-            .filter { it.isPreemptible && !it.isPledged && it.spec.priority > run.spec.priority }
+            .filter { it.isPreemptible && !it.isPreemptedForWaitingRun && it.spec.priority > run.spec.priority }
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
--- a/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
+++ b/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
@@ -7,7 +7,7 @@
 import copperglade.tasks.Run
 
 /** Whether this run may be stopped for work of higher priority. */
-internal val Run.isPreemptible: Boolean get() = onMachine && spec.kind == JobKind.ARRAY
+internal val Run.isPreemptible: Boolean get() = occupiesMachine && spec.kind == JobKind.ARRAY
 
 /** What those of these runs take that may be stopped, by priority. */
 internal fun Collection<Run>.preemptibleCapacity(): PreemptibleCapacity {
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -47,14 +47,14 @@
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        placedOn.forEach(commands::settle)
+        placedOn.forEach(commands::sendDue)
         placedOn.clear()
     }
 
     private fun mayStart(run: Run, now: MonotonicTime): Boolean {
         val job = run.task.job
-        if (now < run.notBefore || isRefused(run)) return false
-        return job !in failingJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
+        if (now < run.earliestStartAt || isRefused(run)) return false
+        return job !in failingJobs || (backoff.mayRetry(job, now) && state.runs.of(job).none { it.occupiesMachine })
     }
 
     /** The leader that assigned it may have known less than we do, or may be of a version that knows no dependencies. */
@@ -69,7 +69,7 @@
     private fun giveBackAllButOneTrial() {
         val failing = state.runs.waiting.filter { it.task.job in failingJobs }
         for ((job, runs) in failing.groupBy { it.task.job }) {
-            val trialRuns = state.runs.of(job).any { it.onMachine }
+            val trialRuns = state.runs.of(job).any { it.occupiesMachine }
             runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "its job fails everywhere") }
         }
     }
@@ -79,12 +79,12 @@
         val neverCompleted = state.context.replica.jobs[run.task.job]
             ?.done
             ?.isEmpty ?: false
-        return neverCompleted && state.context.failureEvidence.separates(run.task.job, machine.name, state.context.loop.now())
+        return neverCompleted && state.context.failureEvidence.shouldAvoid(run.task.job, machine.name, state.context.loop.now())
     }
 
     private fun start(run: Run, machine: Machine) {
         run.bind(machine, state.nextAttempt())
-        run.moveTo(RunState.STARTING, "placed", state.context.loop.now())
+        run.transitionTo(RunState.STARTING, "placed", state.context.loop.now())
         placedOn += machine
     }
 }
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -24,16 +24,16 @@
     fun capacity(): ShardCapacity {
         val now = context.loop.now()
         val waiting = state.runs.waiting
-            .filter { now >= it.notBefore && it.task.job !in context.failingJobs }
+            .filter { now >= it.earliestStartAt && it.task.job !in context.failingJobs }
             .mapTo(ArrayList()) { it.spec.request }
         val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
             context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
         }
-        return ShardCapacity(state.name, state.token, rooms)
+        return ShardCapacity(state.name, state.fencingToken, rooms)
     }
 
     private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: MonotonicTime): MachineAvailability {
-        val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
+        val free = freeBeside(waiting, machine.freeCapacity(type, now, state::requestOf))
         val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineAvailability(
             name = machine.name,
@@ -42,7 +42,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
+            idleMs = if (empty) now.ms - machine.idleSince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -30,13 +30,13 @@
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.heardAt + (context.heartbeatIntervalS * 2).seconds
+            val silent = now >= machine.lastContactAt + (context.heartbeatIntervalS * 2).seconds
             if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
                 silent
             ) {
                 continue
             }
-            free[machine.name] = machine.free(type, now, requestOf)
+            free[machine.name] = machine.freeCapacity(type, now, requestOf)
         }
         if (free.values.none { it.cpus > 0.0 }) return emptyList()
         // Hundreds of tasks may be late at a time. A few are weighed at each look, all in turn.
@@ -70,7 +70,7 @@
         val remaining = here.average - elapsed
         val fitting = machines.filter { machine ->
             val freeCapacity = free[machine.name]
-            freeCapacity != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
+            freeCapacity != null && machine !== home && machine.name !in run.avoidedMachines && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -19,9 +19,9 @@
 
     private fun restart(decision: RestartDecision) {
         val run = decision.run
-        run.target = decision.target
+        run.restartTarget = decision.target
         run.restarted = true
-        run.straggledS = run.runningSince?.let {
+        run.stragglerRunSeconds = run.runningSince?.let {
             state.context.loop
                 .now()
                 .secondsSince(it)
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -55,8 +55,8 @@
      * Whether [job] has failed on [machine] so lately that its tasks had better go elsewhere. Other jobs may go there: where
      * the machine is faulty that shows with the next of them, and where the job is failing the machine stays in use.
      */
-    fun separates(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
-        failuresByMachine[machine]?.get(job)?.let { now < it + SEPARATION } ?: false
+    fun shouldAvoid(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
+        failuresByMachine[machine]?.get(job)?.let { now < it + AVOIDANCE_PERIOD } ?: false
 
     /** The job is over: what is still open between it and the machines it failed on is not held against them. */
     fun forgetJob(job: JobId) {
@@ -73,6 +73,6 @@
         const val JOBS_TO_BLAME_MACHINE = 2
 
         /** For so long a job's tasks are not placed on a machine where one of them has failed. */
-        val SEPARATION = 10.seconds
+        val AVOIDANCE_PERIOD = 10.seconds
     }
 }
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -17,15 +17,15 @@
 
 /**
  * A start whose outcome nobody told: a late copy of it may act as long as session and fencing token still match, or until
- * [actsUntil] where it went out with an answer.
+ * [expiresAt] where it went out with an answer.
  */
 class UnresolvedStart(
     val task: TaskId,
     val attempt: Attempt,
     val epoch: Long,
     val fencingToken: FencingToken,
-    val since: MonotonicTime,
-    val actsUntil: MonotonicTime?,
+    val sentAt: MonotonicTime,
+    val expiresAt: MonotonicTime?,
 )
 
 /** A machine of a shard, as its worker last described it. */
@@ -37,7 +37,7 @@
     var endpoint: Endpoint,
     now: MonotonicTime,
     /** Whether its present session surely began under the present owner, so that no former owner's command can act. */
-    val ours: Boolean = false,
+    val startedUnderCurrentOwner: Boolean = false,
 ) {
     var epoch = 0L
         private set
@@ -51,11 +51,11 @@
         private set
     var evictionNoticed = false
         private set
-    var heardAt = now
+    var lastContactAt = now
         private set
 
     /** When the numbers of the latest report were taken in. */
-    var takenAt = MonotonicTime.NEVER
+    var lastUpdateAt = MonotonicTime.NEVER
         private set
 
     /** The numbers of the latest report that the worker sent by itself. */
@@ -63,7 +63,7 @@
     private var sentSequenceNumber = -1L
 
     /** When the worker's own reports last arrived; answers to direct commands say nothing of its lease. */
-    var reportedAt = MonotonicTime.NEVER
+    var lastHeartbeatAt = MonotonicTime.NEVER
         private set
 
     /** The highest numbers of an earlier life, before the machine began anew. */
@@ -75,11 +75,11 @@
      * latest. A session has its lease from its own beginning. A worker that reached no controller began a new one, was given
      * tasks in it by direct commands, and was taken for gone by the answers to the session before, while they ran.
      */
-    var answeredAt = now
+    var leaseRenewedAt = now
 
     /** Answers since the fencing token in them could have been taken up, had any arrived. */
-    var unacknowledgedAnswers = 0
-    var emptySince = now
+    var unacknowledgedReplies = 0
+    var idleSince = now
     private val runsByAttempt = LinkedHashMap<Attempt, Run>()
 
     /** The runs bound to this machine. */
@@ -119,13 +119,13 @@
     }
 
     /** Reports come, though what they say is in doubt: a machine that began anew may count from the start for minutes. */
-    fun heartbeatsArrive(now: MonotonicTime) {
-        reportedAt = now
+    fun recordUnverifiedHeartbeat(now: MonotonicTime) {
+        lastHeartbeatAt = now
     }
 
     /** Takes note that the worker itself sent [heartbeat] and waits for the answer. */
-    fun sentBy(heartbeat: Heartbeat, now: MonotonicTime) {
-        reportedAt = now
+    fun recordHeartbeat(heartbeat: Heartbeat, now: MonotonicTime) {
+        lastHeartbeatAt = now
         sentEpoch = heartbeat.epoch
         sentSequenceNumber = heartbeat.sequenceNumber
     }
@@ -148,9 +148,9 @@
     }
 
     private fun take(heartbeat: Heartbeat, now: MonotonicTime) {
-        heardAt = now
-        takenAt = now
-        if (heartbeat.epoch != epoch) answeredAt = now
+        lastContactAt = now
+        lastUpdateAt = now
+        if (heartbeat.epoch != epoch) leaseRenewedAt = now
         epoch = heartbeat.epoch
         sequenceNumber = heartbeat.sequenceNumber
         if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
@@ -160,7 +160,7 @@
         endpoint = heartbeat.endpoint
         unresolvedStarts.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
-        if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) emptySince = now
+        if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) idleSince = now
     }
 
     fun attach(run: Run) {
@@ -186,13 +186,13 @@
 
     fun hasImage(image: Image): Boolean = image.name in images
 
-    fun fetching(image: Image): Boolean = runs.any { it.spec.image.name == image.name && it.state == RunState.FETCHING }
+    fun isFetching(image: Image): Boolean = runs.any { it.spec.image.name == image.name && it.state == RunState.FETCHING }
 
     /** What a former owner knew of its images; their sizes are not known any more. */
     fun rememberImages(names: List<ImageName>) = names.forEach { images.putIfAbsent(it, 0.0) }
 
     /** The worker keeps the most recently used images that its disk holds. */
-    fun usedImage(image: Image, cacheGb: Double) {
+    fun recordImageUse(image: Image, cacheGb: Double) {
         images.remove(image.name)
         images[image.name] = image.gb
         while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
@@ -205,7 +205,7 @@
      * What is free for further tasks, counting starts that have not arrived yet. Asked for ten times a second for every
      * machine, so it is worked out only after a change, and now and then for strays, whose requests are others' records.
      */
-    fun free(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources {
+    fun freeCapacity(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources {
         if (now >= freeComputedAt + FREE_KEPT) {
             cachedFree = workOutFree(type, requestOf)
             freeComputedAt = now
@@ -215,7 +215,7 @@
 
     private fun workOutFree(type: MachineType, requestOf: (TaskId) -> Resources?): Resources {
         var free = type.capacity
-        for (run in runs) if (run.onMachine) free -= run.spec.request
+        for (run in runs) if (run.occupiesMachine) free -= run.spec.request
         for (reportedTask in reportedTasks) {
             if (reportedTask.state == ReportedTaskState.EXITED || runOf(reportedTask) != null) continue
             // A stray of a job that is over: nobody knows its size, so nothing fits beside it.
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -44,15 +44,15 @@
     private val dirtySince = LinkedHashMap<TaskRange, MonotonicTime>()
 
     /** Pages with tasks given back, which somebody else could run. */
-    private val hasty = HashSet<TaskRange>()
+    private val urgentRanges = HashSet<TaskRange>()
 
     /** A transaction's conditions are the shard, the packed record and a job for each page. */
-    private val mostPages = store.limits.transactionConditions - CONDITIONS_BESIDE
+    private val maxRangesPerWrite = store.limits.transactionConditions - FIXED_CONDITIONS
 
     fun record(run: Run) {
         val place = TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE)
         dirtySince.putIfAbsent(place, loop.now())
-        if (run.state == RunState.GONE) hasty += place
+        if (run.state == RunState.GONE) urgentRanges += place
     }
 
     /** The job of [run] was found to fail everywhere: the leader should know, though nothing has become of the task. */
@@ -65,14 +65,14 @@
         val now = loop.now()
         val scarcity = 1.0 - store.writeLevel()
         val due = dirtySince.any { (place, since) ->
-            val pause = if (place in hasty || !moreToCome(place)) MIN_PAUSE else LONGER_PAUSE
-            now >= since + pause + WIDEST_PAUSE * scarcity
+            val batchDelay = if (place in urgentRanges || !hasUnfinishedRuns(place)) MIN_BATCH_DELAY else INCOMPLETE_RANGE_BATCH_DELAY
+            now >= since + batchDelay + MAX_SCARCITY_DELAY * scarcity
         }
         if (!due) return
-        hasty.clear()
+        urgentRanges.clear()
         val changes = LinkedHashMap<TaskRange, ByteArray>()
         for (place in dirtySince.keys.toList()) {
-            if (changes.size == mostPages) break
+            if (changes.size == maxRangesPerWrite) break
             val job = replica.jobs[place.job]?.takeIf { it.live != null }
             val record = job?.let { updatedRecord(it, place.page) }
             if (job == null || record == null) {
@@ -84,9 +84,12 @@
         packer.pack(changes).forEach(::write)
     }
 
-    private fun ownership() = Condition(Keys.shard(shard.name), Revision(shard.token.number))
+    private fun ownership() = Condition(Keys.shard(shard.name), Revision(shard.fencingToken.number))
 
-    private fun moreToCome(place: TaskRange): Boolean = shard.runs.of(place).any { it.state != RunState.DONE && it.state != RunState.GONE }
+    private fun hasUnfinishedRuns(place: TaskRange): Boolean = shard.runs.of(place).any {
+        it.state != RunState.DONE &&
+            it.state != RunState.GONE
+    }
 
     private fun write(packedWrite: PackedWrite) {
         val conditions = LinkedHashSet<Condition>()
@@ -109,9 +112,9 @@
                 since.forEach { (place, first) -> dirtySince.merge(place, first) { a, b -> minOf(a, b) } }
             }
             when (outcome) {
-                TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
+                TransactionOutcome.Refused -> loop.after(REFUSAL_RETRY_DELAY, again)
                 TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
-                else -> replica.readFresh { loop.after(AFTER_CONFLICT, again) }
+                else -> replica.readFresh { loop.after(CONFLICT_RETRY_DELAY, again) }
             }
         }
     }
@@ -159,11 +162,11 @@
     }
 
     private companion object {
-        const val CONDITIONS_BESIDE = 2
-        val MIN_PAUSE = 60.milliseconds
-        val LONGER_PAUSE = 350.milliseconds
-        val WIDEST_PAUSE = 1800.milliseconds
-        val AFTER_CONFLICT = 20.milliseconds
-        val AFTER_REFUSAL = 300.milliseconds
+        const val FIXED_CONDITIONS = 2
+        val MIN_BATCH_DELAY = 60.milliseconds
+        val INCOMPLETE_RANGE_BATCH_DELAY = 350.milliseconds
+        val MAX_SCARCITY_DELAY = 1800.milliseconds
+        val CONFLICT_RETRY_DELAY = 20.milliseconds
+        val REFUSAL_RETRY_DELAY = 300.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
+++ b/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
@@ -13,37 +13,39 @@
  * Guards against tasks that fail at once and would keep machines and workers busy with nothing but starts.
  */
 class RetryBackoff {
-    private class Trials {
+    private class FailureHistory {
         var failures = 0
-        var nextAt = MonotonicTime.NEVER
+        var nextStartAt = MonotonicTime.NEVER
     }
 
-    private val trialsByJob = HashMap<JobId, Trials>()
+    private val historyByJob = HashMap<JobId, FailureHistory>()
 
     /** The pause before the next start of a task that has failed [failures] times. */
-    fun afterFailure(failures: Int): Duration = min(FIRST_S * (1 shl min(failures, MAX_DOUBLINGS)), MAX_S).seconds
+    fun delayAfterFailures(
+        failures: Int,
+    ): Duration = min(INITIAL_DELAY_SECONDS * (1 shl min(failures, MAX_DOUBLINGS)), MAX_DELAY_SECONDS).seconds
 
     /** The pause after a machine has refused a start: that says nothing of the task. */
-    fun afterRefusal(): Duration = afterFailure(1)
+    fun delayAfterRefusal(): Duration = delayAfterFailures(1)
 
     /** A task of the failing job [job] has failed once more. */
-    fun trialFailed(job: JobId, now: MonotonicTime) {
-        val trials = trialsByJob.getOrPut(job) { Trials() }
-        trials.failures++
-        trials.nextAt = now + afterFailure(trials.failures)
+    fun recordFailure(job: JobId, now: MonotonicTime) {
+        val history = historyByJob.getOrPut(job) { FailureHistory() }
+        history.failures++
+        history.nextStartAt = now + delayAfterFailures(history.failures)
     }
 
     /** Whether a task of the failing job [job] may be tried again. */
-    fun mayTry(job: JobId, now: MonotonicTime): Boolean = trialsByJob[job]?.let { now >= it.nextAt } ?: true
+    fun mayRetry(job: JobId, now: MonotonicTime): Boolean = historyByJob[job]?.let { now >= it.nextStartAt } ?: true
 
     /** The job is over or no longer here. */
     fun forget(job: JobId) {
-        trialsByJob.remove(job)
+        historyByJob.remove(job)
     }
 
     private companion object {
-        const val FIRST_S = 1.0
+        const val INITIAL_DELAY_SECONDS = 1.0
         const val MAX_DOUBLINGS = 6
-        const val MAX_S = 60.0
+        const val MAX_DELAY_SECONDS = 60.0
     }
 }
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -38,16 +38,16 @@
     spec: JobSpec,
     val generation: Int,
     val acceptedAtMs: Long,
-    first: RunState,
+    initialState: RunState,
     now: MonotonicTime,
-    private val moved: (Run) -> Unit = {},
+    private val onStateChanged: (Run) -> Unit = {},
 ) {
     /** The job as it is scheduled now; jobs that come to depend on it may raise its priority. */
     var spec = spec
         private set
-    var state = first
+    var state = initialState
         private set
-    var since = now
+    var stateSince = now
         private set
     var machine: Machine? = null
         private set
@@ -55,7 +55,7 @@
         private set
 
     /** Whether a report has shown this attempt on its machine. */
-    var wasReported = false
+    var confirmedByWorker = false
     var runningSince: MonotonicTime? = null
         private set
     var stopReason: StopReason? = null
@@ -64,55 +64,55 @@
     var stopSentAt = MonotonicTime.NEVER
 
     /** Not to be started before; set after failures. */
-    var notBefore = MonotonicTime.NEVER
-    val avoid = HashSet<MachineName>()
+    var earliestStartAt = MonotonicTime.NEVER
+    val avoidedMachines = HashSet<MachineName>()
 
     /** Why it was not started when that was last looked at. */
     var lastRefusal: Refusal? = null
 
     private var victims: List<Run> = emptyList()
-    private var yieldsTo: Run? = null
+    private var preemptor: Run? = null
 
     /** Whether something that was stopped to make room for it has not left its machine yet. */
-    val awaitsVictims: Boolean get() = victims.any { it.state == RunState.STOPPING }
+    val awaitsPreemption: Boolean get() = victims.any { it.state == RunState.STOPPING }
 
     /**
      * Whether it is being stopped for another run that still waits. Were it reckoned with for a second one, a shard's tasks would
      * be stopped one after the other, each for all that wait.
      */
-    val isPledged: Boolean get() = yieldsTo?.state == RunState.WAITING
+    val isPreemptedForWaitingRun: Boolean get() = preemptor?.state == RunState.WAITING
 
     /** Takes note that [victims] are stopped to make room for it. */
     fun preempts(victims: List<Run>) {
         this.victims = victims
-        victims.forEach { it.yieldsTo = this }
+        victims.forEach { it.preemptor = this }
     }
 
     /** How often the task has failed here. */
     var failures = 0
 
     /** Where a straggler is to run again. */
-    var target: MachineName? = null
+    var restartTarget: MachineName? = null
     var restarted = false
 
     /** How long it had run where it was a straggler. */
-    var straggledS: Double? = null
+    var stragglerRunSeconds: Double? = null
 
     /** Whether it may be on its machine, or come to be. */
-    val onMachine: Boolean
+    val occupiesMachine: Boolean
         get() = when (state) {
             RunState.STARTING, RunState.FETCHING, RunState.RUNNING, RunState.STOPPING -> true
             RunState.MISSING, RunState.WAITING, RunState.DONE, RunState.GONE -> false
         }
 
-    fun moveTo(next: RunState, why: String, now: MonotonicTime) {
+    fun transitionTo(next: RunState, why: String, now: MonotonicTime) {
         if (next == state) return
         log.debug("{} {} -> {} on {}: {}", task, state, next, machine?.name, why)
         if (next == RunState.RUNNING && runningSince == null) runningSince = now
         state = next
-        since = now
+        stateSince = now
         machine?.runChanged()
-        moved(this)
+        onStateChanged(this)
     }
 
     fun bind(to: Machine, nextAttempt: Attempt) {
@@ -120,8 +120,8 @@
         attempt = nextAttempt
         to.attach(this)
         victims = emptyList()
-        yieldsTo = null
-        wasReported = false
+        preemptor = null
+        confirmedByWorker = false
         runningSince = null
         startSentAt = MonotonicTime.NEVER
         stopSentAt = MonotonicTime.NEVER
@@ -129,10 +129,10 @@
 
     /** Bound as it is, it has to be started once more under the same attempt. */
     fun restartAttempt(now: MonotonicTime) {
-        wasReported = false
+        confirmedByWorker = false
         runningSince = null
         startSentAt = MonotonicTime.NEVER
-        if (state != RunState.STOPPING) moveTo(RunState.STARTING, "its machine began anew", now)
+        if (state != RunState.STOPPING) transitionTo(RunState.STARTING, "its machine began anew", now)
     }
 
     fun unbind() {
@@ -140,7 +140,7 @@
         machine = null
     }
 
-    fun reschedule(spec: JobSpec) {
+    fun updateSpec(spec: JobSpec) {
         this.spec = spec
     }
 
--- a/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
@@ -11,7 +11,7 @@
 
     /** Ends [run] as [RunState.DONE] or [RunState.GONE], and has that recorded. */
     fun finish(run: Run, outcome: RunState, why: String) {
-        run.moveTo(outcome, why, loop.now())
+        run.transitionTo(outcome, why, loop.now())
         if (outcome == RunState.GONE) run.unbind()
         outcomes.record(run)
     }
@@ -27,7 +27,7 @@
         when (reason) {
             null, StopReason.RESTARTED -> {
                 run.clearStop()
-                run.moveTo(RunState.WAITING, why, loop.now())
+                run.transitionTo(RunState.WAITING, why, loop.now())
             }
             else -> finish(run, RunState.GONE, "$why, $reason")
         }
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -28,12 +28,12 @@
 
     fun add(run: Run) {
         val pages = byJob.getOrPut(run.task.job) { HashMap() }
-        pages.getOrPut(pageOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::unlist)
-        enlist(run)
+        pages.getOrPut(pageOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
+        addToIndex(run)
     }
 
     fun remove(run: Run) {
-        unlist(run)
+        removeFromIndex(run)
         val pages = byJob[run.task.job] ?: return
         val page = pages[pageOf(run.task)] ?: return
         page.remove(run.task.index)
@@ -44,18 +44,18 @@
     private fun pageOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
 
     /** To be told of every change of a run's state. */
-    fun moved(run: Run) {
+    fun onStateChanged(run: Run) {
         if (get(run.task) !== run) return
-        unlist(run)
-        enlist(run)
+        removeFromIndex(run)
+        addToIndex(run)
     }
 
-    private fun enlist(run: Run) {
+    private fun addToIndex(run: Run) {
         if (run.state == RunState.WAITING) waitingRuns += run
         if (run.state == RunState.MISSING) missingRuns += run
     }
 
-    private fun unlist(run: Run) {
+    private fun removeFromIndex(run: Run) {
         waitingRuns -= run
         missingRuns -= run
     }
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -22,9 +22,9 @@
         fail(1, 1)
         assertFalse(failureEvidence.blamesJob(job(1)))
         assertFalse(failureEvidence.blamesMachine(machine(1)))
-        assertTrue(failureEvidence.separates(job(1), machine(1), now))
-        assertFalse(failureEvidence.separates(job(2), machine(1), now))
-        assertFalse(failureEvidence.separates(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
+        assertTrue(failureEvidence.shouldAvoid(job(1), machine(1), now))
+        assertFalse(failureEvidence.shouldAvoid(job(2), machine(1), now))
+        assertFalse(failureEvidence.shouldAvoid(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -24,12 +24,12 @@
             when (random.nextInt(4)) {
                 0 -> {
                     val first = if (random.nextBoolean()) RunState.WAITING else RunState.MISSING
-                    val run = Run(task, SimSite.job(1, tasks = 600), it, 0, first, now, table::moved)
+                    val run = Run(task, SimSite.job(1, tasks = 600), it, 0, first, now, table::onStateChanged)
                     all[task] = run
                     table.add(run)
                 }
                 1 -> all.remove(task)?.let(table::remove)
-                else -> all[task]?.moveTo(RunState.entries[random.nextInt(RunState.entries.size)], "test", now)
+                else -> all[task]?.transitionTo(RunState.entries[random.nextInt(RunState.entries.size)], "test", now)
             }
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
