--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -60,7 +60,7 @@
     private fun mayStart(run: Run) = state.context.guard.refusalToStart(run.task) == null
 
     /** A cancelled task gets no time to save. */
-    private fun graceFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) 0.0 else run.spec.saveS
+    private fun graceFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) 0.0 else run.spec.checkpointSeconds
 
     /** Takes note that [commands] go out to [machine] now: none of them is due again for [RESEND_PAUSE]. */
     fun markSent(machine: Machine, commands: List<Command>) {
--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Command
 import copperglade.protocol.Heartbeat
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.safety.ActionGuard
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
@@ -100,7 +100,7 @@
         val approved = guard.approveAnswer(heartbeat, stops + others)
         state.context.audit.commanded(heartbeat.machine, state.token, approved, way = "answer")
         state.context.audit.answered(heartbeat.machine, state.token, stops.size)
-        return WorkerWire.answer(state.token, approved)
+        return WorkerMessageCodec.encodeHeartbeatReply(state.token, approved)
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -19,7 +19,7 @@
 
     /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
     fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
-        isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseS.seconds } ?: true
+        isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseSeconds.seconds } ?: true
 
     /**
      * How many of the shard's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -61,10 +61,10 @@
         when (reported.state) {
             ReportedTaskState.FETCHING, ReportedTaskState.WAITING -> if (!stopping) run.moveTo(RunState.FETCHING, "reported", loop.now())
             ReportedTaskState.RUNNING -> {
-                context.types[machine.typeName]?.let { machine.usedImage(run.spec.image, it.cacheGb) }
+                context.types[machine.typeName]?.let { machine.usedImage(run.spec.image, it.imageCacheGb) }
                 if (!stopping) run.moveTo(RunState.RUNNING, "reported", loop.now())
             }
-            ReportedTaskState.SAVING -> Unit
+            ReportedTaskState.CHECKPOINTING -> Unit
             ReportedTaskState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
         }
     }
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
@@ -62,9 +62,10 @@
     /** Asks the worker at [endpoint], of which nothing is known for certain, for a report; [done] gets null if none comes. */
     fun probe(endpoint: Endpoint, epoch: Long, done: (Heartbeat?) -> Unit) {
         if (!context.guard.approveSending("probe of $endpoint")) return done(null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.token, epoch, emptyList()))
+        val request =
+            Request(Method.POST, WorkerMessageCodec.COMMAND_PATH, WorkerMessageCodec.encodeCommands(state.token, epoch, emptyList()))
         context.http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
-            done(reply?.let { WorkerWire.parseHeartbeat(it.body) })
+            done(reply?.let { WorkerMessageCodec.decodeHeartbeat(it.body) })
         }
     }
 
@@ -109,9 +110,9 @@
         val sentAt = loop.now()
         machine.commandInFlight = true
         machine.commandSentAt = sentAt
-        val body = WorkerWire.order(state.token, machine.epoch, commands)
+        val body = WorkerMessageCodec.encodeCommands(state.token, machine.epoch, commands)
         val starts = unresolved.begin(machine, commands, actsUntil = null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
+        val request = Request(Method.POST, WorkerMessageCodec.COMMAND_PATH, body)
         context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
             machine.commandInFlight = false
             machine.unresponsiveSince = if (reply == null) machine.unresponsiveSince ?: loop.now() else null
@@ -122,7 +123,7 @@
     private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
         if (reply == null) return
         if (reply.status == HttpStatus.OK || reply.status == HttpStatus.CONFLICT) unresolved.resolve(machine, starts)
-        val heartbeat = WorkerWire.parseHeartbeat(reply.body)
+        val heartbeat = WorkerMessageCodec.decodeHeartbeat(reply.body)
         if (heartbeat != null && heartbeat.machine == machine.name) {
             if (heartbeat.fencingToken > state.token) {
                 log.info("{} obeys a higher baton {} than ours, {}", machine.name, heartbeat.fencingToken, state.token)
--- a/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -2,13 +2,13 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
-import copperglade.protocol.obj
+import copperglade.protocol.writeJsonObject
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.NettyEventLoop
-import copperglade.transport.NettyHttpCaller
+import copperglade.transport.NettyHttpClient
 import copperglade.transport.NettyHttpServer
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -32,7 +32,7 @@
 
     override fun call(): Int {
         val loop = NettyEventLoop()
-        val http = NettyHttpCaller(loop)
+        val http = NettyHttpClient(loop)
         val ports = List(PORTS) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
         val outside = Endpoint("127.0.0.1", ports[0])
         NettyHttpServer(
@@ -72,7 +72,7 @@
             path == "/do" -> heartbeat(DO_SEQUENCE_NUMBER, 1)
             else -> null
         }
-        val reply = if (text == null) Reply(HttpStatus.UNAVAILABLE) else Reply(HttpStatus.OK, text.toByteArray())
+        val reply = if (text == null) Reply(HttpStatus.SERVICE_UNAVAILABLE) else Reply(HttpStatus.OK, text.toByteArray())
         loop.after(2.milliseconds) { responder.send(reply) }
     }
 
@@ -83,19 +83,19 @@
     private fun settings(ports: List<Int>): PlatformSettings {
         val outside = "127.0.0.1:${ports[0]}"
         val bytes = Json.write {
-            obj {
+            writeJsonObject {
                 writeStringField("member", "rehearsal")
                 writeStringField("location", "here")
                 writeStringField("client_listen", "127.0.0.1:${ports[1]}")
                 writeStringField("cluster_listen", "127.0.0.1:${ports[2]}")
                 writeArrayFieldStart("known")
-                obj {
+                writeJsonObject {
                     writeStringField("member", "nobody")
                     writeStringField("location", "here")
                     writeStringField("endpoint", "127.0.0.1:${ports[2]}")
                 }
                 writeEndArray()
-                obj("outside") {
+                writeJsonObject("outside") {
                     writeStringField("cloud", outside)
                     writeStringField("state", outside)
                 }
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -6,7 +6,7 @@
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.transport.NettyEventLoop
-import copperglade.transport.NettyHttpCaller
+import copperglade.transport.NettyHttpClient
 import copperglade.transport.NettyHttpServer
 import picocli.CommandLine
 import picocli.CommandLine.Command
@@ -54,11 +54,11 @@
     companion object {
         /** Starts a controller in this process; it goes on by itself. */
         fun run(settings: PlatformSettings, operatorSettings: OperatorSettings) {
-            val shares = ConnectionLimits.of(settings.socketLimit, settings.peers.size)
+            val shares = ConnectionLimits.of(settings.fileDescriptorLimit, settings.peers.size)
             val loop = NettyEventLoop()
             val heapBytes = HeapBudget.bytes(settings.memoryMb, ProcessHeap)
             val always = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
-            val caller = NettyHttpCaller(loop, shares.workers, always, heapBytes)
+            val caller = NettyHttpClient(loop, shares.workers, always, heapBytes)
             val controller = Controller(loop, caller, settings, operatorSettings, heapBytes)
             NettyHttpServer(loop, shares.users, handler = controller.clientHandler)
                 .listen(settings.clientListen)
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -17,10 +17,10 @@
 import copperglade.prediction.ProfileStore
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
-import copperglade.protocol.UserWire
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.UserApiCodec
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.protocol.secondsSince
 import copperglade.safety.ActionGuard
 import copperglade.safety.InvariantViolation
@@ -42,7 +42,7 @@
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ShardContext
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -56,7 +56,7 @@
 /** One controller: everything that decides, over a clock and ways to send that are handed in. */
 class Controller(
     private val loop: EventLoop,
-    caller: HttpCaller,
+    caller: HttpClient,
     private val settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
@@ -70,11 +70,11 @@
         loop,
         http,
         settings.state,
-        StateLimits(settings.stateRps, settings.stateWriteRps, settings.valueKb, settings.transactionWrites),
+        StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.valueKb, settings.transactionWrites),
         // Until it knows the others, it takes no more than would be left to it if they all lived.
         firstShare = BUDGET_USED / (settings.peers.size + 1),
     )
-    private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, operatorSettings)
+    private val staleness = stalenessLimit(settings.leaseSeconds, settings.cancelSeconds, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, staleness / READINGS_IN_STALENESS)
     private val profiles =
         ProfileStore(
@@ -92,7 +92,7 @@
             maxCatchUp = staleness,
             EndedJobs.endsThatFitInto(heapBytes),
         ) { spec ->
-            profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
+            profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val membership = Membership(
@@ -101,7 +101,7 @@
         replica,
         leaseEndorsement,
         settings.member,
-        leaseLength = minOf(staleness, (settings.leaseS * operatorSettings.sessionLeasePart).seconds),
+        leaseLength = minOf(staleness, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
         stalenessLimit = staleness,
         startLimit = idleRefreshInterval * 2,
     )
@@ -120,10 +120,10 @@
         shardMap,
         zoneOfMember,
         leaseEndorsement,
-        settling = (settings.leaseS * LEASES_TO_SETTLE).seconds,
+        settling = (settings.leaseSeconds * LEASES_TO_SETTLE).seconds,
     )
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
-    private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
+    private val cloudBudget = TokenBucket(settings.cloudRequestsPerSecond * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
     private val shardOwnership: ShardOwnership = ShardOwnership(
         ShardContext(
             loop,
@@ -133,8 +133,8 @@
             types,
             profiles,
             operatorSettings,
-            settings.heartbeatIntervalS,
-            settings.leaseS,
+            settings.heartbeatIntervalSeconds,
+            settings.leaseSeconds,
             metrics,
             formerIncarnations,
             guard,
@@ -158,7 +158,7 @@
         ::onPeerStatus,
     )
     private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
+    private val fairShare = FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare)
     private val assigner =
         Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
@@ -174,7 +174,7 @@
         settings.teams,
         shardMap,
         operatorSettings,
-        settings.listLagS,
+        settings.listLagSeconds,
         ::statusOf,
     )
     private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = staleness)
@@ -193,7 +193,9 @@
         replica.listen(formerIncarnations)
         replica.listen(shardOwnership)
         replica.listen(jobFinalizer)
-        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatusExchange::receiveIndirect) }
+        replica.listen { changes ->
+            changes.peerStatuses.mapNotNull(PeerMessageCodec::decodeStatus).forEach(peerStatusExchange::receiveIndirect)
+        }
         membership.onChange = shardOwnership::reconcile
         types.start()
         replica.start()
@@ -228,11 +230,14 @@
 
     /** All controllers together must stay within the state service's budgets; whoever has more to write gets more. */
     private fun shareBudget() {
-        val others = (replica.members.keys - settings.member).map { statusOf(it)?.writesWanted }
+        val others = (replica.members.keys - settings.member).map { statusOf(it)?.desiredWritesPerSecond }
         // The leader rents and lists, the others only return what is idle.
         val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
-        cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
-        store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
+        cloudBudget.setRate(settings.cloudRequestsPerSecond * CLOUD_SHARE * cloudShare, loop.now())
+        store.setShares(
+            BUDGET_USED / (others.size + 1),
+            BUDGET_USED * BudgetShare.of(store.desiredWritesPerSecond, others, settings.stateWritesPerSecond),
+        )
     }
 
     private fun composeStatus(): PeerStatus? {
@@ -242,12 +247,12 @@
             member = settings.member,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMs = loop.now().ms - store.lastGood.ms,
+            stateSilentMillis = loop.now().ms - store.lastGood.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
-            writesWanted = store.writesWanted,
+            desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
 
@@ -271,9 +276,9 @@
     private fun handleClient(request: Request, responder: Responder) {
         val path = request.path.substringBefore('?')
         when {
-            path == WorkerWire.HEARTBEAT_PATH -> onPost(request, responder) { handleHeartbeat(request, responder) }
-            path == UserWire.JOBS_PATH -> onPost(request, responder) { jobService.submit(request.body, submissions.timed(responder)) }
-            path == UserWire.HEALTH_PATH -> if (request.method ==
+            path == WorkerMessageCodec.HEARTBEAT_PATH -> onPost(request, responder) { handleHeartbeat(request, responder) }
+            path == UserApiCodec.JOBS_PATH -> onPost(request, responder) { jobService.submit(request.body, submissions.timed(responder)) }
+            path == UserApiCodec.HEALTH_PATH -> if (request.method ==
                 Method.GET
             ) {
                 responder.send(health())
@@ -281,17 +286,17 @@
                 wrongMethod(responder)
             }
             path.startsWith(
-                "${UserWire.JOBS_PATH}/",
-            ) -> job(request, path.removePrefix("${UserWire.JOBS_PATH}/"), responder)
-            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such path")))
+                "${UserApiCodec.JOBS_PATH}/",
+            ) -> job(request, path.removePrefix("${UserApiCodec.JOBS_PATH}/"), responder)
+            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserApiCodec.encodeError("no such path")))
         }
     }
 
     private fun job(request: Request, rest: String, responder: Responder) {
-        val cancelling = rest.endsWith("/${UserWire.CANCEL_END}")
-        val id = JobId.parse(rest.removeSuffix("/${UserWire.CANCEL_END}"))
+        val cancelling = rest.endsWith("/${UserApiCodec.CANCEL_SUFFIX}")
+        val id = JobId.parse(rest.removeSuffix("/${UserApiCodec.CANCEL_SUFFIX}"))
         when {
-            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job")))
+            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserApiCodec.encodeError("no such job")))
             cancelling -> onPost(request, responder) { jobService.cancel(id, responder) }
             request.method == Method.GET -> jobService.poll(id, polls.timed(responder))
             else -> wrongMethod(responder)
@@ -302,13 +307,13 @@
         if (request.method == Method.POST) action() else wrongMethod(responder)
 
     private fun wrongMethod(responder: Responder) =
-        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserWire.error("method not allowed here")))
+        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserApiCodec.encodeError("method not allowed here")))
 
     private fun handleHeartbeat(request: Request, responder: Responder) {
-        val heartbeat = WorkerWire.parseHeartbeat(request.body)
+        val heartbeat = WorkerMessageCodec.decodeHeartbeat(request.body)
         responder.send(
             when {
-                heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
+                heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not a worker's report"))
                 replica.state != ReplicaState.CURRENT -> JobService.later()
                 else -> shardOwnership.handleHeartbeat(heartbeat)
             },
@@ -325,26 +330,26 @@
         val alone = peersReachStateService()
         val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
         val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
-        return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
+        return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("not ready"))
     }
 
     private fun peersReachStateService(): Boolean = settings.peers.any { peer ->
-        peerStatusExchange.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
+        peerStatusExchange.of(peer.member)?.let { it.stateSilentMillis < SILENT_MS }
             ?: false
     }
 
     private fun handlePeer(request: Request, responder: Responder) {
-        if (request.path == PeerWire.ENDORSEMENT_PATH) {
+        if (request.path == PeerMessageCodec.ENDORSEMENT_PATH) {
             val endorsed = leaseEndorsement.endorse(MemberId(request.body.decodeToString()))
             return responder.send(Reply(if (endorsed) HttpStatus.OK else HttpStatus.CONFLICT))
         }
-        if (request.path == PeerWire.CANCELLED_PATH) {
-            val cancellations = PeerWire.decodeCancelled(request.body)
+        if (request.path == PeerMessageCodec.CANCELLATIONS_PATH) {
+            val cancellations = PeerMessageCodec.decodeCancellations(request.body)
             cancellations?.let(cancellationBroadcast::receive)
             return responder.send(Reply(if (cancellations == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
         }
-        if (request.path != PeerWire.PATH) return responder.send(Reply(HttpStatus.NOT_FOUND))
-        val status = PeerWire.decode(request.body)
+        if (request.path != PeerMessageCodec.STATUS_PATH) return responder.send(Reply(HttpStatus.NOT_FOUND))
+        val status = PeerMessageCodec.decodeStatus(request.body)
         if (status != null) peerStatusExchange.receive(status)
         responder.send(Reply(if (status == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
     }
@@ -368,10 +373,10 @@
          * then the worker's lease. The margin covers the drift of the clocks, a thousandth of both together; where there is
          * little time between lease and cancellation, it is a third of that.
          */
-        fun stalenessLimit(leaseS: Double, cancelS: Double, operatorSettings: OperatorSettings): Duration {
-            val between = (cancelS - leaseS).seconds
+        fun stalenessLimit(leaseSeconds: Double, cancelSeconds: Double, operatorSettings: OperatorSettings): Duration {
+            val between = (cancelSeconds - leaseSeconds).seconds
             val wanted = operatorSettings.stalenessMargin
-            val margin = if (wanted > OperatorSettings.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
+            val margin = if (wanted > OperatorSettings.DEFAULT_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
             if (between - margin < MIN_STALENESS) {
                 throw InvalidSettingException(
                     "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
--- a/src/main/kotlin/copperglade/fleet/BootTimes.kt
+++ b/src/main/kotlin/copperglade/fleet/BootTimes.kt
@@ -31,14 +31,14 @@
 
     private fun remember(machine: ListedMachine) {
         val recent = recentS.getOrPut(machine.type) { ArrayDeque() }
-        recent.addLast(machine.ageS)
+        recent.addLast(machine.ageSeconds)
         if (recent.size > REMEMBERED) recent.removeFirst()
     }
 
     /** From which age on a machine of [type] that is still booting is not reckoned with any more. */
     fun overdueAfterS(type: MachineType): Double {
         val slow = recentS[type.name]?.sorted()?.let { it[(it.size * SLOW_QUANTILE).toInt().coerceAtMost(it.lastIndex)] } ?: 0.0
-        return min(max(type.bootS * USUAL_MAX, slow * SLOWER_THAN_SLOW), type.bootS * MAX) + SLACK_S
+        return min(max(type.bootSeconds * USUAL_MAX, slow * SLOWER_THAN_SLOW), type.bootSeconds * MAX) + SLACK_S
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -1,6 +1,6 @@
 package copperglade.fleet
 
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
@@ -21,7 +21,7 @@
 import copperglade.storage.Replica
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Method
 import copperglade.transport.Request
 import org.slf4j.LoggerFactory
@@ -88,7 +88,7 @@
     fun atOnce(job: Job, spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 1.0
         val dueInS = job.deadline?.dueInS(1.0, job.startableSinceMs)
-        val time = (dueInS ?: (spec.estimateS * 2)) * SHARE_OF_DEADLINE
-        return if (time <= spec.estimateS) 1.0 else spec.estimateS / time
+        val time = (dueInS ?: (spec.estimatedSeconds * 2)) * SHARE_OF_DEADLINE
+        return if (time <= spec.estimatedSeconds) 1.0 else spec.estimatedSeconds / time
     }
 }
--- a/src/main/kotlin/copperglade/fleet/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Fleet.kt
@@ -2,7 +2,7 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.Membership
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
@@ -25,7 +25,7 @@
 import copperglade.storage.Replica
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -40,7 +40,7 @@
 /** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
 class Fleet(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val cloud: Endpoint,
     private val budget: TokenBucket,
     private val replica: Replica,
@@ -50,7 +50,7 @@
     private val teams: Map<TeamName, Team>,
     private val shardMap: ShardMap,
     private val operatorSettings: OperatorSettings,
-    private val listLagS: Double,
+    private val listLagSeconds: Double,
     private val statusOf: (MemberId) -> PeerStatus?,
 ) {
     private data class Kind(val type: String, val zone: String, val spot: Boolean)
@@ -96,7 +96,7 @@
         if (listing.readAt == MonotonicTime.NEVER) return
         clearOut(now)
         // A new leader's list may lack what its predecessor has just rented.
-        if (leadership.leadingForS < 2 * listLagS && replica.knownRevision.number > FIRST_REVISIONS) return
+        if (leadership.leadingForS < 2 * listLagSeconds && replica.knownRevision.number > FIRST_REVISIONS) return
         adjust(now, capacities)
     }
 
@@ -136,14 +136,14 @@
     private fun replacementS(): Double {
         val specs = replica.jobs.values.mapNotNull { it.spec }
         val imageGb = if (specs.isEmpty()) 0.0 else specs.sumOf { it.image.gb } / specs.size
-        return types.all.maxOfOrNull { it.bootS + imageGb / max(it.fetchGbPerS, SLOWEST_FETCH) }?.coerceAtLeast(1.0) ?: 1.0
+        return types.all.maxOfOrNull { it.bootSeconds + imageGb / max(it.fetchGbPerSecond, SLOWEST_FETCH) }?.coerceAtLeast(1.0) ?: 1.0
     }
 
     private fun isDead(machine: ListedMachine, now: MonotonicTime): Boolean {
-        val bootS = types[machine.type]?.bootS ?: 0.0
+        val bootSeconds = types[machine.type]?.bootSeconds ?: 0.0
         return when (machine.status) {
             MachineStatus.FAILED -> true
-            MachineStatus.BOOTING -> machine.ageS > bootS * MAX_BOOTS + BOOT_SLACK_S
+            MachineStatus.BOOTING -> machine.ageSeconds > bootSeconds * MAX_BOOTS + BOOT_SLACK_S
             MachineStatus.RUNNING -> {
                 val shard: ShardName = shardMap.of(machine.name, machine.zone)
                 val ownerHeard = replica.shards[shard]
@@ -152,7 +152,7 @@
                     ?.any { it.shard == shard } ?: false
                 val heard = heardAt.getOrPut(machine.name) { now }
                 if (!ownerHeard) heardAt[machine.name] = now
-                machine.ageS > bootS && now.secondsSince(heard) > UNREACHABLE_S
+                machine.ageSeconds > bootSeconds && now.secondsSince(heard) > UNREACHABLE_S
             }
         }
     }
@@ -160,7 +160,7 @@
     /** Whether [machine] has been booting for so long that another had better be rented in its place. */
     private fun isOverdue(machine: ListedMachine): Boolean {
         val type = types[machine.type] ?: return false
-        return machine.status == MachineStatus.BOOTING && machine.ageS > bootTimes.overdueAfterS(type)
+        return machine.status == MachineStatus.BOOTING && machine.ageSeconds > bootTimes.overdueAfterS(type)
     }
 
     /** Deleting is always safe: whatever was on the machine is gone with it, and its owner waits for the lease. */
@@ -169,11 +169,11 @@
         val dead = listed.values
             .filter { it.name !in deletedAt && isDead(it, now) }
             .map { it.name }
-            .take(CloudWire.MAX_DELETED)
+            .take(CloudApiCodec.MAX_MACHINES_PER_DELETION)
         if (dead.isEmpty() || !budget.tryTake(1, now)) return
         dead.forEach { deletedAt[it] = now }
         log.info("deleting dead machines {}", dead)
-        http.call(cloud, Request(Method.POST, "/machines/delete", CloudWire.deletion(dead)), DELETE_TIMEOUT) { reply ->
+        http.call(cloud, Request(Method.POST, "/machines/delete", CloudApiCodec.encodeDeletion(dead)), DELETE_TIMEOUT) { reply ->
             if (reply?.status != HttpStatus.OK) dead.forEach(deletedAt::remove)
         }
     }
@@ -181,7 +181,7 @@
     private class Inventory(var ordinary: Double, var spot: Double)
 
     private fun adjust(now: MonotonicTime, capacities: Map<MachineName, MachineAvailability>) {
-        rentedMachines.values.removeIf { now >= it.at + (listLagS * LAGS_TO_BE_LISTED + 1).seconds + listing.interval }
+        rentedMachines.values.removeIf { now >= it.at + (listLagSeconds * LAGS_TO_BE_LISTED + 1).seconds + listing.interval }
         val counts = HashMap<Kind, Int>()
         val inventory = Inventory(0.0, 0.0)
         for (machine in listed.values) {
@@ -264,7 +264,7 @@
         for ((kind, type) in kinds) {
             if (missing <= 0) break
             val share = kinds.count { it.second === type }
-            val number = ceil(missing / type.capacity.cpus / share).toInt().coerceIn(1, CloudWire.MAX_RENTED)
+            val number = ceil(missing / type.capacity.cpus / share).toInt().coerceIn(1, CloudApiCodec.MAX_MACHINES_PER_RENTAL)
             if (!budget.tryTake(1, now)) break
             requestMachines(kind, number)
             missing -= number * type.capacity.cpus
@@ -284,9 +284,9 @@
     }
 
     private fun ask(name: String, kind: Kind, number: Int, tries: Int) {
-        val body = CloudWire.rental(name, kind.type, kind.zone, kind.spot, number)
+        val body = CloudApiCodec.encodeRental(name, kind.type, kind.zone, kind.spot, number)
         http.call(cloud, Request(Method.POST, "/machines", body), RENT_TIMEOUT) { reply ->
-            val rented = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudWire.parseRented(Json.read(it.body)) }
+            val rented = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeRental(Json.read(it.body)) }
             when {
                 rented != null -> {
                     log.info("rented {} of {} {}", rented.size, number, kind)
@@ -295,7 +295,7 @@
                     if (rented.size < number) refusedUntil[kind] = loop.now() + REFUSED
                 }
                 // The same name again: if the first request was carried out after all, nothing more is rented.
-                (reply == null || reply.status == HttpStatus.TOO_MANY) && tries > 0 ->
+                (reply == null || reply.status == HttpStatus.TOO_MANY_REQUESTS) && tries > 0 ->
                     loop.after(RETRY) { ask(name, kind, number, tries - 1) }
                 else -> {
                     log.info("no {} to be had: {}", kind, reply?.status)
@@ -307,7 +307,7 @@
     }
 
     private fun unusable(capacities: Map<MachineName, MachineAvailability>): List<MachineName> {
-        val idle = capacities.values.filter { !it.worthKeeping && it.idleMs > UNUSABLE_IDLE_MS }
+        val idle = capacities.values.filter { !it.worthKeeping && it.idleMillis > UNUSABLE_IDLE_MS }
         return idle.map { it.name }
     }
 
@@ -321,7 +321,7 @@
         chosen += unusable(capacities)
         val longEnoughMs = replacementS * operatorSettings.idleReplacements * MS
         val candidates = capacities.values
-            .filter { it.usable && it.idleMs >= longEnoughMs }
+            .filter { it.usable && it.idleMillis >= longEnoughMs }
             .sortedWith(compareBy({ it.spot }, { it.name.text }))
         // Room that waiting tasks could have right now is not idle, however long it takes to assign them: in a burst on a
         // grown day 200 machines were returned with 60 jobs waiting, and rented again half a minute later.
--- a/src/main/kotlin/copperglade/fleet/MachineListing.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineListing.kt
@@ -1,6 +1,6 @@
 package copperglade.fleet
 
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
@@ -8,7 +8,7 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -24,7 +24,7 @@
  */
 class MachineListing(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val cloud: Endpoint,
     private val budget: TokenBucket,
     /** Called when the whole list has been read. */
@@ -71,9 +71,9 @@
             loop.after(BUDGET_PAUSE) { readPage(current, from) }
             return
         }
-        val request = Request(Method.GET, "/machines?from=$from&limit=${CloudWire.LIST_LIMIT}")
+        val request = Request(Method.GET, "/machines?from=$from&limit=${CloudApiCodec.MACHINES_PER_PAGE}")
         http.call(cloud, request, TIMEOUT) { reply ->
-            val page = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudWire.parsePage(Json.read(it.body)) }
+            val page = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeMachinePage(Json.read(it.body)) }
             when {
                 reading !== current -> Unit
                 page == null -> tryAgain(current, from)
--- a/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
@@ -1,18 +1,18 @@
 package copperglade.fleet
 
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.Json
 import copperglade.protocol.MachineType
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
 import kotlin.time.Duration.Companion.seconds
 
 /** The cloud's machine types. Prices move, so they are read again now and then. */
-class MachineTypeCatalog(private val loop: EventLoop, private val http: HttpCaller, private val cloud: Endpoint) {
+class MachineTypeCatalog(private val loop: EventLoop, private val http: HttpClient, private val cloud: Endpoint) {
     private var types: Map<String, MachineType> = emptyMap()
 
     val known: Boolean get() = types.isNotEmpty()
@@ -22,7 +22,7 @@
 
     fun start() {
         http.call(cloud, Request(Method.GET, "/machine_types"), TIMEOUT) { reply ->
-            val read = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudWire.parseTypes(Json.read(it.body)) }
+            val read = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeMachineTypes(Json.read(it.body)) }
             if (!read.isNullOrEmpty()) types = read.associateBy { it.name }
             loop.after(if (read.isNullOrEmpty()) RETRY else REFRESH) { start() }
         }
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -2,11 +2,11 @@
 
 import copperglade.protocol.Cancellation
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.PeerWire
+import copperglade.protocol.PeerMessageCodec
 import copperglade.settings.Peer
 import copperglade.storage.Replica
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Method
 import copperglade.transport.Request
 import kotlin.time.Duration
@@ -20,7 +20,7 @@
  */
 class CancellationBroadcast(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val peers: List<Peer>,
     private val replica: Replica,
     /** For so long it is tried to tell a controller that does not answer. */
@@ -56,8 +56,8 @@
         waiting.removeIf { loop.now() >= it.since + worthTelling }
         if (waiting.isEmpty() || !busy.add(peer)) return
         val sent = waiting.take(MAX_AT_ONCE)
-        val body = PeerWire.encodeCancelled(sent.map { it.cancellation })
-        http.call(peer.endpoint, Request(Method.POST, PeerWire.CANCELLED_PATH, body), TIMEOUT) { reply ->
+        val body = PeerMessageCodec.encodeCancellations(sent.map { it.cancellation })
+        http.call(peer.endpoint, Request(Method.POST, PeerMessageCodec.CANCELLATIONS_PATH, body), TIMEOUT) { reply ->
             if (reply == null) {
                 loop.after(RETRY) { next(peer) }
             } else {
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -4,19 +4,19 @@
 import copperglade.protocol.Cancellation
 import copperglade.protocol.Decoding
 import copperglade.protocol.InvalidField
-import copperglade.protocol.JobAnswer
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.JobStatus
+import copperglade.protocol.JobSummary
 import copperglade.protocol.Json
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.Revision
 import copperglade.protocol.TeamName
-import copperglade.protocol.UserWire
-import copperglade.protocol.text
+import copperglade.protocol.UserApiCodec
+import copperglade.protocol.stringOrNull
 import copperglade.settings.Team
 import copperglade.storage.Condition
 import copperglade.storage.Job
@@ -52,13 +52,14 @@
 
     fun submit(body: ByteArray, responder: Responder) {
         val root = Json.readStrict(body)
-        val id = root?.takeIf { it.isObject }?.text("nameId")?.let { JobId.parse(it) }
-        val parsed = Decoding.orNull("submission") { JobSpecCodec.parse(root) } ?: ParsedJob.Bad(InvalidField("body", "malformed"))
-        if (id == null) return responder.send(badRequest((parsed as ParsedJob.Bad).why))
+        val id = root?.takeIf { it.isObject }?.stringOrNull("nameId")?.let { JobId.parse(it) }
+        val parsed =
+            Decoding.orNull("submission") { JobSpecCodec.parse(root) } ?: ParsedSubmission.Invalid(InvalidField("body", "malformed"))
+        if (id == null) return responder.send(badRequest((parsed as ParsedSubmission.Invalid).why))
         if (replica.jobs[id]?.live != null || replica.endOf(id) != null) return status(id, responder) { answerKnown(it, responder) }
         when (parsed) {
-            is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
-            is ParsedJob.Good -> {
+            is ParsedSubmission.Invalid -> refuse(id, badRequest(parsed.why), responder)
+            is ParsedSubmission.Valid -> {
                 if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
                 val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(recordOf(parsed.spec))) null else tooLarge("body")
                 if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
@@ -109,7 +110,7 @@
                     replica.applied(transaction, outcome.revision)
                     log.debug("{} accepted: {} tasks of {}", spec.id, spec.tasks, spec.load)
                     val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
-                    responder.send(Reply(HttpStatus.CREATED, UserWire.short(spec.id, status)))
+                    responder.send(Reply(HttpStatus.CREATED, UserApiCodec.encodeStatus(spec.id, status)))
                 }
                 is TransactionOutcome.Conflict -> status(spec.id, responder) { answerKnown(it, responder) }
                 TransactionOutcome.Refused -> {
@@ -132,7 +133,7 @@
     }
 
     fun poll(id: JobId, responder: Responder) = status(id, responder) { answer ->
-        responder.send(if (answer == null) unknown() else Reply(HttpStatus.OK, UserWire.full(answer)))
+        responder.send(if (answer == null) unknown() else Reply(HttpStatus.OK, UserApiCodec.encodeSummary(answer)))
     }
 
     fun cancel(id: JobId, responder: Responder) = cancel(id, responder, TRIES)
@@ -141,7 +142,7 @@
         val live = replica.jobs[id]?.live
         when {
             answer == null -> responder.send(unknown())
-            answer.status.final -> responder.send(Reply(HttpStatus.OK, UserWire.short(id, answer.status)))
+            answer.status.isFinal -> responder.send(Reply(HttpStatus.OK, UserApiCodec.encodeStatus(id, answer.status)))
             live == null || tries == 0 -> responder.send(later())
             else -> {
                 val record = cancelledRecord(live.value)
@@ -174,19 +175,19 @@
     }
 
     /** Calls back with the job's present state, or null where no such job was ever accepted; else answers 503. */
-    private fun status(id: JobId, responder: Responder, done: (JobAnswer?) -> Unit) {
-        replica.endOf(id)?.let { return done(JobAnswer(id, it.status, it.tasksDone, 0)) }
+    private fun status(id: JobId, responder: Responder, done: (JobSummary?) -> Unit) {
+        replica.endOf(id)?.let { return done(JobSummary(id, it.status, it.tasksDone, 0)) }
         status(id, loop.now(), responder, done)
     }
 
-    private fun status(id: JobId, asked: MonotonicTime, responder: Responder, done: (JobAnswer?) -> Unit) {
+    private fun status(id: JobId, asked: MonotonicTime, responder: Responder, done: (JobSummary?) -> Unit) {
         replica.readFresh { known ->
             val job = replica.jobs[id]
             val end = replica.endOf(id)
             when {
                 // This process may have stood still between the reading and now, and another may have told the user more.
                 !known || loop.now() >= asked + MAX_READING -> responder.send(later())
-                end != null -> done(JobAnswer(id, end.status, end.tasksDone, 0))
+                end != null -> done(JobSummary(id, end.status, end.tasksDone, 0))
                 // A job that it waits for ended before this process began, and is not known to be done or cancelled yet.
                 replica.dependencies.hasUnknownDependencies(id) -> responder.send(later())
                 // The mark was learned ahead of the reading: the last task may have been recorded just before it.
@@ -196,7 +197,7 @@
                     val found = replica.endOf(id)
                     when {
                         outcome == ReadOutcome.Failed -> responder.send(later())
-                        found != null -> done(JobAnswer(id, found.status, found.tasksDone, 0))
+                        found != null -> done(JobSummary(id, found.status, found.tasksDone, 0))
                         else -> done(null)
                     }
                 }
@@ -204,18 +205,21 @@
         }
     }
 
-    private fun answerOf(job: Job) = JobAnswer(job.id, job.status(), job.done.cardinality(), job.assignments().count())
+    private fun answerOf(job: Job) = JobSummary(job.id, job.status(), job.done.cardinality(), job.assignments().count())
 
-    private fun answerKnown(answer: JobAnswer?, responder: Responder) =
-        responder.send(if (answer == null) later() else Reply(HttpStatus.OK, UserWire.short(answer.id, answer.status)))
+    private fun answerKnown(answer: JobSummary?, responder: Responder) =
+        responder.send(if (answer == null) later() else Reply(HttpStatus.OK, UserApiCodec.encodeStatus(answer.id, answer.status)))
 
-    private fun badRequest(why: InvalidField) = Reply(HttpStatus.BAD_REQUEST, UserWire.error("${why.field}: ${why.problem}", why.field))
+    private fun badRequest(why: InvalidField) = Reply(
+        HttpStatus.BAD_REQUEST,
+        UserApiCodec.encodeError("${why.field}: ${why.problem}", why.field),
+    )
 
-    private fun unprocessable(problem: String) = Reply(HttpStatus.UNPROCESSABLE, UserWire.error(problem))
+    private fun unprocessable(problem: String) = Reply(HttpStatus.UNPROCESSABLE_CONTENT, UserApiCodec.encodeError(problem))
 
     private fun tooLarge(field: String) = badRequest(InvalidField(field, "too large to be stored"))
 
-    private fun unknown() = Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job"))
+    private fun unknown() = Reply(HttpStatus.NOT_FOUND, UserApiCodec.encodeError("no such job"))
 
     companion object {
         private const val TRIES = 2
@@ -223,6 +227,6 @@
         private val RETRY = 100.milliseconds
         private val MAX_READING = 5.seconds
 
-        fun later() = Reply(HttpStatus.UNAVAILABLE, UserWire.error("not now, ask again"), retryAfterS = 1)
+        fun later() = Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("not now, ask again"), retryAfterSeconds = 1)
     }
 }
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -2,11 +2,11 @@
 
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.PeerWire
+import copperglade.protocol.PeerMessageCodec
 import copperglade.settings.Peer
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -27,7 +27,7 @@
  */
 class LeaseEndorsement(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val store: StateClient,
     private val self: MemberId,
     private val peers: List<Peer>,
@@ -51,7 +51,7 @@
     private fun ask(peer: Peer) {
         val sent = loop.now()
         asking += peer.member
-        val request = Request(Method.POST, PeerWire.ENDORSEMENT_PATH, self.text.encodeToByteArray())
+        val request = Request(Method.POST, PeerMessageCodec.ENDORSEMENT_PATH, self.text.encodeToByteArray())
         http.call(peer.endpoint, request, TIMEOUT) { reply ->
             asking -= peer.member
             if (reply?.status == HttpStatus.OK &&
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -2,8 +2,8 @@
 
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.settings.Peer
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -12,7 +12,7 @@
 import copperglade.storage.Write
 import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -26,7 +26,7 @@
  */
 class PeerStatusExchange(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val store: StateClient,
     private val self: MemberId,
     private val peers: List<Peer>,
@@ -53,14 +53,14 @@
         heard(status)
         val leader = currentLeader()
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
-        val brief = lazy { PeerWire.encode(status.brief()) }
+        val brief = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacity()) }
         val now = loop.now()
         val briefDue = now >= briefAt + BRIEF_INTERVAL
         if (briefDue) briefAt = now
         for (peer in peers) {
             if (peer.member in busy) continue
             if (peer.member == leader) {
-                send(peer, PeerWire.encode(status))
+                send(peer, PeerMessageCodec.encodeStatus(status))
             } else if (briefDue) {
                 send(peer, brief.value)
             }
@@ -70,7 +70,7 @@
 
     private fun send(peer: Peer, body: ByteArray) {
         busy += peer.member
-        http.call(peer.endpoint, Request(Method.POST, PeerWire.PATH, body), TIMEOUT) { reply ->
+        http.call(peer.endpoint, Request(Method.POST, PeerMessageCodec.STATUS_PATH, body), TIMEOUT) { reply ->
             busy -= peer.member
             if (reply?.status == HttpStatus.OK) deliveredAt[peer.member] = loop.now()
         }
@@ -91,7 +91,7 @@
     private fun fittingValue(status: PeerStatus): ByteArray? {
         var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
         repeat(MAX_SHORTENINGS) {
-            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.shortened(bytes)))
+            val value = RecordCodec.encodePeerStatus(PeerMessageCodec.encodeStatus(status.truncatedTo(bytes)))
             if (value.size <= store.limits.valueBytes) return value
             bytes = (bytes * SHORTENING).toInt()
         }
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Reply
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
@@ -45,7 +45,7 @@
         measure("in ${kindOf(request)}") { handler.handle(request, responder) }
     }
 
-    fun measured(caller: HttpCaller) = HttpCaller { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
+    fun measured(caller: HttpClient) = HttpClient { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
         val kind = "out ${kindOf(request)}"
         caller.call(to, request, timeout) { reply -> measure(kind) { done(reply) } }
     }
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -25,7 +25,7 @@
         val began = loop.now()
         return Responder { reply: Reply ->
             histogram.recordValue((loop.now().ms - began.ms).coerceIn(0, MAX_MS))
-            if (reply.status == HttpStatus.UNAVAILABLE) turnedAway++
+            if (reply.status == HttpStatus.SERVICE_UNAVAILABLE) turnedAway++
             responder.send(reply)
         }
     }
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -1,6 +1,6 @@
 package copperglade.ownership
 
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Heartbeat
@@ -10,7 +10,7 @@
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardCapacity
 import copperglade.protocol.ShardName
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.shards.ShardMap
 import copperglade.storage.Condition
 import copperglade.storage.Keys
@@ -215,14 +215,14 @@
         val name = shardMap.of(heartbeat.machine, heartbeat.zone)
         val shard = owned[name]
         if (shard != null && membership.mayAct) {
-            return shard.handleHeartbeat(heartbeat)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
+            return shard.handleHeartbeat(heartbeat)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.SERVICE_UNAVAILABLE)
         }
         if (shard != null && membership.mayExtendWorkerLeases &&
             !peersReachStateService()
         ) {
             shard.extendWorkerLease(heartbeat)?.let { return Reply(HttpStatus.OK, it) }
         }
-        return Reply(HttpStatus.MISDIRECTED, WorkerWire.sendOn(ownerElsewhere(name)))
+        return Reply(HttpStatus.MISDIRECTED_REQUEST, WorkerMessageCodec.encodeRedirect(ownerElsewhere(name)))
     }
 
     private fun ownerElsewhere(name: ShardName): MemberId? {
@@ -249,14 +249,14 @@
             }.filter { (_, machine) ->
                 // A question may be under way to it, but no start: that would have bound a run.
                 machine.runs.isEmpty() && machine.reportedTasks.isEmpty() && !machine.deleting
-            }.take(CloudWire.MAX_DELETED)
+            }.take(CloudApiCodec.MAX_MACHINES_PER_DELETION)
         if (empty.isEmpty() || !cloudBudget.tryTake(1, loop.now())) return
         empty.forEach { (_, machine) ->
             machine.deleting = true
             // For good: a deletion whose answer is lost may still be carried out.
             machine.draining = true
         }
-        val body = CloudWire.deletion(empty.map { it.second.name })
+        val body = CloudApiCodec.encodeDeletion(empty.map { it.second.name })
         context.http.call(cloud, Request(Method.POST, "/machines/delete", body), DELETE_TIMEOUT) { reply ->
             val deleted = reply?.status == HttpStatus.OK
             for ((shard, machine) in empty) {
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -42,7 +42,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
+            idleMillis = if (empty) now.ms - machine.emptySince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -30,7 +30,7 @@
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.heardAt + (context.heartbeatIntervalS * 2).seconds
+            val silent = now >= machine.heardAt + (context.heartbeatIntervalSeconds * 2).seconds
             if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
                 silent
             ) {
@@ -53,7 +53,7 @@
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
         val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * context.operatorSettings.stragglerMargin
+        return elapsed > average * context.operatorSettings.stragglerFactor
     }
 
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
@@ -76,7 +76,7 @@
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = context.types[machine.typeName] ?: return@mapNotNull null
             val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
-            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
+            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(TINY)
             prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
         return when (val verdict = RiskAssessment.weigh(options, remaining)) {
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
 
-enum class JobKind(val wire: String) {
+enum class JobKind(val wireName: String) {
     ARRAY("array"),
     SERVICE("daemon"),
 
@@ -12,7 +12,7 @@
 }
 
 /** From the most to the least important. */
-enum class Priority(val wire: String) {
+enum class Priority(val wireName: String) {
     PRODUCTION("prod"),
     HIGH("urgent"),
     NORMAL("normal"),
@@ -56,10 +56,10 @@
     val oneZone: Boolean,
     val spread: Boolean,
     val spotAllowed: Boolean,
-    val estimateS: Double,
-    val checkpointS: Double,
-    val saveS: Double,
-    val deadlineS: Double?,
+    val estimatedSeconds: Double,
+    val checkpointIntervalSeconds: Double,
+    val checkpointSeconds: Double,
+    val deadlineSeconds: Double?,
 ) {
     /** Whether machines of this type, in this zone and of this kind may run the job's tasks at all. */
     fun allows(type: String, machineZone: String, spot: Boolean): Boolean =
@@ -88,21 +88,21 @@
         oneZone,
         spread,
         spotAllowed,
-        estimateS,
-        checkpointS,
-        saveS,
-        deadlineS,
+        estimatedSeconds,
+        checkpointIntervalSeconds,
+        checkpointSeconds,
+        deadlineSeconds,
     )
 }
 
 /** What was wrong with a submission, by the name of its field on the wire. */
 class InvalidField(val field: String, val problem: String)
 
-sealed interface ParsedJob {
+sealed interface ParsedSubmission {
     /** @property dependencies the jobs that have to be done before it, each named once. */
-    class Good(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedJob
+    class Valid(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedSubmission
 
-    class Bad(val why: InvalidField) : ParsedJob
+    class Invalid(val why: InvalidField) : ParsedSubmission
 }
 
 /** Reads and writes jobs in the users' wire form. */
@@ -115,89 +115,89 @@
 
     private class Refused(val why: InvalidField) : Exception(null, null, false, false)
 
-    fun parse(root: JsonNode?): ParsedJob = try {
+    fun parse(root: JsonNode?): ParsedSubmission = try {
         if (root == null || !root.isObject) refuse("body", "not a JSON object")
-        ParsedJob.Good(read(root), dependencies(root))
+        ParsedSubmission.Valid(read(root), dependencies(root))
     } catch (refused: Refused) {
-        ParsedJob.Bad(refused.why)
+        ParsedSubmission.Invalid(refused.why)
     }
 
     private fun read(root: JsonNode): JobSpec = JobSpec(
         id = JobId.parse(text(root, "nameId")) ?: refuse("nameId", "not of the form job-000412"),
         load = text(root, "load"),
         team = TeamName(text(root, "crew")),
-        kind = choice(root, "haul", listOf(JobKind.ARRAY, JobKind.SERVICE)) { it.wire },
-        priority = choice(root, "urgency", Priority.entries) { it.wire },
+        kind = choice(root, "haul", listOf(JobKind.ARRAY, JobKind.SERVICE)) { it.wireName },
+        priority = choice(root, "urgency", Priority.entries) { it.wireName },
         tasks = taskCount(root),
         request = Resources(amount(root, "vcpus"), amount(root, "gpus"), amount(root, "memoryGb")),
         image = Image(ImageName(text(root, "manifest")), amount(root, "pullGb")),
         types = types(root),
-        zone = if (root.present("depot") == null) null else text(root, "depot"),
+        zone = if (root.fieldOrNull("depot") == null) null else text(root, "depot"),
         oneZone = flag(root, "oneZone"),
         spread = flag(root, "spread"),
         spotAllowed = flag(root, "borrowed"),
-        estimateS = amount(root, "etaS"),
-        checkpointS = amount(root, "waypointS"),
-        saveS = amount(root, "unloadS"),
-        deadlineS = if (root.present("dueS") == null) null else amount(root, "dueS"),
+        estimatedSeconds = amount(root, "etaS"),
+        checkpointIntervalSeconds = amount(root, "waypointS"),
+        checkpointSeconds = amount(root, "unloadS"),
+        deadlineSeconds = if (root.fieldOrNull("dueS") == null) null else amount(root, "dueS"),
     )
 
     fun write(out: JsonGenerator, spec: JobSpec) = with(out) {
-        obj {
+        writeJsonObject {
             writeStringField("nameId", spec.id.text)
             writeStringField("load", spec.load)
             writeStringField("crew", spec.team.text)
-            writeStringField("haul", spec.kind.wire)
-            writeStringField("urgency", spec.priority.wire)
+            writeStringField("haul", spec.kind.wireName)
+            writeStringField("urgency", spec.priority.wireName)
             writeNumberField("boxes", spec.tasks)
             writeNumberField("vcpus", spec.request.cpus)
             writeNumberField("gpus", spec.request.gpus)
             writeNumberField("memoryGb", spec.request.memoryGb)
             writeStringField("manifest", spec.image.name.text)
             writeNumberField("pullGb", spec.image.gb)
-            spec.types?.let { types -> array("fleets") { types.forEach(::writeString) } }
+            spec.types?.let { types -> writeJsonArray("fleets") { types.forEach(::writeString) } }
             spec.zone?.let { writeStringField("depot", it) }
             writeBooleanField("oneZone", spec.oneZone)
             writeBooleanField("spread", spec.spread)
             writeBooleanField("borrowed", spec.spotAllowed)
-            writeNumberField("etaS", spec.estimateS)
-            writeNumberField("waypointS", spec.checkpointS)
-            writeNumberField("unloadS", spec.saveS)
-            spec.deadlineS?.let { writeNumberField("dueS", it) }
+            writeNumberField("etaS", spec.estimatedSeconds)
+            writeNumberField("waypointS", spec.checkpointIntervalSeconds)
+            writeNumberField("unloadS", spec.checkpointSeconds)
+            spec.deadlineSeconds?.let { writeNumberField("dueS", it) }
         }
     }
 
     private fun refuse(field: String, problem: String): Nothing = throw Refused(InvalidField(field, problem))
 
     private fun text(root: JsonNode, name: String): String {
-        val value = root.text(name) ?: refuse(name, "missing or not a string")
+        val value = root.stringOrNull(name) ?: refuse(name, "missing or not a string")
         if (value.isEmpty() || value.length > MAX_TEXT) refuse(name, "empty or too long")
         return value
     }
 
     private fun flag(root: JsonNode, name: String): Boolean =
-        root.flag(name) ?: refuse(name, "missing or not true or false")
+        root.booleanOrNull(name) ?: refuse(name, "missing or not true or false")
 
     private fun amount(root: JsonNode, name: String): Double {
-        val value = root.number(name) ?: refuse(name, "missing or not a number")
+        val value = root.doubleOrNull(name) ?: refuse(name, "missing or not a number")
         if (!value.isFinite() || value < 0.0 || value > MAX_AMOUNT) refuse(name, "out of range")
         return value
     }
 
     private fun taskCount(root: JsonNode): Int {
-        val value = root.long("boxes") ?: refuse("boxes", "missing or not an integer")
+        val value = root.longOrNull("boxes") ?: refuse("boxes", "missing or not an integer")
         if (value !in 1..MAX_TASKS) refuse("boxes", "not between 1 and $MAX_TASKS")
         return value.toInt()
     }
 
     private fun types(root: JsonNode): List<String>? {
-        val value = root.present("fleets") ?: return null
+        val value = root.fieldOrNull("fleets") ?: return null
         if (!value.isArray || value.any { !it.isTextual }) refuse("fleets", "not a list of strings")
         return value.map { it.textValue() }
     }
 
     private fun dependencies(root: JsonNode): List<JobId> {
-        val value = root.present(DEPENDENCIES) ?: return emptyList()
+        val value = root.fieldOrNull(DEPENDENCIES) ?: return emptyList()
         if (!value.isArray) refuse(DEPENDENCIES, "not a list of job ids")
         val ids = value.map { element ->
             element.takeIf { it.isTextual }?.let { JobId.parse(it.textValue()) } ?: refuse(DEPENDENCIES, "not a list of job ids")
@@ -205,8 +205,8 @@
         return ids.distinct()
     }
 
-    private fun <T> choice(root: JsonNode, name: String, among: List<T>, wire: (T) -> String): T {
+    private fun <T> choice(root: JsonNode, name: String, among: List<T>, wireName: (T) -> String): T {
         val value = text(root, name)
-        return among.firstOrNull { wire(it) == value } ?: refuse(name, "unknown value")
+        return among.firstOrNull { wireName(it) == value } ?: refuse(name, "unknown value")
     }
 }
--- a/src/main/kotlin/copperglade/protocol/Json.kt
+++ b/src/main/kotlin/copperglade/protocol/Json.kt
@@ -58,33 +58,33 @@
     }
 }
 
-inline fun JsonGenerator.obj(content: JsonGenerator.() -> Unit) {
+inline fun JsonGenerator.writeJsonObject(content: JsonGenerator.() -> Unit) {
     writeStartObject()
     content()
     writeEndObject()
 }
 
-inline fun JsonGenerator.obj(name: String, content: JsonGenerator.() -> Unit) {
+inline fun JsonGenerator.writeJsonObject(name: String, content: JsonGenerator.() -> Unit) {
     writeFieldName(name)
-    obj(content)
+    writeJsonObject(content)
 }
 
-inline fun JsonGenerator.array(name: String, content: JsonGenerator.() -> Unit) {
+inline fun JsonGenerator.writeJsonArray(name: String, content: JsonGenerator.() -> Unit) {
     writeArrayFieldStart(name)
     content()
     writeEndArray()
 }
 
 /** A field that may be null and may as well be omitted. */
-fun JsonNode.present(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
+fun JsonNode.fieldOrNull(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
 
-fun JsonNode.text(name: String): String? = present(name)?.takeIf { it.isTextual }?.textValue()
+fun JsonNode.stringOrNull(name: String): String? = fieldOrNull(name)?.takeIf { it.isTextual }?.textValue()
 
-fun JsonNode.long(name: String): Long? = present(name)
+fun JsonNode.longOrNull(name: String): Long? = fieldOrNull(name)
     ?.takeIf {
         it.isIntegralNumber && it.canConvertToLong()
     }?.longValue()
 
-fun JsonNode.number(name: String): Double? = present(name)?.takeIf { it.isNumber }?.doubleValue()
+fun JsonNode.doubleOrNull(name: String): Double? = fieldOrNull(name)?.takeIf { it.isNumber }?.doubleValue()
 
-fun JsonNode.flag(name: String): Boolean? = present(name)?.takeIf { it.isBoolean }?.booleanValue()
+fun JsonNode.booleanOrNull(name: String): Boolean? = fieldOrNull(name)?.takeIf { it.isBoolean }?.booleanValue()
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
@@ -12,13 +12,13 @@
     val usable: Boolean,
     /** False where it had better be replaced. */
     val worthKeeping: Boolean,
-    val idleMs: Long,
+    val idleMillis: Long,
     val free: Resources,
     /** What could be had by stopping work, by the priority of that work. */
     val preemptible: List<Resources>,
     val images: List<ImageName>,
 ) {
-    fun withoutImages() = MachineAvailability(name, type, zone, spot, usable, worthKeeping, idleMs, free, preemptible, emptyList())
+    fun withoutImages() = MachineAvailability(name, type, zone, spot, usable, worthKeeping, idleMillis, free, preemptible, emptyList())
 }
 
 class ShardCapacity(val shard: ShardName, val fencingToken: FencingToken, val machines: List<MachineAvailability>)
@@ -32,7 +32,7 @@
     val incarnation: Incarnation,
     /** Everything up to this revision of the state service is in the status. */
     val knownRevision: Revision,
-    val stateSilentMs: Long,
+    val stateSilentMillis: Long,
     val isLeader: Boolean,
     val shards: List<ShardCapacity>,
     /** From the leader: shards that it would rather see with another owner. */
@@ -40,10 +40,10 @@
     /** From the leader: machines that are no longer needed. */
     val retire: List<MachineName>,
     /** Changes a second that this controller would like to make in the state service. */
-    val writesWanted: Double,
+    val desiredWritesPerSecond: Double,
 ) {
     /** The machines with most room, without their images, as many as fit into about [bytes]. */
-    fun shortened(bytes: Int): PeerStatus {
+    fun truncatedTo(bytes: Int): PeerStatus {
         val most = (bytes - BYTES_BESIDE) / BYTES_PER_MACHINE
         val chosen = shards
             .flatMap { it.machines }
@@ -54,10 +54,30 @@
         val left = shards.map { shard ->
             ShardCapacity(shard.shard, shard.fencingToken, shard.machines.filter { it in chosen }.map { it.withoutImages() })
         }
-        return PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
+        return PeerStatus(
+            member,
+            incarnation,
+            knownRevision,
+            stateSilentMillis,
+            isLeader,
+            left,
+            emptyList(),
+            emptyList(),
+            desiredWritesPerSecond,
+        )
     }
 
-    fun brief() = PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
+    fun withoutCapacity() = PeerStatus(
+        member,
+        incarnation,
+        knownRevision,
+        stateSilentMillis,
+        isLeader,
+        emptyList(),
+        release,
+        retire,
+        desiredWritesPerSecond,
+    )
 
     private companion object {
         const val BYTES_BESIDE = 400
@@ -69,25 +89,25 @@
 class Cancellation(val job: JobId, val revision: Revision)
 
 /** Messages between controllers in binary, through Okio buffers. */
-object PeerWire {
-    const val PATH = "/note"
+object PeerMessageCodec {
+    const val STATUS_PATH = "/note"
 
     /** Body: the name of the member that asks to be endorsed. */
     const val ENDORSEMENT_PATH = "/vouch"
 
     /** Body: cancellations that have just been written down. A version that does not know it answers 404, and reads them itself. */
-    const val CANCELLED_PATH = "/cancelled"
+    const val CANCELLATIONS_PATH = "/cancelled"
     private const val VERSION = 2
     private const val CANCELLED_VERSION = 1
     private const val MAX_ITEMS = 100_000
 
-    fun encode(status: PeerStatus): ByteArray {
+    fun encodeStatus(status: PeerStatus): ByteArray {
         val out = Buffer()
         out.writeByte(VERSION)
         out.text(status.member.text)
         out.writeLong(status.incarnation.number)
         out.writeLong(status.knownRevision.number)
-        out.writeLong(status.stateSilentMs)
+        out.writeLong(status.stateSilentMillis)
         out.flag(status.isLeader)
         // Types, zones and images recur on hundreds of machines: they are written once and then by number.
         val words = Words()
@@ -101,12 +121,12 @@
         out.writeAll(rooms)
         out.items(status.release) { text(it.text) }
         out.items(status.retire) { text(it.text) }
-        out.writeLong(status.writesWanted.toRawBits())
+        out.writeLong(status.desiredWritesPerSecond.toRawBits())
         return out.readByteArray()
     }
 
     /** The status, or null where the bytes are not one of this version. */
-    fun decode(bytes: ByteArray): PeerStatus? = reading {
+    fun decodeStatus(bytes: ByteArray): PeerStatus? = reading {
         val source = Buffer().write(bytes)
         if (source.readByte().toInt() != VERSION) {
             null
@@ -116,7 +136,7 @@
                 member = MemberId(source.text()),
                 incarnation = Incarnation(source.readLong()),
                 knownRevision = Revision(source.readLong()),
-                stateSilentMs = source.readLong(),
+                stateSilentMillis = source.readLong(),
                 isLeader = source.flag(),
                 shards = source.let {
                     words = it.items { text() }
@@ -124,12 +144,12 @@
                 },
                 release = source.items { ShardName(text()) },
                 retire = source.items { MachineName(text()) },
-                writesWanted = Double.fromBits(source.readLong()),
+                desiredWritesPerSecond = Double.fromBits(source.readLong()),
             )
         }
     }
 
-    fun encodeCancelled(cancellations: List<Cancellation>): ByteArray {
+    fun encodeCancellations(cancellations: List<Cancellation>): ByteArray {
         val out = Buffer()
         out.writeByte(CANCELLED_VERSION)
         out.items(cancellations) {
@@ -140,7 +160,7 @@
     }
 
     /** The cancellations, or null where the bytes are not of this version. */
-    fun decodeCancelled(bytes: ByteArray): List<Cancellation>? = reading {
+    fun decodeCancellations(bytes: ByteArray): List<Cancellation>? = reading {
         val source = Buffer().write(bytes)
         require(source.readByte().toInt() == CANCELLED_VERSION)
         source.items { Cancellation(requireNotNull(JobId.parse(text())), Revision(readLong())) }
@@ -164,7 +184,7 @@
         flag(room.spot)
         flag(room.usable)
         flag(room.worthKeeping)
-        writeLong(room.idleMs)
+        writeLong(room.idleMillis)
         resources(room.free)
         items(room.preemptible) {
             flag(it != Resources.ZERO)
@@ -182,7 +202,7 @@
             spot = flag(),
             usable = flag(),
             worthKeeping = flag(),
-            idleMs = readLong(),
+            idleMillis = readLong(),
             free = resources(),
             preemptible = items { if (flag()) resources() else Resources.ZERO },
             images = items { ImageName(word()) },
--- a/src/main/kotlin/copperglade/protocol/WorkerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/WorkerMessageCodec.kt
@@ -4,17 +4,17 @@
 import com.fasterxml.jackson.core.JsonParser
 import com.fasterxml.jackson.core.JsonToken
 
-enum class ReportedTaskState(val wire: String) {
+enum class ReportedTaskState(val wireName: String) {
     FETCHING("pulling"),
 
     /** Only gangs wait for their mates; read so that a newer worker is understood. */
     WAITING("waiting"),
     RUNNING("running"),
-    SAVING("saving"),
+    CHECKPOINTING("saving"),
     EXITED("ended"),
 }
 
-enum class ExitCause(val wire: String) {
+enum class ExitCause(val wireName: String) {
     DONE("done"),
     STOPPED("halted"),
     ERROR("error"),
@@ -37,7 +37,7 @@
     val epoch: Long,
     val sequenceNumber: Long,
     val fencingToken: FencingToken,
-    val noticeS: Double?,
+    val evictionNoticeSeconds: Double?,
     val reportedTasks: List<ReportedTask>,
 ) {
     fun newerThan(otherEpoch: Long, otherSequenceNumber: Long): Boolean =
@@ -50,12 +50,12 @@
 
     data class Start(override val task: TaskId, override val attempt: Attempt) : Command
 
-    data class Stop(override val task: TaskId, override val attempt: Attempt, val graceS: Double) : Command
+    data class Stop(override val task: TaskId, override val attempt: Attempt, val graceSeconds: Double) : Command
 
     data class Remove(override val task: TaskId, override val attempt: Attempt) : Command
 }
 
-object WorkerWire {
+object WorkerMessageCodec {
     const val HEARTBEAT_PATH = "/checkin"
     const val COMMAND_PATH = "/do"
 
@@ -63,7 +63,7 @@
      * Reads a report without building a tree of it: hundreds come every second, and building trees was a fifth of what
      * each of them cost. Null where it is none.
      */
-    fun parseHeartbeat(bytes: ByteArray): Heartbeat? = Decoding.orNull("report") {
+    fun decodeHeartbeat(bytes: ByteArray): Heartbeat? = Decoding.orNull("report") {
         Json.parser(bytes).use { if (it.nextToken() == JsonToken.START_OBJECT) HeartbeatDraft().read(it) else null }
     }
 
@@ -77,7 +77,7 @@
         private var epoch: Long? = null
         private var sequenceNumber: Long? = null
         private var fencingToken = 0L
-        private var noticeS: Double? = null
+        private var evictionNoticeSeconds: Double? = null
         private var reportedTasks: List<ReportedTask>? = emptyList()
 
         fun read(parser: JsonParser): Heartbeat? {
@@ -93,7 +93,7 @@
                     "shift" -> epoch = parser.whole()
                     "tally" -> sequenceNumber = parser.whole()
                     "baton" -> fencingToken = parser.whole() ?: 0
-                    "recallS" -> noticeS = parser.amount()
+                    "recallS" -> evictionNoticeSeconds = parser.amount()
                     "boxes" -> reportedTasks = readReportedTasks(parser)
                     else -> parser.skipChildren()
                 }
@@ -111,7 +111,7 @@
                 epoch = epoch ?: return null,
                 sequenceNumber = sequenceNumber ?: return null,
                 fencingToken = FencingToken(fencingToken),
-                noticeS = noticeS,
+                evictionNoticeSeconds = evictionNoticeSeconds,
                 reportedTasks = reportedTasks ?: return null,
             )
         }
@@ -148,8 +148,8 @@
             return ReportedTask(
                 task = task ?: return null,
                 attempt = Attempt(attempt ?: return null),
-                state = ReportedTaskState.entries.firstOrNull { it.wire == status } ?: return null,
-                cause = cause?.let { ExitCause.entries.firstOrNull { known -> known.wire == cause } ?: ExitCause.OTHER },
+                state = ReportedTaskState.entries.firstOrNull { it.wireName == status } ?: return null,
+                cause = cause?.let { ExitCause.entries.firstOrNull { known -> known.wireName == cause } ?: ExitCause.OTHER },
             )
         }
 
@@ -168,15 +168,15 @@
         }
     }
 
-    fun answer(fencingToken: FencingToken, commands: List<Command>): ByteArray = Json.write {
-        obj {
+    fun encodeHeartbeatReply(fencingToken: FencingToken, commands: List<Command>): ByteArray = Json.write {
+        writeJsonObject {
             writeNumberField("baton", fencingToken.number)
             commands(commands)
         }
     }
 
-    fun order(fencingToken: FencingToken, epoch: Long, commands: List<Command>): ByteArray = Json.write {
-        obj {
+    fun encodeCommands(fencingToken: FencingToken, epoch: Long, commands: List<Command>): ByteArray = Json.write {
+        writeJsonObject {
             writeNumberField("baton", fencingToken.number)
             writeNumberField("shift", epoch)
             commands(commands)
@@ -184,17 +184,17 @@
     }
 
     /** Sends a worker on; without [owner] it tries the next controller by itself. */
-    fun sendOn(owner: MemberId?): ByteArray = Json.write {
-        obj { owner?.let { writeStringField("dispatcher", it.text) } }
+    fun encodeRedirect(owner: MemberId?): ByteArray = Json.write {
+        writeJsonObject { owner?.let { writeStringField("dispatcher", it.text) } }
     }
 
-    private fun JsonGenerator.commands(commands: List<Command>) = array("dispatches") {
+    private fun JsonGenerator.commands(commands: List<Command>) = writeJsonArray("dispatches") {
         for (command in commands) {
-            obj {
+            writeJsonObject {
                 writeStringField("order", command.word())
                 writeStringField("box", command.task.toString())
                 writeNumberField("trip", command.attempt.number)
-                if (command is Command.Stop) writeNumberField("leewayS", command.graceS)
+                if (command is Command.Stop) writeNumberField("leewayS", command.graceSeconds)
             }
         }
     }
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Assigner.kt
@@ -153,7 +153,7 @@
             compareBy<Candidate> { it.spec.priority }
                 // What is too late for its guarantee anyway goes by the plan: a team's late jobs, being its oldest, would
                 // otherwise have its guarantee to themselves, and make the next ones late as well.
-                .thenBy { if (it.guaranteed && it.waitedS <= objectives.guaranteeWithinS) 0 else 1 }
+                .thenBy { if (it.guaranteed && it.waitedS <= objectives.guaranteeWithinSeconds) 0 else 1 }
                 .thenBy { rank[it.job.id] ?: -1 }
                 .thenBy { it.acceptedAtMs },
         )
@@ -164,13 +164,13 @@
         val waitedS = candidate.waitedS
         val due = dueTimesS(candidate).filter { isFeasible(spec, it) }
         // What is late for every multiple of its deadline still has an aim to meet, after all that can be in time.
-        val latest = objectives.latestEndS(spec.load, spec.estimateS)?.let { it - waitedS }?.takeIf { isFeasible(spec, it) }
+        val latest = objectives.latestEndSeconds(spec.load, spec.estimatedSeconds)?.let { it - waitedS }?.takeIf { isFeasible(spec, it) }
         val dues = if (latest == null) due else due.filter { it < latest } + latest
-        return PlannedJob(candidate, candidate.left * spec.request.cpus * spec.estimateS, dues, waitedS, spec.team)
+        return PlannedJob(candidate, candidate.left * spec.request.cpus * spec.estimatedSeconds, dues, waitedS, spec.team)
     }
 
     /** Even with all room of the world, the last task still needs its own run time. */
-    private fun isFeasible(spec: JobSpec, dueInS: Double) = dueInS > spec.estimateS * FEASIBILITY_FACTOR
+    private fun isFeasible(spec: JobSpec, dueInS: Double) = dueInS > spec.estimatedSeconds * FEASIBILITY_FACTOR
 
     private fun mayBeInTime(candidate: Candidate): Boolean {
         val spec = candidate.spec
@@ -181,7 +181,7 @@
     private fun dueTimesS(candidate: Candidate): List<Double> {
         val deadline = candidate.deadline ?: return emptyList()
         val now = loop.wallMillis()
-        return (objectives.deadlineTimes[deadline.load] ?: ONCE).map { deadline.dueInS(it, now) }
+        return (objectives.deadlineMultiples[deadline.load] ?: ONCE).map { deadline.dueInS(it, now) }
     }
 
     private fun gather(uses: Map<TeamName, TeamUse>): List<Candidate> {
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -31,7 +31,7 @@
         val chosen = HashMap<Job, MutableList<Assignment>>()
         for (borrowed in borrowedQuotas.sortedWith(
             compareBy<BorrowedQuota> {
-                if (it.spec.checkpointS >
+                if (it.spec.checkpointIntervalSeconds >
                     0.0
                 ) {
                     0
--- a/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
+++ b/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
@@ -14,7 +14,7 @@
 
     fun of(spec: JobSpec, type: MachineType?, spot: Boolean, imageThere: Boolean, preempts: Boolean): Double {
         var cost = 0.0
-        if (!imageThere) cost += spec.image.gb / (type?.fetchGbPerS ?: 1.0).coerceAtLeast(SLOWEST_GB_PER_S)
+        if (!imageThere) cost += spec.image.gb / (type?.fetchGbPerSecond ?: 1.0).coerceAtLeast(SLOWEST_GB_PER_S)
         if (spec.spotAllowed && !spot) cost += ORDINARY_FOR_FLEXIBLE_S
         if (preempts) cost += PREEMPTION_S
         return cost
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -45,20 +45,20 @@
         return OperatorSettings(
             stalenessLimit = reader.seconds("hold.limit.s", usual.stalenessLimit, 1.0..600.0),
             stalenessMargin = reader.seconds("hold.margin.s", usual.stalenessMargin, 0.5..60.0),
-            sessionLeasePart = reader.number("hold.part-of-lease", usual.sessionLeasePart, 0.1..10.0),
+            sessionLeaseFraction = reader.number("hold.part-of-lease", usual.sessionLeaseFraction, 0.1..10.0),
             leaderLease = reader.seconds("lead.hold.s", usual.leaderLease, 1.0..60.0),
             shardsPerZone = reader.whole("blocks.per-zone", usual.shardsPerZone, 0..64),
-            stragglerMargin = reader.number("straggler.margin", usual.stragglerMargin, 1.0..100.0),
+            stragglerFactor = reader.number("straggler.margin", usual.stragglerFactor, 1.0..100.0),
             nearestProfiles = reader.whole("profiles.nearest", usual.nearestProfiles, 1..1000),
             fittingSteps = reader.whole("profiles.fitting-steps", usual.fittingSteps, 0..100),
             fittingRate = reader.number("profiles.fitting-rate", usual.fittingRate, 0.0..1.0),
             profileCapacity = reader.whole("profiles.capacity", usual.profileCapacity, 1..100_000),
-            starvationThresholdS = reader.number("turn.after.s", usual.starvationThresholdS, 1.0..3600.0),
+            starvationThresholdSeconds = reader.number("turn.after.s", usual.starvationThresholdSeconds, 1.0..3600.0),
             starvationShare = reader.number("turn.share", usual.starvationShare, 0.0..1.0),
             headroom = reader.number("fleet.headroom", usual.headroom, 1.0..10.0),
             idleReplacements = reader.number("fleet.idle.replacements", usual.idleReplacements, 0.0..100.0),
             scaleInHysteresisReplacements = reader.number("fleet.fade.replacements", usual.scaleInHysteresisReplacements, 0.1..100.0),
-            machinesToBlameJob = reader.whole("failures.machines", usual.machinesToBlameJob, 1..1_000_000),
+            failingJobMachineThreshold = reader.whole("failures.machines", usual.failingJobMachineThreshold, 1..1_000_000),
         )
     }
 
--- a/src/main/kotlin/copperglade/settings/PlatformSettings.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettings.kt
@@ -5,9 +5,9 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
 import copperglade.protocol.TeamName
-import copperglade.protocol.number
-import copperglade.protocol.present
-import copperglade.protocol.text
+import copperglade.protocol.doubleOrNull
+import copperglade.protocol.fieldOrNull
+import copperglade.protocol.stringOrNull
 
 /** A setting that is missing or makes no sense; [message] names it. */
 class InvalidSettingException(message: String) : Exception(message)
@@ -29,26 +29,26 @@
 /**
  * The aims, as far as decisions follow from them.
  *
- * @property deadlineTimes by load, the multiples of its deadline that its jobs are measured by.
- * @property guaranteeWithinS how soon work within a guarantee should start.
- * @property startedWithinS by load, how soon its tasks should have started, whatever their deadline.
- * @property finishedWithinS by load, how soon its jobs should be done, whatever their deadline.
+ * @property deadlineMultiples by load, the multiples of its deadline that its jobs are measured by.
+ * @property guaranteeWithinSeconds how soon work within a guarantee should start.
+ * @property startedWithinSeconds by load, how soon its tasks should have started, whatever their deadline.
+ * @property finishedWithinSeconds by load, how soon its jobs should be done, whatever their deadline.
  */
 class ServiceLevelObjectives(
-    val deadlineTimes: Map<String, List<Double>> = emptyMap(),
-    val guaranteeWithinS: Double = 10.0,
-    val startedWithinS: Map<String, Double> = emptyMap(),
-    val finishedWithinS: Map<String, Double> = emptyMap(),
+    val deadlineMultiples: Map<String, List<Double>> = emptyMap(),
+    val guaranteeWithinSeconds: Double = 10.0,
+    val startedWithinSeconds: Map<String, Double> = emptyMap(),
+    val finishedWithinSeconds: Map<String, Double> = emptyMap(),
 ) {
     /** How soon a job of [load] whose tasks run for [runS] should be done at the latest; null where no aim says so. */
-    fun latestEndS(load: String, runS: Double): Double? =
-        listOfNotNull(finishedWithinS[load], startedWithinS[load]?.let { it + runS }).minOrNull()
+    fun latestEndSeconds(load: String, runS: Double): Double? =
+        listOfNotNull(finishedWithinSeconds[load], startedWithinSeconds[load]?.let { it + runS }).minOrNull()
 }
 
 /**
  * The settings file that the platform hands to every controller. Fields that we don't know are ignored.
  *
- * @property stateRps this and the other limits of the state service ([stateWriteRps], [valueKb], [transactionWrites]) are
+ * @property stateRequestsPerSecond this and the other limits of the state service ([stateWritesPerSecond], [valueKb], [transactionWrites]) are
  * the lower ones of those that hold now and those that are announced.
  */
 class PlatformSettings(
@@ -62,16 +62,16 @@
     val zones: List<String>,
     val teams: Map<TeamName, Team>,
     val objectives: ServiceLevelObjectives,
-    val heartbeatIntervalS: Double,
-    val leaseS: Double,
-    val cancelS: Double,
-    val stateRps: Double,
-    val stateWriteRps: Double,
+    val heartbeatIntervalSeconds: Double,
+    val leaseSeconds: Double,
+    val cancelSeconds: Double,
+    val stateRequestsPerSecond: Double,
+    val stateWritesPerSecond: Double,
     val valueKb: Double,
     val transactionWrites: Int,
-    val cloudRps: Double,
-    val listLagS: Double,
-    val socketLimit: Int,
+    val cloudRequestsPerSecond: Double,
+    val listLagSeconds: Double,
+    val fileDescriptorLimit: Int,
     /** The machine's memory in MB; null where the platform doesn't tell. */
     val memoryMb: Double? = null,
 ) {
@@ -100,19 +100,19 @@
                 },
                 teams = deployment.items("teams").map(::team).associateBy { it.name },
                 objectives = objectives(deployment),
-                heartbeatIntervalS = workers.positive("report_s"),
-                leaseS = workers.positive("lease_s"),
-                cancelS = workers.positive("cancel_s"),
-                stateRps = state.limit("rps"),
-                stateWriteRps = state.limit("write_rps"),
+                heartbeatIntervalSeconds = workers.positive("report_s"),
+                leaseSeconds = workers.positive("lease_s"),
+                cancelSeconds = workers.positive("cancel_s"),
+                stateRequestsPerSecond = state.limit("rps"),
+                stateWritesPerSecond = state.limit("write_rps"),
                 valueKb = state.limit("value_kb"),
                 transactionWrites = state.wholeLimit("txn_ops"),
-                cloudRps = cloud.positive("rps"),
-                listLagS = cloud.amount("list_lag_s"),
-                socketLimit = deployment.section("resources").positive("fd_limit").toInt(),
-                memoryMb = deployment.section("resources").let { if (it.present("mem_mb") == null) null else it.positive("mem_mb") },
+                cloudRequestsPerSecond = cloud.positive("rps"),
+                listLagSeconds = cloud.amount("list_lag_s"),
+                fileDescriptorLimit = deployment.section("resources").positive("fd_limit").toInt(),
+                memoryMb = deployment.section("resources").let { if (it.fieldOrNull("mem_mb") == null) null else it.positive("mem_mb") },
             )
-            if (settings.cancelS <= settings.leaseS) {
+            if (settings.cancelSeconds <= settings.leaseSeconds) {
                 throw InvalidSettingException("deployment.workers.cancel_s: must be larger than lease_s")
             }
             return settings
@@ -120,21 +120,22 @@
 
         private fun objectives(deployment: JsonNode): ServiceLevelObjectives {
             val usual = ServiceLevelObjectives()
-            val stated = deployment.present("objectives")?.takeIf { it.isArray } ?: return usual
+            val stated = deployment.fieldOrNull("objectives")?.takeIf { it.isArray } ?: return usual
             return ServiceLevelObjectives(
-                deadlineTimes = stated
-                    .filter { it.text("kind") == "deadline" }
-                    .groupBy({ it.words("class") }, { if (it.present("times") == null) 1.0 else it.positive("times") })
+                deadlineMultiples = stated
+                    .filter { it.stringOrNull("kind") == "deadline" }
+                    .groupBy({ it.words("class") }, { if (it.fieldOrNull("times") == null) 1.0 else it.positive("times") })
                     .mapValues { (_, times) -> times.sorted() },
-                guaranteeWithinS = stated.firstOrNull { it.text("kind") == "guarantee" }?.positive("within_s") ?: usual.guaranteeWithinS,
-                startedWithinS = withinS(stated, "wait"),
-                finishedWithinS = withinS(stated, "finished"),
+                guaranteeWithinSeconds =
+                    stated.firstOrNull { it.stringOrNull("kind") == "guarantee" }?.positive("within_s") ?: usual.guaranteeWithinSeconds,
+                startedWithinSeconds = withinS(stated, "wait"),
+                finishedWithinSeconds = withinS(stated, "finished"),
             )
         }
 
         /** The longest time that an aim of this kind gives each class. */
         private fun withinS(stated: JsonNode, kind: String): Map<String, Double> = stated
-            .filter { it.text("kind") == kind }
+            .filter { it.stringOrNull("kind") == kind }
             .groupBy({ it.words("class") }, { it.positive("within_s") })
             .mapValues { (_, times) -> times.max() }
 
@@ -147,19 +148,19 @@
         )
 
         private fun JsonNode.section(name: String): JsonNode =
-            present(name)?.takeIf { it.isObject } ?: throw InvalidSettingException("$name: missing or not an object")
+            fieldOrNull(name)?.takeIf { it.isObject } ?: throw InvalidSettingException("$name: missing or not an object")
 
         private fun JsonNode.items(name: String): JsonNode =
-            present(name)?.takeIf { it.isArray } ?: throw InvalidSettingException("$name: missing or not a list")
+            fieldOrNull(name)?.takeIf { it.isArray } ?: throw InvalidSettingException("$name: missing or not a list")
 
         private fun JsonNode.words(name: String): String =
-            text(name)?.takeIf { it.isNotEmpty() } ?: throw InvalidSettingException("$name: missing or not a string")
+            stringOrNull(name)?.takeIf { it.isNotEmpty() } ?: throw InvalidSettingException("$name: missing or not a string")
 
         private fun JsonNode.endpoint(name: String): Endpoint =
             Endpoint.parse(words(name)) ?: throw InvalidSettingException("$name: not of the form host:port")
 
         private fun JsonNode.amount(name: String): Double =
-            number(name)?.takeIf { it.isFinite() && it >= 0.0 }
+            doubleOrNull(name)?.takeIf { it.isFinite() && it >= 0.0 }
                 ?: throw InvalidSettingException("$name: missing or not a number of at least 0")
 
         /**
@@ -169,10 +170,10 @@
         private fun JsonNode.limit(name: String): Double = minOf(positive(name), announcedLimit(name) ?: Double.MAX_VALUE)
 
         private fun JsonNode.announcedLimit(name: String): Double? {
-            val next = present("next") ?: return null
+            val next = fieldOrNull("next") ?: return null
             if (!next.isObject) throw InvalidSettingException("state.next: not an object")
-            if (next.present(name) == null) return null
-            return next.number(name)?.takeIf { it.isFinite() && it > 0.0 }
+            if (next.fieldOrNull(name) == null) return null
+            return next.doubleOrNull(name)?.takeIf { it.isFinite() && it > 0.0 }
                 ?: throw InvalidSettingException("state.next.$name: must be a number larger than 0")
         }
 
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -25,12 +25,12 @@
  * @property submittedAtMs when that job was submitted.
  * @property leadS what is predicted to run between the end of this job and that deadline.
  */
-class Deadline(val load: String, private val submittedAtMs: Long, private val deadlineS: Double, private val leadS: Double = 0.0) {
+class Deadline(val load: String, private val submittedAtMs: Long, private val deadlineSeconds: Double, private val leadS: Double = 0.0) {
     /** Seconds from [fromMs] until the job is due, with the deadline taken [multiple] times. */
-    fun dueInS(multiple: Double, fromMs: Long): Double = (submittedAtMs - fromMs) / MS + multiple * deadlineS - leadS
+    fun dueInS(multiple: Double, fromMs: Long): Double = (submittedAtMs - fromMs) / MS + multiple * deadlineSeconds - leadS
 
     /** The same deadline for a job that has to be over [runS] earlier. */
-    fun earlierBy(runS: Double) = Deadline(load, submittedAtMs, deadlineS, leadS + runS)
+    fun earlierBy(runS: Double) = Deadline(load, submittedAtMs, deadlineSeconds, leadS + runS)
 
     fun isCloseTo(other: Deadline): Boolean =
         load == other.load && abs(dueInS(1.0, submittedAtMs) - other.dueInS(1.0, submittedAtMs)) < NEGLIGIBLE_S
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -60,7 +60,7 @@
 
     /** The deadline that its user set. */
     val ownDeadline: Deadline?
-        get() = live?.value?.let { record -> record.spec.deadlineS?.let { Deadline(record.spec.load, record.acceptedAtMs, it) } }
+        get() = live?.value?.let { record -> record.spec.deadlineSeconds?.let { Deadline(record.spec.load, record.acceptedAtMs, it) } }
 
     /** The tightest of its own deadline and those of its dependents. */
     val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -13,42 +13,42 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import java.io.IOException
 import java.util.BitSet
 
 /** Records as JSON values. Short names: small values, many of them. */
 object RecordCodec {
     fun encode(record: LiveRecord): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             writeFieldName("spec")
             JobSpecCodec.write(this, record.spec)
             writeNumberField("at", record.acceptedAtMs)
             if (record.cancelled) writeBooleanField("cancelled", true)
             // Left out where empty: earlier versions write and read records without it.
             if (record.dependencies.isNotEmpty()) {
-                array(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
+                writeJsonArray(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
             }
         }
     }
 
     fun decodeLive(node: JsonNode): LiveRecord? {
-        val spec = (JobSpecCodec.parse(node.get("spec")) as? ParsedJob.Good)?.spec ?: return null
+        val spec = (JobSpecCodec.parse(node.get("spec")) as? ParsedSubmission.Valid)?.spec ?: return null
         val dependencies = node.get(JobSpecCodec.DEPENDENCIES)?.mapNotNull { JobId.parse(it.asText()) }.orEmpty()
-        return LiveRecord(spec, node.long("at") ?: 0, node.flag("cancelled") ?: false, dependencies)
+        return LiveRecord(spec, node.longOrNull("at") ?: 0, node.booleanOrNull("cancelled") ?: false, dependencies)
     }
 
     fun encode(record: AssignmentRange): ByteArray = Json.write {
-        obj {
-            array("g") {
+        writeJsonObject {
+            writeJsonArray("g") {
                 for (group in record.groups) {
                     writeStartArray()
                     writeString(group.shard.text)
@@ -78,10 +78,10 @@
     }
 
     fun encode(record: OutcomeRecord): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             ranges("d", record.done)
             if (record.returned.isNotEmpty()) {
-                obj("b") { record.returned.forEach { (generation, tasks) -> ranges(generation.toString(), tasks) } }
+                writeJsonObject("b") { record.returned.forEach { (generation, tasks) -> ranges(generation.toString(), tasks) } }
             }
             ranges("x", record.restarted)
             // Left out where false: earlier versions write and read records without it.
@@ -96,12 +96,12 @@
             returned[generation.toInt()] =
                 TaskIndexRanges.parse(tasks.asText())
         }
-        return OutcomeRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.flag("m") ?: false)
+        return OutcomeRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.booleanOrNull("m") ?: false)
     }
 
     /** A packed record: its parts under the pages' names, as they were encoded. */
     fun encodePackedRecord(parts: Map<TaskRange, ByteArray>): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             for ((place, part) in parts) {
                 writeFieldName(place.toString())
                 writeRawValue(part.decodeToString())
@@ -114,22 +114,22 @@
     private fun JsonGenerator.version(record: Versioned) = writeNumberField("v", record.version)
 
     fun encode(record: EndRecord): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             writeStringField("status", record.status.name)
             writeNumberField("done", record.tasksDone)
         }
     }
 
     fun decodeEnd(node: JsonNode): EndRecord? {
-        val status = JobStatus.entries.firstOrNull { it.name == node.text("status") } ?: return null
-        return EndRecord(status, (node.long("done") ?: 0).toInt())
+        val status = JobStatus.entries.firstOrNull { it.name == node.stringOrNull("status") } ?: return null
+        return EndRecord(status, (node.longOrNull("done") ?: 0).toInt())
     }
 
     fun encode(record: ShardRecord): ByteArray = holder(record.member, record.incarnation)
 
     fun decodeShard(node: JsonNode): ShardRecord? {
-        val member = MemberId(node.text("member") ?: return null)
-        return ShardRecord(member, Incarnation(node.long("inc") ?: return null))
+        val member = MemberId(node.stringOrNull("member") ?: return null)
+        return ShardRecord(member, Incarnation(node.longOrNull("inc") ?: return null))
     }
 
     fun encode(record: LeaderRecord): ByteArray = holder(record.member, record.incarnation)
@@ -137,8 +137,8 @@
     fun decodeLeader(node: JsonNode): LeaderRecord? = decodeShard(node)?.let { LeaderRecord(it.member, it.incarnation) }
 
     fun encode(record: ImageRecord): ByteArray = Json.write {
-        obj {
-            for ((machine, images) in record.byMachine) array(machine.text) { images.forEach { writeString(it.text) } }
+        writeJsonObject {
+            for ((machine, images) in record.byMachine) writeJsonArray(machine.text) { images.forEach { writeString(it.text) } }
         }
     }
 
@@ -151,13 +151,13 @@
         )
 
     fun encode(record: MemberRecord): ByteArray = Json.write {
-        obj { writeNumberField("inc", record.incarnation.number) }
+        writeJsonObject { writeNumberField("inc", record.incarnation.number) }
     }
 
-    fun decodeMember(node: JsonNode): MemberRecord? = node.long("inc")?.let { MemberRecord(Incarnation(it)) }
+    fun decodeMember(node: JsonNode): MemberRecord? = node.longOrNull("inc")?.let { MemberRecord(Incarnation(it)) }
 
     /** A status message between controllers, as it would have been sent. */
-    fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { obj { writeBinaryField("note", status) } }
+    fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { writeJsonObject { writeBinaryField("note", status) } }
 
     fun decodePeerStatus(node: JsonNode): ByteArray? = try {
         node.get("note")?.binaryValue()
@@ -166,7 +166,7 @@
     }
 
     private fun holder(member: MemberId, incarnation: Incarnation): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             writeStringField("member", member.text)
             writeNumberField("inc", incarnation.number)
         }
@@ -176,5 +176,5 @@
         if (!set.isEmpty) writeStringField(name, TaskIndexRanges.format(set))
     }
 
-    private fun JsonNode.ranges(name: String): BitSet = TaskIndexRanges.parse(text(name).orEmpty())
+    private fun JsonNode.ranges(name: String): BitSet = TaskIndexRanges.parse(stringOrNull(name).orEmpty())
 }
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -13,15 +13,15 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import java.io.IOException
 import java.util.BitSet
 
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -54,7 +54,7 @@
     /** The ends of so many jobs are remembered; beyond them, the state service is asked. */
     maxEndedJobs: Int = EndedJobs.endsThatFitInto(Runtime.getRuntime().maxMemory()),
     /** How long a job's tasks are predicted to run, in seconds. */
-    predictRunS: (JobSpec) -> Double = { it.estimateS },
+    predictRunS: (JobSpec) -> Double = { it.estimatedSeconds },
 ) {
     /** All readers together take at most half of the service's requests. */
     private val interval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerS * READING_SHARE)).seconds)
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -6,13 +6,13 @@
 import copperglade.protocol.LeaseId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -28,7 +28,7 @@
  */
 class StateClient(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val endpoint: Endpoint,
     val limits: StateLimits,
     firstShare: Double = 1.0,
@@ -58,7 +58,7 @@
     }
 
     /** Changes a second that there have been to make lately, those still waiting included. */
-    val writesWanted: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
+    val desiredWritesPerSecond: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
 
     /** How much of the write budget is left, from 0 to 1: batches widen as it shrinks. */
     fun writeLevel(): Double = writes.level(loop.now())
@@ -144,7 +144,7 @@
 
     private fun outcomeOf(reply: Reply?): TransactionOutcome = when (reply?.status) {
         null -> TransactionOutcome.Unknown
-        HttpStatus.OK -> Json.read(reply.body)?.long("ledger")?.let { TransactionOutcome.Applied(Revision(it)) }
+        HttpStatus.OK -> Json.read(reply.body)?.longOrNull("ledger")?.let { TransactionOutcome.Applied(Revision(it)) }
             ?: TransactionOutcome.Unknown
         HttpStatus.CONFLICT -> TransactionOutcome.Conflict(
             Json
@@ -154,7 +154,7 @@
                 .orEmpty(),
         )
         HttpStatus.BAD_REQUEST -> {
-            val problem = Json.read(reply.body)?.text("error").orEmpty()
+            val problem = Json.read(reply.body)?.stringOrNull("error").orEmpty()
             if (problem.contains(NO_SUCH_LEASE, ignoreCase = true)) {
                 TransactionOutcome.NoSuchLease
             } else {
@@ -162,7 +162,7 @@
                 TransactionOutcome.Refused
             }
         }
-        HttpStatus.TOO_MANY, HttpStatus.UNAVAILABLE -> TransactionOutcome.Refused
+        HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE -> TransactionOutcome.Refused
         else -> {
             log.warn("unexpected status {} for a transaction", reply.status)
             TransactionOutcome.Unknown
@@ -188,7 +188,7 @@
         request(Request(Method.GET, "/kv/$key"), TIMEOUT, counted = true) { reply ->
             val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
             val value = node?.get("data")
-            val revision = node?.long("stamp")
+            val revision = node?.longOrNull("stamp")
             done(
                 when {
                     value != null && revision != null -> ReadOutcome.Present(value, Revision(revision))
@@ -203,11 +203,11 @@
         val after = if (from == null) "" else "&from=$from"
         request(Request(Method.GET, "/kv?starts=$prefix$after&limit=$LIST_LIMIT"), LIST_TIMEOUT) { reply ->
             val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
-            val storeRevision = node?.long("ledger")
+            val storeRevision = node?.longOrNull("ledger")
             val entries = node?.get("entries")?.mapNotNull { entry ->
-                val key = entry.text("k")
+                val key = entry.stringOrNull("k")
                 val value = entry.get("data")
-                val revision = entry.long("stamp")
+                val revision = entry.longOrNull("stamp")
                 if (key == null || value == null || revision == null) null else Entry(key, value, Revision(revision))
             }
             done(
@@ -216,7 +216,7 @@
                 ) {
                     null
                 } else {
-                    Listing(entries, node.flag("truncated") ?: false, Revision(storeRevision))
+                    Listing(entries, node.booleanOrNull("truncated") ?: false, Revision(storeRevision))
                 },
             )
         }
@@ -237,21 +237,21 @@
     }
 
     private fun decodeChanges(node: JsonNode?): ChangesOutcome {
-        val storeRevision = node?.long("ledger") ?: return ChangesOutcome.Failed
+        val storeRevision = node?.longOrNull("ledger") ?: return ChangesOutcome.Failed
         val changes = node.get("events")?.mapNotNull { event ->
-            val revision = Revision(event.long("stamp") ?: return@mapNotNull null)
-            val dropped = event.text("drop")
+            val revision = Revision(event.longOrNull("stamp") ?: return@mapNotNull null)
+            val dropped = event.stringOrNull("drop")
             if (dropped != null) return@mapNotNull Change.Deleted(dropped, revision)
-            val key = event.text("set") ?: return@mapNotNull null
+            val key = event.stringOrNull("set") ?: return@mapNotNull null
             Change.Set(key, event.get("data") ?: return@mapNotNull null, revision)
         }
         return ChangesOutcome.Received(Revision(storeRevision), changes.orEmpty())
     }
 
     fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) {
-        val body = Json.write { obj { writeNumberField("ttlMs", length.inWholeMilliseconds) } }
+        val body = Json.write { writeJsonObject { writeNumberField("ttlMs", length.inWholeMilliseconds) } }
         request(Request(Method.POST, "/holds", body), TIMEOUT) { reply ->
-            val leaseId = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.long("permit") }
+            val leaseId = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.longOrNull("permit") }
             done(if (leaseId == null) LeaseOutcome.Failed else LeaseOutcome.Granted(LeaseId(leaseId)))
         }
     }
@@ -273,25 +273,25 @@
     private fun request(request: Request, timeout: Duration, counted: Boolean = false, done: (Reply?) -> Unit) {
         if (!counted) requests.take(1, loop.now())
         http.call(endpoint, request, timeout) { reply ->
-            if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastGood = loop.now()
-            if (reply?.status == HttpStatus.TOO_MANY) log.info("over the state service's budget")
+            if (reply != null && reply.status != HttpStatus.SERVICE_UNAVAILABLE) lastGood = loop.now()
+            if (reply?.status == HttpStatus.TOO_MANY_REQUESTS) log.info("over the state service's budget")
             done(reply)
         }
     }
 
     private fun encode(transaction: Transaction): ByteArray = Json.write {
-        obj {
-            array("if") {
+        writeJsonObject {
+            writeJsonArray("if") {
                 for (condition in transaction.conditions) {
-                    obj {
+                    writeJsonObject {
                         writeStringField("k", condition.key)
                         writeNumberField("stamp", condition.revision.number)
                     }
                 }
             }
-            array("writes") {
+            writeJsonArray("writes") {
                 for (write in transaction.writes) {
-                    obj {
+                    writeJsonObject {
                         when (write) {
                             is Write.Delete -> writeStringField("drop", write.key)
                             is Write.Set -> {
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -15,9 +15,9 @@
  * Guards against two opposite errors: a job that fails everywhere would take one machine after another out of use, and a
  * faulty machine would go on ruining the tasks of jobs that are sound.
  *
- * @param machinesToBlameJob on how many machines, that fail for no other job, a job has to fail to be taken for failing.
+ * @param failingJobMachineThreshold on how many machines, that fail for no other job, a job has to fail to be taken for failing.
  */
-class FailureEvidence(private val machinesToBlameJob: Int) {
+class FailureEvidence(private val failingJobMachineThreshold: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
@@ -44,7 +44,8 @@
 
     private fun failsEverywhere(job: JobId): Boolean {
         val machines = machinesByJob[job] ?: return false
-        return machines.size > machinesToBlameJob || machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= machinesToBlameJob
+        return machines.size > failingJobMachineThreshold ||
+            machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= failingJobMachineThreshold
     }
 
     /** Whether [machine] ruins the tasks of sound jobs and had better be replaced. */
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -156,7 +156,7 @@
         if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
         reportedTasks = heartbeat.reportedTasks
         runChanged()
-        evictionNoticed = heartbeat.noticeS != null
+        evictionNoticed = heartbeat.evictionNoticeSeconds != null
         endpoint = heartbeat.endpoint
         unresolvedStarts.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
@@ -192,10 +192,10 @@
     fun rememberImages(names: List<ImageName>) = names.forEach { images.putIfAbsent(it, 0.0) }
 
     /** The worker keeps the most recently used images that its disk holds. */
-    fun usedImage(image: Image, cacheGb: Double) {
+    fun usedImage(image: Image, imageCacheGb: Double) {
         images.remove(image.name)
         images[image.name] = image.gb
-        while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
+        while (images.size > 1 && images.values.sum() > imageCacheGb) images.remove(images.keys.first())
     }
 
     private var freeComputedAt = MonotonicTime.NEVER
--- a/src/main/kotlin/copperglade/transport/HttpStatus.kt
+++ b/src/main/kotlin/copperglade/transport/HttpStatus.kt
@@ -9,8 +9,8 @@
     const val METHOD_NOT_ALLOWED = 405
     const val CONFLICT = 409
     const val GONE = 410
-    const val MISDIRECTED = 421
-    const val UNPROCESSABLE = 422
-    const val TOO_MANY = 429
-    const val UNAVAILABLE = 503
+    const val MISDIRECTED_REQUEST = 421
+    const val UNPROCESSABLE_CONTENT = 422
+    const val TOO_MANY_REQUESTS = 429
+    const val SERVICE_UNAVAILABLE = 503
 }
--- a/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -29,13 +29,13 @@
  * Keeps connections open and reuses them, one request at a time on each. A request that got no answer in time takes
  * its connection with it, so that a late answer can never be taken for that of a later request.
  */
-class NettyHttpCaller(
+class NettyHttpClient(
     private val loop: NettyEventLoop,
     private val connectionLimit: Int = Int.MAX_VALUE,
     /** Always to be reached, whatever the limit: there are few of them. */
     private val always: Set<Endpoint> = emptySet(),
     heapBytes: Long = Runtime.getRuntime().maxMemory(),
-) : HttpCaller {
+) : HttpClient {
     /**
      * A sixteenth of the heap: an answer is held several times over while it is read as a tree. A larger one counts as none; the
      * state service's changes after a long absence are the only answer without a bound.
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -1,7 +1,7 @@
 package copperglade.transport
 
 import copperglade.protocol.Endpoint
-import copperglade.protocol.UserWire
+import copperglade.protocol.UserApiCodec
 import io.netty.bootstrap.ServerBootstrap
 import io.netty.buffer.ByteBufUtil
 import io.netty.buffer.Unpooled
@@ -98,7 +98,10 @@
     private inner class BoundedAggregator : HttpObjectAggregator(longestBody) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, oversized: HttpMessage) {
             val response =
-                response(Reply(HttpStatus.BAD_REQUEST, UserWire.error("body over ${longestBody / KIB} KiB", "body")), keep = false)
+                response(
+                    Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("body over ${longestBody / KIB} KiB", "body")),
+                    keep = false,
+                )
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE)
         }
     }
@@ -108,13 +111,13 @@
             val keep = HttpUtil.isKeepAlive(message)
             idle.remove(context.channel())
             if (message.decoderResult().isFailure) {
-                answer(context.channel(), Reply(HttpStatus.BAD_REQUEST, UserWire.error("not HTTP")), keep = false)
+                answer(context.channel(), Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keep = false)
                 return
             }
             if (refused) {
                 answer(
                     context.channel(),
-                    Reply(HttpStatus.UNAVAILABLE, UserWire.error("too many connections"), retryAfterS = 1),
+                    Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("too many connections"), retryAfterSeconds = 1),
                     keep = false,
                 )
                 return
@@ -174,7 +177,7 @@
             val headers = response.headers()
             headers.setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body.size)
             if (reply.body.isNotEmpty()) headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
-            reply.retryAfterS?.let { headers.setInt(HttpHeaderNames.RETRY_AFTER, it) }
+            reply.retryAfterSeconds?.let { headers.setInt(HttpHeaderNames.RETRY_AFTER, it) }
             if (!keep) headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
             return response
         }
--- a/src/main/kotlin/copperglade/transport/Ports.kt
+++ b/src/main/kotlin/copperglade/transport/Ports.kt
@@ -37,13 +37,13 @@
     }
 }
 
-class Reply(val status: Int, val body: ByteArray = Request.NOTHING, val retryAfterS: Int? = null)
+class Reply(val status: Int, val body: ByteArray = Request.NOTHING, val retryAfterSeconds: Int? = null)
 
 /**
  * Sends requests to other processes. The answer is null where none came in time: then the request may have been
  * carried out, or may yet be.
  */
-fun interface HttpCaller {
+fun interface HttpClient {
     fun call(to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit)
 }
 
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -11,8 +11,8 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
 import copperglade.protocol.Revision
@@ -93,7 +93,9 @@
         "member" -> RecordCodec.encode(RecordCodec.decodeMember(value)!!)
         "lead" -> RecordCodec.encode(RecordCodec.decodeLeader(value)!!)
         "images" -> RecordCodec.encode(RecordCodec.decodeImages(value))
-        "room" -> RecordCodec.encodePeerStatus(PeerWire.encode(PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!))
+        "room" -> RecordCodec.encodePeerStatus(
+            PeerMessageCodec.encodeStatus(PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(value)!!)!!),
+        )
         else -> error("no such records: $directory")
     }
 
@@ -115,7 +117,10 @@
             assertEquals(listOf("box"), types)
             assertEquals("north", zone)
             assertEquals(listOf(false, false, true), listOf(oneZone, spread, spotAllowed))
-            assertEquals(listOf(20.0, 5.0, 1.0, 90.0), listOf(estimateS, checkpointS, saveS, deadlineS))
+            assertEquals(
+                listOf(20.0, 5.0, 1.0, 90.0),
+                listOf(estimatedSeconds, checkpointIntervalSeconds, checkpointSeconds, deadlineSeconds),
+            )
         }
     }
 
@@ -127,7 +132,7 @@
             assertEquals(Priority.HIGH, priority)
             assertNull(types)
             assertNull(zone)
-            assertNull(deadlineS)
+            assertNull(deadlineSeconds)
             assertFalse(spotAllowed)
         }
     }
@@ -247,7 +252,7 @@
     fun `a peer status that went through the state service`() {
         val sample = ProductionFiles.writes.first { it.directory == "room" }
         assertEquals("cg/now/room/lorry-0", sample.key)
-        val status = PeerWire.decode(RecordCodec.decodePeerStatus(sample.value)!!)!!
+        val status = PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(sample.value)!!)!!
         assertEquals(MemberId("lorry-0"), status.member)
         val machine = status.shards.flatMap { it.machines }.single()
         assertEquals(MachineName("i-000004"), machine.name)
@@ -263,7 +268,9 @@
     fun `every peer status is written again with the same bytes`() {
         val statuses = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
         assertEquals(KINDS_OF_STATUS, statuses.size, "${statuses.keys}")
-        statuses.forEach { (kind, bytes) -> assertArrayEquals(bytes, PeerWire.encode(PeerWire.decode(bytes)!!), kind) }
+        statuses.forEach { (kind, bytes) ->
+            assertArrayEquals(bytes, PeerMessageCodec.encodeStatus(PeerMessageCodec.decodeStatus(bytes)!!), kind)
+        }
     }
 
     @Test
@@ -272,9 +279,9 @@
         assertEquals(MemberId("lorry-2"), status.member)
         assertEquals(Incarnation(2), status.incarnation)
         assertEquals(Revision(51), status.knownRevision)
-        assertEquals(458, status.stateSilentMs)
+        assertEquals(458, status.stateSilentMillis)
         assertFalse(status.isLeader)
-        assertEquals(0.10845220000923077, status.writesWanted)
+        assertEquals(0.10845220000923077, status.desiredWritesPerSecond)
         assertEquals(listOf("north.1 6 1", "south.2 7 0"), status.shards.map { "${it.shard} ${it.fencingToken} ${it.machines.size}" })
         with(
             status.shards
@@ -284,7 +291,7 @@
         ) {
             assertEquals(listOf("i-000001", "box", "north"), listOf(name.text, type, zone))
             assertEquals(listOf(false, false, false), listOf(spot, usable, worthKeeping))
-            assertEquals(0, idleMs)
+            assertEquals(0, idleMillis)
             assertEquals(Resources(4.0, 0.0, 122.0), free)
             assertEquals(listOf(Resources.ZERO, Resources.ZERO, Resources(12.0, 0.0, 6.0), Resources.ZERO), preemptible)
             assertEquals(listOf("img-2", "img-1"), images.map { it.text })
@@ -295,7 +302,7 @@
     fun `a machine on loan that stands idle`() {
         val machine = peerStatus("note full machines usable").shards.flatMap { it.machines }.single()
         assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
-        assertEquals(142, machine.idleMs)
+        assertEquals(142, machine.idleMillis)
     }
 
     @Test
@@ -309,15 +316,15 @@
         assertEquals(listOf("i-000006"), peerStatus("note brief lead retire").retire.map { it.text })
     }
 
-    private fun peerStatus(kind: String): PeerStatus = PeerWire.decode(ProductionFiles.message(kind))!!
+    private fun peerStatus(kind: String): PeerStatus = PeerMessageCodec.decodeStatus(ProductionFiles.message(kind))!!
 
     @Test
     fun `a request for an endorsement and the notice of a cancellation`() {
         assertEquals("lorry-2", ProductionFiles.message("vouch").decodeToString())
         val bytes = ProductionFiles.message("cancelled")
-        val cancellation = PeerWire.decodeCancelled(bytes)!!.single()
+        val cancellation = PeerMessageCodec.decodeCancellations(bytes)!!.single()
         assertEquals(JobId("job-605") to Revision(37), cancellation.job to cancellation.revision)
-        assertArrayEquals(bytes, PeerWire.encodeCancelled(listOf(cancellation)))
+        assertArrayEquals(bytes, PeerMessageCodec.encodeCancellations(listOf(cancellation)))
     }
 
     /** Written field by field in the order of the wire, with values that occur nowhere else in it. */
@@ -347,19 +354,19 @@
             texts("i-2")
             writeDouble(12.5)
         }
-        val status = PeerWire.decode(bytes.toByteArray())!!
-        assertArrayEquals(bytes.toByteArray(), PeerWire.encode(status))
-        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.knownRevision.number, status.stateSilentMs))
+        val status = PeerMessageCodec.decodeStatus(bytes.toByteArray())!!
+        assertArrayEquals(bytes.toByteArray(), PeerMessageCodec.encodeStatus(status))
+        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.knownRevision.number, status.stateSilentMillis))
         assertEquals(listOf("z.1"), status.release.map { it.text })
         assertEquals(listOf("i-2"), status.retire.map { it.text })
-        assertEquals(12.5, status.writesWanted)
+        assertEquals(12.5, status.desiredWritesPerSecond)
         val machine = status.shards
             .single()
             .machines
             .single()
         assertEquals(listOf("i-1", "a", "z"), listOf(machine.name.text, machine.type, machine.zone))
         assertEquals(listOf(false, true, false), listOf(machine.spot, machine.usable, machine.worthKeeping))
-        assertEquals(5, machine.idleMs)
+        assertEquals(5, machine.idleMillis)
         assertEquals(Resources(1.0, 2.0, 3.0), machine.free)
         assertEquals(listOf(Resources(6.0, 7.0, 8.0)), machine.preemptible)
         assertEquals(listOf(ImageName("img-1")), machine.images)
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -5,9 +5,9 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.Json
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.protocol.TeamName
 import copperglade.settings.Team
 import copperglade.sim.SimSite
@@ -118,7 +118,7 @@
     val text = """{"nameId":"job-604","load":"batch","crew":"team","haul":"array","urgency":"best_effort","boxes":2,"vcpus":1.5,
         "gpus":0.0,"memoryGb":2.25,"manifest":"img-3","pullGb":0.5,"fleets":["box"],"depot":"north","oneZone":false,
         "spread":false,"borrowed":true,"etaS":20.0,"waypointS":5.0,"unloadS":1.0,"dueS":90.0}"""
-    return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedJob.Good).spec
+    return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedSubmission.Valid).spec
 }
 
 private const val STEP_S = 0.25
@@ -138,9 +138,9 @@
 
     private fun heard(request: Request) = when (request.path) {
         "/multi" -> heardTransaction(request.body)
-        PeerWire.PATH -> keepShortest(statusKind(PeerWire.decode(request.body)!!), request.body)
-        PeerWire.ENDORSEMENT_PATH -> keepShortest("vouch", request.body)
-        PeerWire.CANCELLED_PATH -> keepShortest("cancelled", request.body)
+        PeerMessageCodec.STATUS_PATH -> keepShortest(statusKind(PeerMessageCodec.decodeStatus(request.body)!!), request.body)
+        PeerMessageCodec.ENDORSEMENT_PATH -> keepShortest("vouch", request.body)
+        PeerMessageCodec.CANCELLATIONS_PATH -> keepShortest("cancelled", request.body)
         else -> Unit
     }
 
@@ -199,7 +199,7 @@
         "task" -> listOf(key.split('/')[3]) + packedRecordFeatures(value) + groupFeatures(value)
         "work" -> packedRecordFeatures(value)
         "block" -> listOf(if (value.get("inc").asLong() == 0L) "given up" else "owned")
-        "room" -> listOf(statusKind(PeerWire.decode(value.get("note").binaryValue())!!))
+        "room" -> listOf(statusKind(PeerMessageCodec.decodeStatus(value.get("note").binaryValue())!!))
         "images" -> listOf(if (value.isEmpty) "empty" else "filled")
         "cg" -> listOf(value.get("status").asText())
         else -> emptyList()
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -1,23 +1,23 @@
 package copperglade.compat
 
 import copperglade.protocol.Attempt
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Command
 import copperglade.protocol.ExitCause
 import copperglade.protocol.FencingToken
-import copperglade.protocol.JobAnswer
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.JobStatus
+import copperglade.protocol.JobSummary
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerWire
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.Priority
 import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
-import copperglade.protocol.UserWire
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.UserApiCodec
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.storage.Keys
 import copperglade.storage.ParsedKey
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -81,60 +81,69 @@
 
     @Test
     fun `paths between controllers`() {
-        assertEquals(listOf("/note", "/vouch", "/cancelled"), listOf(PeerWire.PATH, PeerWire.ENDORSEMENT_PATH, PeerWire.CANCELLED_PATH))
+        assertEquals(
+            listOf("/note", "/vouch", "/cancelled"),
+            listOf(PeerMessageCodec.STATUS_PATH, PeerMessageCodec.ENDORSEMENT_PATH, PeerMessageCodec.CANCELLATIONS_PATH),
+        )
     }
 
     @Test
     fun `paths of users and workers`() {
-        assertEquals(listOf("/submissions", "/healthz", "cancel"), listOf(UserWire.JOBS_PATH, UserWire.HEALTH_PATH, UserWire.CANCEL_END))
-        assertEquals(listOf("/checkin", "/do"), listOf(WorkerWire.HEARTBEAT_PATH, WorkerWire.COMMAND_PATH))
+        assertEquals(
+            listOf("/submissions", "/healthz", "cancel"),
+            listOf(UserApiCodec.JOBS_PATH, UserApiCodec.HEALTH_PATH, UserApiCodec.CANCEL_SUFFIX),
+        )
+        assertEquals(listOf("/checkin", "/do"), listOf(WorkerMessageCodec.HEARTBEAT_PATH, WorkerMessageCodec.COMMAND_PATH))
     }
 
     @Test
     fun `words of the job descriptions`() {
-        assertEquals(listOf("array", "daemon", "ensemble"), JobKind.entries.map { it.wire })
-        assertEquals(listOf("prod", "urgent", "normal", "best_effort"), Priority.entries.map { it.wire })
+        assertEquals(listOf("array", "daemon", "ensemble"), JobKind.entries.map { it.wireName })
+        assertEquals(listOf("prod", "urgent", "normal", "best_effort"), Priority.entries.map { it.wireName })
     }
 
     @Test
     fun `answers to users`() {
         val id = JobId("job-7")
-        assertEquals(listOf("queued", "running", "done", "aborted"), JobStatus.entries.map { it.wire })
+        assertEquals(listOf("queued", "running", "done", "aborted"), JobStatus.entries.map { it.wireName })
         assertEquals(
             """{"nameId":"job-7","status":"running","done":2,"running":3}""",
-            UserWire.full(JobAnswer(id, JobStatus.RUNNING, done = 2, running = 3)).decodeToString(),
+            UserApiCodec.encodeSummary(JobSummary(id, JobStatus.RUNNING, done = 2, running = 3)).decodeToString(),
         )
-        assertEquals("""{"nameId":"job-7","status":"aborted"}""", UserWire.short(id, JobStatus.CANCELLED).decodeToString())
-        assertEquals("""{"error":"no such job"}""", UserWire.error("no such job").decodeToString())
-        assertEquals("""{"error":"boxes: missing","field":"boxes"}""", UserWire.error("boxes: missing", "boxes").decodeToString())
+        assertEquals("""{"nameId":"job-7","status":"aborted"}""", UserApiCodec.encodeStatus(id, JobStatus.CANCELLED).decodeToString())
+        assertEquals("""{"error":"no such job"}""", UserApiCodec.encodeError("no such job").decodeToString())
+        assertEquals("""{"error":"boxes: missing","field":"boxes"}""", UserApiCodec.encodeError("boxes: missing", "boxes").decodeToString())
     }
 
     @Test
     fun `answers and commands to workers`() {
         val task = TaskId(JobId("job-7"), 3)
         val commands =
-            listOf(Command.Start(task, Attempt(9)), Command.Stop(task, Attempt(8), graceS = 2.5), Command.Remove(task, Attempt(7)))
+            listOf(Command.Start(task, Attempt(9)), Command.Stop(task, Attempt(8), graceSeconds = 2.5), Command.Remove(task, Attempt(7)))
         val dispatches = """"dispatches":[{"order":"start","box":"job-7/3","trip":9},""" +
             """{"order":"halt","box":"job-7/3","trip":8,"leewayS":2.5},{"order":"reap","box":"job-7/3","trip":7}]"""
-        assertEquals("""{"baton":4,$dispatches}""", WorkerWire.answer(FencingToken(4), commands).decodeToString())
-        assertEquals("""{"baton":4,"shift":2,$dispatches}""", WorkerWire.order(FencingToken(4), epoch = 2, commands).decodeToString())
-        assertEquals("""{"dispatcher":"lorry-1"}""", WorkerWire.sendOn(MemberId("lorry-1")).decodeToString())
-        assertEquals("{}", WorkerWire.sendOn(null).decodeToString())
+        assertEquals("""{"baton":4,$dispatches}""", WorkerMessageCodec.encodeHeartbeatReply(FencingToken(4), commands).decodeToString())
+        assertEquals(
+            """{"baton":4,"shift":2,$dispatches}""",
+            WorkerMessageCodec.encodeCommands(FencingToken(4), epoch = 2, commands).decodeToString(),
+        )
+        assertEquals("""{"dispatcher":"lorry-1"}""", WorkerMessageCodec.encodeRedirect(MemberId("lorry-1")).decodeToString())
+        assertEquals("{}", WorkerMessageCodec.encodeRedirect(null).decodeToString())
     }
 
     @Test
     fun `reports of workers`() {
-        assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), ReportedTaskState.entries.map { it.wire })
-        assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wire })
+        assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), ReportedTaskState.entries.map { it.wireName })
+        assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wireName })
         val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
             "baton":4,"recallS":2.5,"boxes":[{"box":"job-1/3","trip":2,"status":"ended","cause":"halted"}]}"""
-        val heartbeat = WorkerWire.parseHeartbeat(text.toByteArray())!!
+        val heartbeat = WorkerMessageCodec.decodeHeartbeat(text.toByteArray())!!
         assertEquals(
             listOf("i-1", "10.0.0.1:9000", "g", "a"),
             listOf(heartbeat.machine.text, "${heartbeat.endpoint}", heartbeat.type, heartbeat.zone),
         )
         assertEquals(listOf(1L, 8L, 4L), listOf(heartbeat.epoch, heartbeat.sequenceNumber, heartbeat.fencingToken.number))
-        assertEquals(true to 2.5, heartbeat.spot to heartbeat.noticeS)
+        assertEquals(true to 2.5, heartbeat.spot to heartbeat.evictionNoticeSeconds)
         val reportedTask = heartbeat.reportedTasks.single()
         assertEquals("job-1/3" to 2L, "${reportedTask.task}" to reportedTask.attempt.number)
         assertEquals(ReportedTaskState.EXITED to ExitCause.STOPPED, reportedTask.state to reportedTask.cause)
@@ -148,8 +157,11 @@
     fun `requests to the cloud`() {
         assertEquals(
             """{"hire":"r-1","fleet":"box","depot":"north","borrowed":true,"howMany":3}""",
-            CloudWire.rental("r-1", "box", "north", spot = true, count = 3).decodeToString(),
+            CloudApiCodec.encodeRental("r-1", "box", "north", spot = true, count = 3).decodeToString(),
+        )
+        assertEquals(
+            """{"trucks":["i-1","i-2"]}""",
+            CloudApiCodec.encodeDeletion(listOf(MachineName("i-1"), MachineName("i-2"))).decodeToString(),
         )
-        assertEquals("""{"trucks":["i-1","i-2"]}""", CloudWire.deletion(listOf(MachineName("i-1"), MachineName("i-2"))).decodeToString())
     }
 }
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -7,8 +7,8 @@
 import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardCapacity
@@ -41,7 +41,7 @@
         spot = true,
         usable = true,
         worthKeeping = true,
-        idleMs = 5,
+        idleMillis = 5,
         free = Resources(1.0, 2.0, 3.0),
         preemptible = List(4) { Resources(4.0, 0.0, 1.0) },
         images = emptyList(),
@@ -56,7 +56,7 @@
         listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::memberCapacity))),
         emptyList(),
         emptyList(),
-        writesWanted = 1.0,
+        desiredWritesPerSecond = 1.0,
     )
 
     @Test
@@ -77,7 +77,7 @@
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
         val value = Json.read(service.text(Keys.memberCapacity(SELF))!!.toByteArray())!!
-        val told = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
+        val told = PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
             told.shards
                 .single()
--- a/src/test/kotlin/copperglade/membership/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessTest.kt
@@ -17,18 +17,18 @@
         val random = Random(1)
         var accepted = 0
         repeat(20_000) {
-            val leaseS = 1.0 + random.nextDouble() * 60.0
-            val cancelS = leaseS + 0.01 + random.nextDouble() * random.nextDouble() * 60.0
+            val leaseSeconds = 1.0 + random.nextDouble() * 60.0
+            val cancelSeconds = leaseSeconds + 0.01 + random.nextDouble() * random.nextDouble() * 60.0
             val operatorSettings = OperatorSettings(stalenessMargin = (500 + random.nextInt(8000)).milliseconds)
             val limit = try {
-                Controller.stalenessLimit(leaseS, cancelS, operatorSettings).toDouble(DurationUnit.SECONDS)
+                Controller.stalenessLimit(leaseSeconds, cancelSeconds, operatorSettings).toDouble(DurationUnit.SECONDS)
             } catch (_: InvalidSettingException) {
                 return@repeat
             }
             accepted++
             // Both clocks may run 0.05% slower than the user's; a timer is a few milliseconds late.
-            val gone = (limit + leaseS) * 1.001 + 0.02
-            assertTrue(gone < cancelS, "$gone s of $cancelS with a lease of $leaseS")
+            val gone = (limit + leaseSeconds) * 1.001 + 0.02
+            assertTrue(gone < cancelSeconds, "$gone s of $cancelSeconds with a lease of $leaseSeconds")
         }
         assertTrue(accepted > 10_000, "$accepted accepted")
     }
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -19,11 +19,11 @@
 
     @Test
     fun `a job survives its own wire form`() {
-        val spec = (JobSpecCodec.parse(Json.read(job.toByteArray())) as ParsedJob.Good).spec
+        val spec = (JobSpecCodec.parse(Json.read(job.toByteArray())) as ParsedSubmission.Valid).spec
         val again = (
             JobSpecCodec.parse(
                 Json.read(Json.write { JobSpecCodec.write(this, spec) }),
-            ) as ParsedJob.Good
+            ) as ParsedSubmission.Valid
         ).spec
         assertEquals(spec.id, again.id)
         assertEquals(spec.request, again.request)
@@ -49,19 +49,19 @@
     )
     fun `bad fields are named`(part: String, by: String, field: String) {
         val parsed = JobSpecCodec.parse(Json.read(job.replace(part, by).toByteArray()))
-        assertEquals(field, (parsed as ParsedJob.Bad).why.field)
+        assertEquals(field, (parsed as ParsedSubmission.Invalid).why.field)
     }
 
     @Test
     fun `cancellations survive their own wire form, and other bytes are none`() {
         val sent = listOf(Cancellation(JobId("job-7"), Revision(12)), Cancellation(JobId("job-000412"), Revision(1L shl 40)))
-        val bytes = PeerWire.encodeCancelled(sent)
-        assertEquals(sent.map { it.job to it.revision }, PeerWire.decodeCancelled(bytes)!!.map { it.job to it.revision })
+        val bytes = PeerMessageCodec.encodeCancellations(sent)
+        assertEquals(sent.map { it.job to it.revision }, PeerMessageCodec.decodeCancellations(bytes)!!.map { it.job to it.revision })
         val random = Random(2)
         repeat(2000) {
             val broken = bytes.copyOf(random.nextInt(bytes.size))
             if (broken.size > 1) broken[random.nextInt(broken.size)] = random.nextInt(256).toByte()
-            assertNull(PeerWire.decodeCancelled(broken))
+            assertNull(PeerMessageCodec.decodeCancellations(broken))
         }
     }
 
@@ -76,30 +76,30 @@
     /** The plain way to read a report, by a tree: what the streaming one must agree with. */
     private fun plainHeartbeat(bytes: ByteArray): String? {
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
-        val reportedTasks = root.present("boxes")
+        val reportedTasks = root.fieldOrNull("boxes")
         if (reportedTasks != null && !reportedTasks.isArray) return null
         val read = reportedTasks?.map { node ->
-            val task = node.text("box")?.let { TaskId.parse(it) } ?: return null
-            val state = ReportedTaskState.entries.firstOrNull { it.wire == node.text("status") } ?: return null
-            val cause = node.text("cause")?.let { word -> ExitCause.entries.firstOrNull { it.wire == word } ?: ExitCause.OTHER }
-            ReportedTask(task, Attempt(node.long("trip") ?: return null), state, cause)
+            val task = node.stringOrNull("box")?.let { TaskId.parse(it) } ?: return null
+            val state = ReportedTaskState.entries.firstOrNull { it.wireName == node.stringOrNull("status") } ?: return null
+            val cause = node.stringOrNull("cause")?.let { word -> ExitCause.entries.firstOrNull { it.wireName == word } ?: ExitCause.OTHER }
+            ReportedTask(task, Attempt(node.longOrNull("trip") ?: return null), state, cause)
         }
         return listOf(
-            root.text("truck") ?: return null,
-            root.text("addr")?.let { Endpoint.parse(it) } ?: return null,
-            root.text("fleet") ?: return null,
-            root.text("depot") ?: return null,
-            root.flag("borrowed") ?: return null,
-            root.long("shift") ?: return null,
-            root.long("tally") ?: return null,
-            root.long("baton") ?: 0L,
-            root.number("recallS"),
+            root.stringOrNull("truck") ?: return null,
+            root.stringOrNull("addr")?.let { Endpoint.parse(it) } ?: return null,
+            root.stringOrNull("fleet") ?: return null,
+            root.stringOrNull("depot") ?: return null,
+            root.booleanOrNull("borrowed") ?: return null,
+            root.longOrNull("shift") ?: return null,
+            root.longOrNull("tally") ?: return null,
+            root.longOrNull("baton") ?: 0L,
+            root.doubleOrNull("recallS"),
             read.orEmpty(),
         ).toString()
     }
 
     private fun asText(heartbeat: Heartbeat) = with(heartbeat) {
-        listOf(machine, endpoint, type, zone, spot, epoch, sequenceNumber, fencingToken, noticeS, reportedTasks).toString()
+        listOf(machine, endpoint, type, zone, spot, epoch, sequenceNumber, fencingToken, evictionNoticeSeconds, reportedTasks).toString()
     }
 
     @ParameterizedTest
@@ -116,7 +116,7 @@
             var text = whole
             values.filter { random.nextInt(8) == 0 }.reversed().forEach { text = text.replaceRange(it, odd[random.nextInt(odd.size)]) }
             if (random.nextInt(10) == 0) text = text.take(random.nextInt(text.length))
-            val read = WorkerWire.parseHeartbeat(text.toByteArray())
+            val read = WorkerMessageCodec.decodeHeartbeat(text.toByteArray())
             assertEquals(plainHeartbeat(text.toByteArray()), read?.let(::asText), text)
             if (read != null) sound++
         }
@@ -125,8 +125,8 @@
 
     @Test
     fun `bad reports are no reports`() {
-        assertNull(WorkerWire.parseHeartbeat("[]".toByteArray()))
-        assertNull(WorkerWire.parseHeartbeat("""{"truck":"i-1"}""".toByteArray()))
+        assertNull(WorkerMessageCodec.decodeHeartbeat("[]".toByteArray()))
+        assertNull(WorkerMessageCodec.decodeHeartbeat("""{"truck":"i-1"}""".toByteArray()))
     }
 
     @Test
@@ -138,7 +138,7 @@
             spot = true,
             usable = true,
             worthKeeping = true,
-            idleMs = 5,
+            idleMillis = 5,
             free = Resources(1.0, 2.0, 3.0),
             preemptible = listOf(Resources.ZERO, Resources(4.0, 0.0, 1.0)),
             images = listOf(ImageName("img-1")),
@@ -152,14 +152,14 @@
             listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(room))),
             listOf(ShardName("z.1")),
             listOf(MachineName("i-2")),
-            writesWanted = 12.5,
+            desiredWritesPerSecond = 12.5,
         )
-        val bytes = PeerWire.encode(status)
-        val again = PeerWire.decode(bytes)!!
+        val bytes = PeerMessageCodec.encodeStatus(status)
+        val again = PeerMessageCodec.decodeStatus(bytes)!!
         assertEquals(status.knownRevision, again.knownRevision)
         assertEquals(room.preemptible, again.shards[0].machines[0].preemptible)
         assertEquals(status.retire, again.retire)
-        for (cut in 0 until bytes.size) assertNull(PeerWire.decode(bytes.copyOf(cut)))
+        for (cut in 0 until bytes.size) assertNull(PeerMessageCodec.decodeStatus(bytes.copyOf(cut)))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -90,7 +90,7 @@
         epoch = 1,
         sequenceNumber = 1,
         fencingToken = FencingToken(1),
-        noticeS = null,
+        evictionNoticeSeconds = null,
         reportedTasks = jobs.map { ReportedTask(TaskId(it, 0), Attempt(1), ReportedTaskState.RUNNING, null) },
     )
 
--- a/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
@@ -25,16 +25,16 @@
             {"kind":"finished","class":"check","within_s":180},{"kind":"of another day","class":7},
             {"kind":"deadline","class":"render","times":1.5},{"kind":"deadline","class":"render"},{"kind":"guarantee","within_s":3}]""",
         )
-        assertEquals(170.0, stated.latestEndS("render", 20.0))
-        assertEquals(250.0, stated.latestEndS("render", 120.0))
-        assertEquals(180.0, stated.latestEndS("check", 20.0))
-        assertNull(stated.latestEndS("web", 20.0))
-        assertEquals(listOf(1.0, 1.5), stated.deadlineTimes["render"])
-        assertEquals(3.0, stated.guaranteeWithinS)
+        assertEquals(170.0, stated.latestEndSeconds("render", 20.0))
+        assertEquals(250.0, stated.latestEndSeconds("render", 120.0))
+        assertEquals(180.0, stated.latestEndSeconds("check", 20.0))
+        assertNull(stated.latestEndSeconds("web", 20.0))
+        assertEquals(listOf(1.0, 1.5), stated.deadlineMultiples["render"])
+        assertEquals(3.0, stated.guaranteeWithinSeconds)
     }
 
     @Test
-    fun `without objectives nothing has a latest end`() = assertNull(settings(null).latestEndS("render", 20.0))
+    fun `without objectives nothing has a latest end`() = assertNull(settings(null).latestEndSeconds("render", 20.0))
 
     @ParameterizedTest
     @CsvSource(
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -1,6 +1,6 @@
 package copperglade.settings
 
-import copperglade.protocol.present
+import copperglade.protocol.fieldOrNull
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -17,7 +17,9 @@
         "cloud":{"rps":1,"list_lag_s":1},"resources":{"fd_limit":100}}}""".toByteArray(),
     )
 
-    private fun limits(next: String) = with(settings(next)) { listOf(stateRps, stateWriteRps, valueKb, transactionWrites) }
+    private fun limits(next: String) = with(
+        settings(next),
+    ) { listOf(stateRequestsPerSecond, stateWritesPerSecond, valueKb, transactionWrites) }
 
     @Test
     fun `the lower one of present and announced limits holds, field by field`() {
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -5,8 +5,8 @@
 import copperglade.protocol.JobKind
 import copperglade.protocol.Json
 import copperglade.protocol.ShardName
-import copperglade.protocol.long
-import copperglade.protocol.obj
+import copperglade.protocol.longOrNull
+import copperglade.protocol.writeJsonObject
 import copperglade.storage.AssignmentGroup
 import copperglade.storage.AssignmentRange
 import copperglade.storage.Keys
@@ -23,7 +23,7 @@
 class EarlierLeaderTest {
     private fun SimSite.revisionOf(key: String): Long {
         var revision = 0L
-        state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.long("stamp")!! }
+        state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.longOrNull("stamp")!! }
         return revision
     }
 
@@ -37,9 +37,9 @@
         val page = AssignmentRange(groups, BitSet(), 1, shards.size, 1)
         val record = RecordCodec.encodePackedRecord(mapOf(TaskRange(job, 0) to RecordCodec.encode(page)))
         val body = Json.write {
-            obj {
+            writeJsonObject {
                 writeArrayFieldStart("writes")
-                obj {
+                writeJsonObject {
                     writeStringField("set", "${Keys.assignmentRecords(JobKind.ARRAY)}900")
                     writeFieldName("data")
                     writeRawValue(record.decodeToString())
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -52,7 +52,7 @@
 
     @Test
     fun `without telling mistaken jobs from machines, sound machines are replaced`() {
-        val site = siteWithFailingJobs(2404, OperatorSettings(machinesToBlameJob = 1_000))
+        val site = siteWithFailingJobs(2404, OperatorSettings(failingJobMachineThreshold = 1_000))
         site.run(75.0)
         val machines = site.workerNames()
         site.run(60.0)
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -11,12 +11,12 @@
 class FleetTest {
     private val fleet = SiteScale(
         machinesPerZone = 365,
-        heartbeatIntervalS = 4.0,
-        leaseS = 22.0,
-        cancelS = 42.0,
-        stateRps = 400.0,
-        stateWriteRps = 100.0,
-        cloudRps = 9.0,
+        heartbeatIntervalSeconds = 4.0,
+        leaseSeconds = 22.0,
+        cancelSeconds = 42.0,
+        stateRequestsPerSecond = 400.0,
+        stateWritesPerSecond = 100.0,
+        cloudRequestsPerSecond = 9.0,
         guaranteedCpus = 6000.0,
         teamCpus = 24_000.0,
     )
@@ -64,14 +64,14 @@
     fun `four thousand machines from nothing, a leader's end, and half of them lost at once`() {
         val huge = SiteScale(
             machinesPerZone = 1000,
-            heartbeatIntervalS = 6.0,
-            leaseS = 30.0,
-            cancelS = 60.0,
-            stateRps = 600.0,
-            stateWriteRps = 200.0,
+            heartbeatIntervalSeconds = 6.0,
+            leaseSeconds = 30.0,
+            cancelSeconds = 60.0,
+            stateRequestsPerSecond = 600.0,
+            stateWritesPerSecond = 200.0,
             valueKb = 32.0,
             transactionWrites = 20,
-            cloudRps = 12.0,
+            cloudRequestsPerSecond = 12.0,
             guaranteedCpus = 20_000.0,
             teamCpus = 80_000.0,
         )
@@ -105,7 +105,8 @@
     @ParameterizedTest
     @ValueSource(longs = [2, 3])
     fun `dozens of machines hang, die or lose the network at once`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 60, teamCpus = 5000.0, stateWriteRps = 100.0), nodes = 3)
+        val site =
+            SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 60, teamCpus = 5000.0, stateWritesPerSecond = 100.0), nodes = 3)
         services(site, 80)
         arrays(site, 60, tasks = 30, workS = 8.0)
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/GuestsAndCrowdsTest.kt
+++ b/src/test/kotlin/copperglade/sim/GuestsAndCrowdsTest.kt
@@ -71,7 +71,7 @@
         assertTrue(answered >= asked * 0.99, "$answered of $asked answered")
         // Many questions share a reading, and what is over needs none: the state service hears little of the crowd.
         val readsPerS = (site.state.reads - reads) / 22.0
-        assertTrue(readsPerS < scale.stateRps, "$readsPerS readings a second")
+        assertTrue(readsPerS < scale.stateRequestsPerSecond, "$readsPerS readings a second")
         assertEquals(running, site.runningTasks().filterKeys { it in running }.mapValues { it.value.name })
         site.assertKept()
     }
--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.Json
 import copperglade.protocol.TeamName
-import copperglade.protocol.text
+import copperglade.protocol.stringOrNull
 import copperglade.settings.Team
 import copperglade.storage.Keys
 import copperglade.transport.Method
@@ -536,7 +536,7 @@
             for ((number, status) in listOf(2 to "queued", 3 to "done")) {
                 val reply = site.submitRaw(number, awaits, node = site.sim.random.nextInt(site.nodes))
                 assertEquals(200, reply?.status, "job-$number with $awaits")
-                assertEquals(status, Json.read(reply!!.body)!!.text("status"), "job-$number with $awaits")
+                assertEquals(status, Json.read(reply!!.body)!!.stringOrNull("status"), "job-$number with $awaits")
             }
         }
         // The repeats have changed nothing.
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -8,10 +8,10 @@
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.TaskId
 import copperglade.protocol.TeamName
-import copperglade.protocol.text
+import copperglade.protocol.stringOrNull
 import copperglade.settings.OperatorSettings
 import copperglade.settings.Peer
 import copperglade.settings.PlatformSettings
@@ -36,18 +36,18 @@
 /** How large a site is, and what its outside allows. */
 class SiteScale(
     val machinesPerZone: Int = 4,
-    val heartbeatIntervalS: Double = 1.5,
-    val leaseS: Double = 10.0,
-    val cancelS: Double = 30.0,
-    val stateRps: Double = 200.0,
-    val stateWriteRps: Double = 50.0,
+    val heartbeatIntervalSeconds: Double = 1.5,
+    val leaseSeconds: Double = 10.0,
+    val cancelSeconds: Double = 30.0,
+    val stateRequestsPerSecond: Double = 200.0,
+    val stateWritesPerSecond: Double = 50.0,
     val valueKb: Double = 4.0,
     val transactionWrites: Int = 12,
-    val cloudRps: Double = 6.0,
+    val cloudRequestsPerSecond: Double = 6.0,
     val guaranteedCpus: Double = 16.0,
     val teamCpus: Double = 60.0,
 ) {
-    val stateLimits get() = StateLimits(stateRps, stateWriteRps, valueKb, transactionWrites)
+    val stateLimits get() = StateLimits(stateRequestsPerSecond, stateWritesPerSecond, valueKb, transactionWrites)
 }
 
 /**
@@ -60,9 +60,9 @@
     private val scale: SiteScale = SiteScale(),
     private val slowMachine: String? = null,
     /** The lease that the controllers are told; another than the workers' own only to see the referee at work. */
-    private val toldLeaseS: Double = scale.leaseS,
+    private val toldLeaseS: Double = scale.leaseSeconds,
     private val toldCpusMax: Double = scale.teamCpus,
-    private val toldCancelS: Double = scale.cancelS,
+    private val toldCancelS: Double = scale.cancelSeconds,
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
     /** Another limit of staleness for the controllers of the first zone, only to see the referee at work. */
@@ -85,7 +85,7 @@
         listOf(CloudType("box", 16.0, 128.0, 6.0, scale.machinesPerZone)),
         ZONES,
         ::boot,
-        scale.cloudRps,
+        scale.cloudRequestsPerSecond,
         { workers.remove(it.name)?.die() },
     )
 
@@ -100,7 +100,7 @@
     val cloudRefusals: Int get() = cloud.refused
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, User>()
-    private val pipelines = PipelineReferee(users, { sim.nowMs }, scale.cancelS * 1000, ::breach)
+    private val pipelines = PipelineReferee(users, { sim.nowMs }, scale.cancelSeconds * 1000, ::breach)
     private val onMachine = HashMap<TaskId, StandInWorker>()
 
     /** By job, where its tasks on machines are; by team, what they use. */
@@ -169,16 +169,16 @@
         zones = ZONES,
         teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, toldCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
-        heartbeatIntervalS = scale.heartbeatIntervalS,
-        leaseS = toldLeaseS,
-        cancelS = toldCancelS,
-        stateRps = limitsOf(node).requestsPerS,
-        stateWriteRps = limitsOf(node).writesPerS,
+        heartbeatIntervalSeconds = scale.heartbeatIntervalSeconds,
+        leaseSeconds = toldLeaseS,
+        cancelSeconds = toldCancelS,
+        stateRequestsPerSecond = limitsOf(node).requestsPerS,
+        stateWritesPerSecond = limitsOf(node).writesPerS,
         valueKb = limitsOf(node).valueKb,
         transactionWrites = limitsOf(node).transactionWrites,
-        cloudRps = scale.cloudRps,
-        listLagS = 0.5,
-        socketLimit = 3000,
+        cloudRequestsPerSecond = scale.cloudRequestsPerSecond,
+        listLagSeconds = 0.5,
+        fileDescriptorLimit = 3000,
     )
 
     fun startController(node: Int) {
@@ -335,7 +335,7 @@
         val endpoint = Endpoint(machine.address.substringBefore(':'), 9000)
         val loop = SimLoop(sim, drift = sim.random.nextDouble() * 0.0005)
         val speed = if (machine.name == slowMachine) SLOW else 1.0
-        val site = WorkerSite(scale.heartbeatIntervalS, scale.leaseS, (0 until nodes).map { MemberId(name(it)) to client(it) })
+        val site = WorkerSite(scale.heartbeatIntervalSeconds, scale.leaseSeconds, (0 until nodes).map { MemberId(name(it)) to client(it) })
         val worker = StandInWorker(
             loop,
             network.callerOf(machine.name, loop),
@@ -347,7 +347,7 @@
             machine.zone,
             machine.spot,
             machine.type.cpus,
-            fetchGbPerS = 1.0,
+            fetchGbPerSecond = 1.0,
             speed = speed,
         )
         workers[machine.name] = worker
@@ -419,15 +419,15 @@
 
     private fun checkCancelled(task: TaskId) {
         val told = pipelines.cancelledAt(users.getValue(task.job)) ?: return
-        if (sim.nowMs - told > scale.cancelS * 1000) breach("ran_cancelled", "$task")
+        if (sim.nowMs - told > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
     /** A start sent after its job's cancellation was confirmed, by somebody who must have known or had stopped knowing anything. */
     private fun checkCommands(body: ByteArray) {
         val node = Json.read(body) ?: return
         for (command in node.get("dispatches") ?: return) {
-            if (command.text("order") != "start") continue
-            val task = TaskId.parse(command.text("box")!!)!!
+            if (command.stringOrNull("order") != "start") continue
+            val task = TaskId.parse(command.stringOrNull("box")!!)!!
             val told = users[task.job]?.let(pipelines::cancelledAt) ?: continue
             if (knowsAtOnce || sim.nowMs - told > START_KNOWN_S * 1000) breach("started_cancelled", "$task")
         }
@@ -505,7 +505,7 @@
         request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.awaits))) { reply ->
             if (reply?.status in REFUSED) breach("forgotten", "repeat of ${user.spec.id}: ${reply?.status}")
             if (reply?.status == 201) breach("forgotten", "${user.spec.id} accepted once more")
-            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.text("status")!!, askedAt)
+            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
         }
     }
 
@@ -540,7 +540,7 @@
         val askedAt = sim.nowMs
         requestAt(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == 404) breach("forgotten", "$id is unknown")
-            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.text("status")!!, askedAt)
+            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
         }
     }
 
@@ -550,7 +550,7 @@
             if (reply?.status == 404) breach("forgotten", "${user.spec.id} is unknown")
             if (reply?.status == 200) {
                 user.answeredAt = sim.nowMs
-                learn(user, Json.read(reply.body)!!.text("status")!!, askedAt)
+                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
             }
             // Also what is long done is asked for to the end.
             later(if (user.finished) 15.0 else 5.0) { poll(user) }
@@ -578,7 +578,7 @@
             if (reply?.status ==
                 200
             ) {
-                learn(user, Json.read(reply.body)!!.text("status")!!, askedAt)
+                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
             } else {
                 later(1.0) { cancel(id) }
             }
@@ -595,7 +595,7 @@
                 val askedAt = sim.nowMs
                 request(Request(Method.POST, "/submissions/${user.spec.id}/cancel")) { reply ->
                     if (reply?.status == 404) breach("forgotten", "cancel of ${user.spec.id}")
-                    if (reply?.status == 200) learn(user, Json.read(reply.body)!!.text("status")!!, askedAt)
+                    if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
                 }
             }
             2 -> request(Request(Method.GET, "/submissions/job-$number")) { if (it?.status == 200) breach("invented", "job-$number") }
@@ -686,7 +686,7 @@
                 "\"$it\""
             }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else etaS},
                 "waypointS":${if (saveS > 0.0) CHECKPOINT_S else 0.0},"unloadS":$saveS,"dueS":$dueS}"""
-            return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedJob.Good).spec
+            return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedSubmission.Valid).spec
         }
     }
 }
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.Endpoint
 import copperglade.protocol.MonotonicTime
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Reply
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
@@ -219,7 +219,7 @@
         }
     }
 
-    fun callerOf(name: String, loop: SimLoop) = HttpCaller { to, original, timeout, done ->
+    fun callerOf(name: String, loop: SimLoop) = HttpClient { to, original, timeout, done ->
         var over = false
 
         fun finish(reply: Reply?) {
@@ -233,10 +233,10 @@
         if (copyOneIn > 0 && request.path == "/checkin" && sim.random.nextInt(copyOneIn) == 0) copy(to, request)
         if (request.path == "/do") commandsSent(request.body)
         val host = hosts[to]
-        if (swallows(request)) return@HttpCaller
+        if (swallows(request)) return@HttpClient
         if (host == null || !host.loop.alive) {
             loop.after(2.milliseconds) { finish(null) }
-            return@HttpCaller
+            return@HttpClient
         }
         val path = request.path.substringBefore('?')
         val back = Passage(host.name, name, path, answer = true)
--- a/src/test/kotlin/copperglade/soak/SoakNetwork.kt
+++ b/src/test/kotlin/copperglade/soak/SoakNetwork.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Reply
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
@@ -139,7 +139,7 @@
     }
 
     /** The requests that [from] sends over [caller] to those of whom [nameOf] tells. */
-    fun caller(from: String, caller: HttpCaller, nameOf: (Endpoint) -> String) = HttpCaller { to, request, timeout, done ->
+    fun caller(from: String, caller: HttpClient, nameOf: (Endpoint) -> String) = HttpClient { to, request, timeout, done ->
         val path = request.path.substringBefore('?')
         val name = nameOf(to)
         var over = false
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -5,8 +5,8 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
 import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.obj
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.sim.SimSite
 import copperglade.standin.CloudType
 import copperglade.standin.StandInCloud
@@ -16,9 +16,9 @@
 import copperglade.standin.World
 import copperglade.storage.Keys
 import copperglade.transport.FaultBarrier
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.NettyEventLoop
-import copperglade.transport.NettyHttpCaller
+import copperglade.transport.NettyHttpClient
 import copperglade.transport.NettyHttpServer
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -57,7 +57,7 @@
 
     private val failure = CompletableFuture<Throwable>()
     val loop = NettyEventLoop(FaultBarrier { failure.complete(it) })
-    private val http = NettyHttpCaller(loop)
+    private val http = NettyHttpClient(loop)
     val random = Random(seed)
     val network = SoakNetwork(loop, random)
     val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS).toLong(), teamCpus)
@@ -128,21 +128,21 @@
     }
 
     private fun settingsOf(node: Int): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             writeStringField("member", name(node))
             writeStringField("location", zoneOf(node))
             writeStringField("client_listen", "${clients[node]}")
             writeStringField("cluster_listen", "${clusters[node]}")
-            array("known") {
+            writeJsonArray("known") {
                 for (other in (0 until options.nodes) - node) {
-                    obj {
+                    writeJsonObject {
                         writeStringField("member", name(other))
                         writeStringField("location", zoneOf(other))
                         writeStringField("endpoint", "${place(node, name(other), toController(other))}")
                     }
                 }
             }
-            obj("outside") {
+            writeJsonObject("outside") {
                 writeStringField("cloud", "${place(node, SoakNetwork.CLOUD, cloud)}")
                 writeStringField("state", "${place(node, SoakNetwork.STATE, state)}")
             }
@@ -173,7 +173,7 @@
         val slot = slotOf[machine.name] ?: slots.removeFirstOrNull() ?: return
         slotOf[machine.name] = slot
         machines[machine.name] = machine
-        val caller = HttpCaller { to, request, timeout, done ->
+        val caller = HttpClient { to, request, timeout, done ->
             val node = clients.indexOf(to)
             http.call(to, Request(request.method, request.path, addressed(request.body, slot.endpoints[node])), timeout, done)
         }
@@ -188,7 +188,7 @@
             machine.zone,
             machine.spot,
             machine.type.cpus,
-            fetchGbPerS = FETCH_GB_PER_S,
+            fetchGbPerSecond = FETCH_GB_PER_S,
         )
         slot.worker = worker
         workers[machine.name] = worker
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.Json
-import copperglade.protocol.text
+import copperglade.protocol.stringOrNull
 import copperglade.sim.SimSite
 import copperglade.sim.submissionBody
 import copperglade.transport.HttpStatus
@@ -64,7 +64,7 @@
                     }
                     if (random.nextInt(REPEAT_ONE_IN) == 0) site.loop.after(random.nextInt(LATEST_CANCEL_MS).milliseconds) { send(id) }
                 }
-                HttpStatus.BAD_REQUEST, HttpStatus.UNPROCESSABLE, HttpStatus.NOT_FOUND -> referee.refused(id, reply.status)
+                HttpStatus.BAD_REQUEST, HttpStatus.UNPROCESSABLE_CONTENT, HttpStatus.NOT_FOUND -> referee.refused(id, reply.status)
                 else -> if (submitting || job.accepted) site.loop.after(RETRY) { send(id) }
             }
         }
@@ -80,7 +80,7 @@
         val askedAt = site.loop.now().ms
         site.ask(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == HttpStatus.NOT_FOUND) referee.refused(id, reply.status)
-            val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.text("status") }
+            val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
             if (status != null) referee.told(id, status, askedAt)
         }
     }
@@ -94,7 +94,7 @@
         job.cancelAsked = true
         val askedAt = site.loop.now().ms
         site.ask(anyNode(), Request(Method.POST, "/submissions/$id/cancel")) { reply ->
-            val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.text("status") }
+            val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
             if (status == null) {
                 site.loop.after(RETRY) { cancel(id) }
             } else {
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -8,7 +8,7 @@
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.Json
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.TaskId
 import copperglade.protocol.TeamName
 import copperglade.settings.OperatorSettings
@@ -17,7 +17,7 @@
 import copperglade.settings.ServiceLevelObjectives
 import copperglade.settings.Team
 import copperglade.transport.NettyEventLoop
-import copperglade.transport.NettyHttpCaller
+import copperglade.transport.NettyHttpClient
 import copperglade.transport.NettyHttpServer
 import copperglade.transport.RequestHandler
 import kotlin.time.Duration
@@ -25,7 +25,7 @@
 /** Three controllers on loopback with stand-ins around them, for trying things out by hand. Ends with the process. */
 private class LocalSite {
     private val loop = NettyEventLoop()
-    private val http = NettyHttpCaller(loop)
+    private val http = NettyHttpClient(loop)
     private val specs = HashMap<JobId, JobSpec>()
     private val state = StandInState(loop)
     private var nextPort = FIRST_WORKER_PORT
@@ -35,7 +35,7 @@
     private val world = object : World {
         override fun spec(task: TaskId) = specs[task.job]
 
-        override fun workS(task: TaskId) = specs[task.job]?.takeIf { it.kind == JobKind.ARRAY }?.estimateS
+        override fun workS(task: TaskId) = specs[task.job]?.takeIf { it.kind == JobKind.ARRAY }?.estimatedSeconds
 
         override fun started(worker: StandInWorker, task: TaskId) = println("$task runs on ${worker.name}")
 
@@ -60,7 +60,7 @@
     private fun rememberingJobs(next: RequestHandler) = RequestHandler { request, responder ->
         if (request.path == "/multi") {
             Json.read(request.body)?.get("writes")?.forEach { write ->
-                val job = JobSpecCodec.parse(write.get("data")?.get("spec")) as? ParsedJob.Good
+                val job = JobSpecCodec.parse(write.get("data")?.get("spec")) as? ParsedSubmission.Valid
                 job?.let { specs[it.spec.id] = it.spec }
             }
         }
@@ -81,7 +81,7 @@
             machine.zone,
             machine.spot,
             machine.type.cpus,
-            fetchGbPerS = 0.5,
+            fetchGbPerSecond = 0.5,
         )
         workers[machine.name] = worker
         loop.after(Duration.ZERO) { worker.start() }
@@ -99,16 +99,16 @@
         zones = ZONES,
         teams = listOf(Team(TeamName("team"), 16.0, 48.0, 0.0, 0.0)).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
-        heartbeatIntervalS = HEARTBEAT_S,
-        leaseS = LEASE_S,
-        cancelS = 30.0,
-        stateRps = 200.0,
-        stateWriteRps = 50.0,
+        heartbeatIntervalSeconds = HEARTBEAT_S,
+        leaseSeconds = LEASE_S,
+        cancelSeconds = 30.0,
+        stateRequestsPerSecond = 200.0,
+        stateWritesPerSecond = 50.0,
         valueKb = 4.0,
         transactionWrites = 12,
-        cloudRps = 6.0,
-        listLagS = 1.0,
-        socketLimit = SOCKETS,
+        cloudRequestsPerSecond = 6.0,
+        listLagSeconds = 1.0,
+        fileDescriptorLimit = SOCKETS,
     )
 
     private companion object {
--- a/src/test/kotlin/copperglade/standin/StandInCloud.kt
+++ b/src/test/kotlin/copperglade/standin/StandInCloud.kt
@@ -2,12 +2,12 @@
 
 import copperglade.protocol.Json
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
 import copperglade.protocol.secondsSince
-import copperglade.protocol.text
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
 import copperglade.transport.Reply
@@ -16,7 +16,7 @@
 import copperglade.transport.Responder
 import kotlin.time.Duration.Companion.seconds
 
-class CloudType(val name: String, val cpus: Double, val memoryGb: Double, val bootS: Double, val perZone: Int)
+class CloudType(val name: String, val cpus: Double, val memoryGb: Double, val bootSeconds: Double, val perZone: Int)
 
 /** The cloud, written from the protocol. [boot] is called when a machine is up. */
 class StandInCloud(
@@ -86,20 +86,20 @@
     }
 
     private fun rent(node: com.fasterxml.jackson.databind.JsonNode): Reply {
-        val request = node.text("hire")!!
+        val request = node.stringOrNull("hire")!!
         val known = answers[request]
-        val type = types.first { it.name == node.text("fleet") }
-        val zone = node.text("depot")!!
-        val spot = node.flag("borrowed")!!
+        val type = types.first { it.name == node.stringOrNull("fleet") }
+        val zone = node.stringOrNull("depot")!!
+        val spot = node.booleanOrNull("borrowed")!!
         val names = known ?: run {
             val left = type.perZone - machines.values.count { it.type === type && it.zone == zone && it.spot == spot }
-            if (left <= 0) return Reply(503, Json.write { obj { writeStringField("error", "no capacity") } })
-            List(minOf(left.toLong(), node.long("howMany")!!).toInt()) { create(type, zone, spot).name }.also {
+            if (left <= 0) return Reply(503, Json.write { writeJsonObject { writeStringField("error", "no capacity") } })
+            List(minOf(left.toLong(), node.longOrNull("howMany")!!).toInt()) { create(type, zone, spot).name }.also {
                 answers[request] =
                     it
             }
         }
-        return Reply(200, Json.write { obj { array("trucks") { names.forEach(::writeString) } } })
+        return Reply(200, Json.write { writeJsonObject { writeJsonArray("trucks") { names.forEach(::writeString) } } })
     }
 
     private var created = 0
@@ -118,7 +118,7 @@
             )
         machines[machine.name] = machine
         val factor = bootFactor(number) ?: return machine
-        loop.after((type.bootS * factor).seconds) {
+        loop.after((type.bootSeconds * factor).seconds) {
             if (!machine.gone) {
                 machine.up = true
                 boot(machine)
@@ -128,10 +128,10 @@
     }
 
     private fun typeList() = Json.write {
-        obj {
-            array("fleets") {
+        writeJsonObject {
+            writeJsonArray("fleets") {
                 for (type in types) {
-                    obj {
+                    writeJsonObject {
                         writeStringField("name", type.name)
                         writeNumberField("vcpus", type.cpus)
                         writeNumberField("gpus", 0)
@@ -140,8 +140,8 @@
                         writeNumberField("pullGbPerS", 1.0)
                         writeNumberField("price", 1.0)
                         writeNumberField("lowPrice", 0.4)
-                        writeNumberField("bootS", type.bootS)
-                        array("depots") { zones.forEach(::writeString) }
+                        writeNumberField("bootS", type.bootSeconds)
+                        writeJsonArray("depots") { zones.forEach(::writeString) }
                     }
                 }
             }
@@ -154,10 +154,10 @@
     }
 
     private fun list(page: List<Machine>, more: Boolean) = Json.write {
-        obj {
-            array("trucks") {
+        writeJsonObject {
+            writeJsonArray("trucks") {
                 for (machine in page) {
-                    obj {
+                    writeJsonObject {
                         writeStringField("nameId", machine.name)
                         writeStringField("addr", machine.address)
                         writeStringField("fleet", machine.type.name)
--- a/src/test/kotlin/copperglade/standin/StandInState.kt
+++ b/src/test/kotlin/copperglade/standin/StandInState.kt
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.Json
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.array
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
 import copperglade.transport.Method
@@ -155,10 +155,10 @@
     }
 
     private fun open(body: JsonNode?): Reply {
-        val ttl = body?.long("ttlMs")?.takeIf { it in 100..600_000 } ?: return Reply(400)
+        val ttl = body?.longOrNull("ttlMs")?.takeIf { it in 100..600_000 } ?: return Reply(400)
         val leaseId = ++lastLeaseId
         leases[leaseId] = Lease(ttl, loop.now() + ttl.milliseconds)
-        return Reply(200, Json.write { obj { writeNumberField("permit", leaseId) } })
+        return Reply(200, Json.write { writeJsonObject { writeNumberField("permit", leaseId) } })
     }
 
     private fun extend(leaseId: Long): Reply {
@@ -168,8 +168,8 @@
     }
 
     private fun get(key: String): Reply {
-        val value = values[key] ?: return Reply(404, Json.write { obj { writeNumberField("ledger", storeRevision) } })
-        return Reply(200, Json.write { obj { entry(key, value) } })
+        val value = values[key] ?: return Reply(404, Json.write { writeJsonObject { writeNumberField("ledger", storeRevision) } })
+        return Reply(200, Json.write { writeJsonObject { entry(key, value) } })
     }
 
     private fun com.fasterxml.jackson.core.JsonGenerator.entry(key: String, value: Value) {
@@ -190,8 +190,8 @@
         return Reply(
             200,
             Json.write {
-                obj {
-                    array("entries") { all.take(limit).forEach { obj { entry(it.key, it.value) } } }
+                writeJsonObject {
+                    writeJsonArray("entries") { all.take(limit).forEach { writeJsonObject { entry(it.key, it.value) } } }
                     writeBooleanField("truncated", all.size > limit)
                     writeNumberField("ledger", storeRevision)
                 }
@@ -203,16 +203,16 @@
         val writes = body?.get("writes")?.toList().orEmpty()
         val conditions = body?.get("if")?.toList().orEmpty()
         overLimits(writes, conditions)?.let { return it }
-        if (writes.any { write -> write.long("permit")?.let { it !in leases } == true }) {
-            return Reply(400, Json.write { obj { writeStringField("error", "no such lease") } })
+        if (writes.any { write -> write.longOrNull("permit")?.let { it !in leases } == true }) {
+            return Reply(400, Json.write { writeJsonObject { writeStringField("error", "no such lease") } })
         }
-        val failed = conditions.filter { (values[it.text("k")]?.revision ?: 0L) != it.long("stamp") }
+        val failed = conditions.filter { (values[it.stringOrNull("k")]?.revision ?: 0L) != it.longOrNull("stamp") }
         if (failed.isNotEmpty()) {
             return Reply(
                 409,
                 Json.write {
-                    obj {
-                        array("failed") { failed.forEach { writeString(it.text("k")) } }
+                    writeJsonObject {
+                        writeJsonArray("failed") { failed.forEach { writeString(it.stringOrNull("k")) } }
                         writeNumberField("ledger", storeRevision)
                     }
                 },
@@ -221,16 +221,16 @@
         applied++
         if (writes.isNotEmpty()) storeRevision++
         for (write in writes) {
-            val dropped = write.text("drop")
+            val dropped = write.stringOrNull("drop")
             if (dropped != null) {
                 drop(dropped)
             } else {
-                val key = write.text("set")!!
-                values[key] = Value(write.get("data"), storeRevision, write.long("permit"))
+                val key = write.stringOrNull("set")!!
+                values[key] = Value(write.get("data"), storeRevision, write.longOrNull("permit"))
                 event(Event(key, write.get("data"), storeRevision))
             }
         }
-        return Reply(200, Json.write { obj { writeNumberField("ledger", storeRevision) } })
+        return Reply(200, Json.write { writeJsonObject { writeNumberField("ledger", storeRevision) } })
     }
 
     /** The refusal of a transaction that is beyond the limits, counted; null where it is within them. */
@@ -257,7 +257,7 @@
                 return null
             }
         }
-        return Reply(400, Json.write { obj { writeStringField("error", "beyond the limits") } })
+        return Reply(400, Json.write { writeJsonObject { writeStringField("error", "beyond the limits") } })
     }
 
     private fun watch(query: Map<String, String>, responder: Responder) {
@@ -284,11 +284,11 @@
             if (news.isEmpty() && loop.now() < watcher.until) continue
             watchers -= watcher
             val body = Json.write {
-                obj {
+                writeJsonObject {
                     writeNumberField("ledger", storeRevision)
-                    array("events") {
+                    writeJsonArray("events") {
                         for (event in news) {
-                            obj {
+                            writeJsonObject {
                                 if (event.data == null) {
                                     writeStringField("drop", event.key)
                                 } else {
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -6,13 +6,13 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.long
-import copperglade.protocol.number
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.doubleOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -36,12 +36,12 @@
     fun ended(worker: StandInWorker, task: TaskId, done: Boolean)
 }
 
-class WorkerSite(val heartbeatIntervalS: Double, val leaseS: Double, val controllers: List<Pair<MemberId, Endpoint>>)
+class WorkerSite(val heartbeatIntervalSeconds: Double, val leaseSeconds: Double, val controllers: List<Pair<MemberId, Endpoint>>)
 
 /** One machine's worker, written from the protocol. */
 class StandInWorker(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val world: World,
     private val site: WorkerSite,
     val name: String,
@@ -50,10 +50,10 @@
     val zone: String,
     val spot: Boolean,
     private val cpus: Double,
-    private val fetchGbPerS: Double,
+    private val fetchGbPerSecond: Double,
     private val speed: Double = 1.0,
 ) : RequestHandler {
-    enum class State(val wire: String) { FETCHING("pulling"), RUNNING("running"), SAVING("saving"), EXITED("ended") }
+    enum class State(val wire: String) { FETCHING("pulling"), RUNNING("running"), CHECKPOINTING("saving"), EXITED("ended") }
 
     inner class HeldTask(val task: TaskId, val attempt: Long, val spec: JobSpec) {
         var state = State.FETCHING
@@ -61,7 +61,7 @@
 
         /** Whether its progress was saved when it was stopped. */
         var kept = false
-        val onMachine get() = state == State.RUNNING || state == State.SAVING
+        val onMachine get() = state == State.RUNNING || state == State.CHECKPOINTING
     }
 
     private val held = ArrayList<HeldTask>()
@@ -88,7 +88,7 @@
     fun running(): List<TaskId> = held.filter { it.onMachine }.map { it.task }
 
     /** Tasks that were told to stop and are saving their progress. */
-    fun saving(): List<TaskId> = held.filter { it.state == State.SAVING }.map { it.task }
+    fun saving(): List<TaskId> = held.filter { it.state == State.CHECKPOINTING }.map { it.task }
 
     /** CPUs that no task takes or waits for here. */
     fun freeCpus(): Double = cpus - held.filter { it.state != State.EXITED }.sumOf { it.spec.request.cpus }
@@ -111,7 +111,7 @@
         // A hanging machine may resume within its lease, and no later: its tasks end with the lease all the same.
         expire()
         if (!hanging) {
-            val due = if (changed) 500.milliseconds else site.heartbeatIntervalS.seconds
+            val due = if (changed) 500.milliseconds else site.heartbeatIntervalSeconds.seconds
             if (!reporting && loop.now() >= lastHeartbeat + due) heartbeat()
         }
         loop.after(TICK) { tick() }
@@ -119,7 +119,7 @@
 
     private fun expire() {
         val since = answeredSentAt ?: epochBegan
-        if (loop.now().ms - since.ms <= site.leaseS * 1000) return
+        if (loop.now().ms - since.ms <= site.leaseSeconds * 1000) return
         wipe()
         epoch++
         epochBegan = loop.now()
@@ -145,7 +145,7 @@
             val node = Json.read(reply?.body ?: ByteArray(0))
             when (reply?.status) {
                 200 -> if (sentEpoch == epoch) {
-                    val token = node?.long("baton") ?: -1
+                    val token = node?.longOrNull("baton") ?: -1
                     if (token >= fencingToken) {
                         answeredSentAt = sent
                         see(token)
@@ -153,7 +153,7 @@
                     }
                 }
                 421 -> {
-                    val named = site.controllers.indexOfFirst { it.first.text == node?.text("dispatcher") }
+                    val named = site.controllers.indexOfFirst { it.first.text == node?.stringOrNull("dispatcher") }
                     if (named >= 0 && named != target) {
                         target = named
                         changed = true
@@ -168,7 +168,7 @@
 
     private fun next() {
         target = (target + 1) % site.controllers.size
-        lastHeartbeat = loop.now() - site.heartbeatIntervalS.seconds + 1.seconds
+        lastHeartbeat = loop.now() - site.heartbeatIntervalSeconds.seconds + 1.seconds
     }
 
     private fun see(token: Long) {
@@ -188,8 +188,8 @@
             return responder.send(Reply(200, body()))
         }
         val node = Json.read(request.body)
-        val token = node?.long("baton")
-        val wanted = node?.long("shift")
+        val token = node?.longOrNull("baton")
+        val wanted = node?.longOrNull("shift")
         if (token == null || wanted == null) return responder.send(Reply(400))
         val taken = token >= fencingToken && wanted == epoch
         if (taken) {
@@ -201,13 +201,13 @@
     }
 
     private fun execute(command: com.fasterxml.jackson.databind.JsonNode) {
-        val task = TaskId.parse(command.text("box")!!)!!
-        val attempt = command.long("trip")!!
+        val task = TaskId.parse(command.stringOrNull("box")!!)!!
+        val attempt = command.longOrNull("trip")!!
         val present = held.firstOrNull { it.task == task && it.attempt == attempt }
-        when (command.text("order")) {
+        when (command.stringOrNull("order")) {
             "start" -> if (present == null) begin(task, attempt)
             "halt" -> {
-                val leewayS = checkNotNull(command.number("leewayS"))
+                val leewayS = checkNotNull(command.doubleOrNull("leewayS"))
                 if (present != null && present.state != State.EXITED) halt(present, leewayS)
             }
             "reap" -> if (present?.state == State.EXITED) held.remove(present)
@@ -217,13 +217,13 @@
 
     /** A running task with checkpoints saves if it is given the time; a second halt without any ends the saving. */
     private fun halt(heldTask: HeldTask, leewayS: Double) {
-        val saves = heldTask.spec.checkpointS > 0.0 && leewayS >= heldTask.spec.saveS
+        val saves = heldTask.spec.checkpointIntervalSeconds > 0.0 && leewayS >= heldTask.spec.checkpointSeconds
         when {
-            heldTask.state == State.SAVING -> if (leewayS == 0.0) exit(heldTask, "halted")
+            heldTask.state == State.CHECKPOINTING -> if (leewayS == 0.0) exit(heldTask, "halted")
             heldTask.state == State.RUNNING && saves -> {
-                heldTask.state = State.SAVING
-                loop.after(heldTask.spec.saveS.seconds) {
-                    if (heldTask in held && heldTask.state == State.SAVING && alive) {
+                heldTask.state = State.CHECKPOINTING
+                loop.after(heldTask.spec.checkpointSeconds.seconds) {
+                    if (heldTask in held && heldTask.state == State.CHECKPOINTING && alive) {
                         heldTask.kept = true
                         exit(heldTask, "halted")
                     }
@@ -243,7 +243,7 @@
             busy -> exit(readFresh, "busy")
             used + spec.request.cpus > cpus + 1e-6 -> exit(readFresh, "full")
             spec.image.name.text in images -> run(readFresh)
-            else -> loop.after((spec.image.gb / fetchGbPerS).seconds) {
+            else -> loop.after((spec.image.gb / fetchGbPerSecond).seconds) {
                 if (readFresh in held && readFresh.state == State.FETCHING) {
                     images += spec.image.name.text
                     run(readFresh)
@@ -271,7 +271,7 @@
     }
 
     private fun body(): ByteArray = Json.write {
-        obj {
+        writeJsonObject {
             writeStringField("truck", name)
             writeStringField("addr", endpoint.toString())
             writeStringField("fleet", type)
@@ -281,9 +281,9 @@
             writeNumberField("tally", sequenceNumber)
             writeNumberField("baton", fencingToken)
             writeNullField("recallS")
-            array("boxes") {
+            writeJsonArray("boxes") {
                 for (heldTask in held) {
-                    obj {
+                    writeJsonObject {
                         writeStringField("box", heldTask.task.toString())
                         writeNumberField("trip", heldTask.attempt)
                         writeStringField("status", heldTask.state.wire)
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -78,7 +78,7 @@
                     .removePrefix("job-")
                     .toInt(),
                 tasks = 1,
-                priority = job.priority.wire,
+                priority = job.priority.wireName,
                 dueS = job.dueAtS,
             )
     }
