--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test
 
 class FailureEvidenceTest {
-    private val failureEvidence = FailureEvidence(machinesToBlameJob = 2)
+    private val failureEvidence = FailureEvidence(failingJobMachineThreshold = 2)
     private val now = MonotonicTime(100_000)
 
     private fun job(number: Int) = JobId("job-$number")
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -1,7 +1,7 @@
 package copperglade.transport
 
 import copperglade.protocol.Decoding
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -32,7 +32,7 @@
         for (place in listOf("timer", "request", "answer")) {
             val broken = CountDownLatch(1)
             val loop = NettyEventLoop(FaultBarrier { broken.countDown() })
-            val caller = NettyHttpCaller(loop)
+            val caller = NettyHttpClient(loop)
             val at = freeEndpoint()
             NettyHttpServer(loop, CONNECTIONS) { _, responder ->
                 if (place == "request") error("injected")
@@ -53,10 +53,10 @@
         val random = Random(1)
         repeat(MANY) {
             val bytes = ByteArray(random.nextInt(60)).also(random::nextBytes)
-            WorkerWire.parseHeartbeat(bytes)
+            WorkerMessageCodec.decodeHeartbeat(bytes)
         }
         // UTF-32, as its first bytes say, and not valid as such.
-        assertNull(WorkerWire.parseHeartbeat(byteArrayOf(0, 0, 0, '{'.code.toByte(), 0x7f, 0x7f, 0x7f, 0x7f)))
+        assertNull(WorkerMessageCodec.decodeHeartbeat(byteArrayOf(0, 0, 0, '{'.code.toByte(), 0x7f, 0x7f, 0x7f, 0x7f)))
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -8,8 +8,8 @@
 import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.protocol.Resources
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardCapacity
@@ -37,7 +37,7 @@
     fun `more peers than sockets are all answered, and only so many connections stay`() {
         val loop = NettyEventLoop()
         val limit = 4
-        val caller = NettyHttpCaller(loop, limit)
+        val caller = NettyHttpClient(loop, limit)
         val places = freeEndpoints(20)
         val answered = AtomicInteger()
         val all = CountDownLatch(2 * places.size)
@@ -65,7 +65,7 @@
         val held = ArrayList<Responder>()
         val server = NettyHttpServer(loop, 10) { _, responder -> held += responder }
         server.listen(at)
-        val caller = NettyHttpCaller(loop)
+        val caller = NettyHttpClient(loop)
         val statuses = ArrayList<Int?>()
         val last = CountDownLatch(11)
         loop.after(0.seconds) {
@@ -87,11 +87,11 @@
         val loop = NettyEventLoop()
         val at = freeEndpoint()
         NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(at)
-        val callers = List(CALLERS) { NettyHttpCaller(loop) }
+        val callers = List(CALLERS) { NettyHttpClient(loop) }
         val rounds = CALLERS * ROUNDS
         val answered = CountDownLatch(rounds)
 
-        fun ask(caller: NettyHttpCaller, left: Int) {
+        fun ask(caller: NettyHttpClient, left: Int) {
             if (left == 0) return
             caller.call(at, Request(Method.GET, "/"), 2.seconds) { reply ->
                 val served = reply?.status == 200
@@ -108,20 +108,20 @@
     fun `the status of a controller with four thousand machines reaches its peers`() {
         val loop = NettyEventLoop()
         val (peers, users) = freeEndpoints(2)
-        val status = PeerWire.encode(statusOf(machines = 4000))
+        val status = PeerMessageCodec.encodeStatus(statusOf(machines = 4000))
         assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY)
         val received = ArrayList<PeerStatus?>()
         NettyHttpServer(loop, CONNECTIONS, Main.MAX_PEER_MESSAGE) { request, responder ->
-            received += PeerWire.decode(request.body)
+            received += PeerMessageCodec.decodeStatus(request.body)
             responder.send(Reply(200))
         }.listen(peers)
         NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(users)
-        val caller = NettyHttpCaller(loop)
+        val caller = NettyHttpClient(loop)
         val statuses = HashMap<Endpoint, Int?>()
         val both = CountDownLatch(2)
         loop.after(0.seconds) {
             for (to in listOf(peers, users)) {
-                caller.call(to, Request(Method.POST, PeerWire.PATH, status), 5.seconds) { reply ->
+                caller.call(to, Request(Method.POST, PeerMessageCodec.STATUS_PATH, status), 5.seconds) { reply ->
                     statuses[to] = reply?.status
                     both.countDown()
                 }
@@ -150,7 +150,7 @@
                 spot = false,
                 usable = true,
                 worthKeeping = true,
-                idleMs = 0,
+                idleMillis = 0,
                 free = Resources(1.0, 0.0, 2.0),
                 preemptible = List(4) { Resources(1.0, 0.0, 1.0) },
                 images = listOf(ImageName("img-1"), ImageName("img-2")),
