--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -24,7 +24,7 @@
         val request = event.request
         val reply = event.reply
         val body = reply?.body ?: request.body
-        val outcome = reply?.let { "${it.status} retry=${it.retryAfterS}" } ?: "-"
+        val outcome = reply?.let { "${it.status} retry=${it.retryAfterSeconds}" } ?: "-"
         val header = "${event.atMs} ${event.step} ${event.from} ${event.to} ${request.method} ${request.path} $outcome ${body.size} "
         listOf(header.encodeToByteArray(), body, LINE_END).forEach(::add)
     }
@@ -78,7 +78,7 @@
 
 /** Five controllers, pipelines, a zone that is cut off, and spot machines that are taken away. */
 private fun parcelHub(seed: Long, observer: WireObserver) {
-    val scale = SiteScale(machinesPerZone = 6, heartbeatIntervalS = 4.0, leaseS = 22.0, cancelS = 42.0, valueKb = 32.0, teamCpus = 180.0)
+    val scale = SiteScale(machinesPerZone = 6, heartbeatIntervalSeconds = 4.0, leaseSeconds = 22.0, cancelSeconds = 42.0, valueKb = 32.0, teamCpus = 180.0)
     val site = SimSite(Simulation(seed), scale = scale, nodes = 5, wireObserver = observer)
     site.services(5)
     site.variedArrays(jobs = 16)
