--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -67,10 +67,10 @@
                 )
             }
             ReportedTaskState.RUNNING -> {
-                context.types[machine.typeName]?.let { machine.recordImageUse(run.spec.image, it.cacheGb) }
+                context.types[machine.typeName]?.let { machine.recordImageUse(run.spec.image, it.imageCacheGb) }
                 if (!stopping) run.transitionTo(RunState.RUNNING, "reported", loop.now())
             }
-            ReportedTaskState.SAVING -> Unit
+            ReportedTaskState.CHECKPOINTING -> Unit
             ReportedTaskState.EXITED -> exited(run, machine, reported.cause ?: ExitCause.OTHER)
         }
     }
