--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -1,7 +1,7 @@
 package copperglade.agents
 
-import copperglade.prediction.Factors
-import copperglade.prediction.Profile
+import copperglade.prediction.TaskFactors
+import copperglade.prediction.TaskProfile
 import copperglade.protocol.ExitCause
 import copperglade.protocol.JobKind
 import copperglade.protocol.ReportedTask
@@ -114,11 +114,11 @@
         run.straggledS?.let {
             log.info("straggler {} done on {}: ran {} s here, {} s before", run.task, machine.name, seconds, it)
         }
-        context.profiles.record(Profile(machine.name, factors(run, machine), seconds))
+        context.profiles.record(TaskProfile(machine.name, factors(run, machine), seconds))
     }
 
     private fun factors(run: Run, machine: Machine) =
-        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
 
     /** A run that a newer report does not show. */
     private fun absent(run: Run, machine: Machine) {
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -1,6 +1,6 @@
 package copperglade.controller
 
-import copperglade.fleet.Fleet
+import copperglade.fleet.Autoscaler
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
@@ -25,9 +25,9 @@
 import copperglade.safety.ActionGuard
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
-import copperglade.scheduling.Assigner
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
+import copperglade.scheduling.Scheduler
 import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
@@ -92,7 +92,7 @@
             maxCatchUp = staleness,
             EndedJobs.endsThatFitInto(heapBytes),
         ) { spec ->
-            profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
+            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimateS
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val membership = Membership(
@@ -159,10 +159,21 @@
     )
     private val capacityTable = CapacityTable(replica, shardMap)
     private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
-    private val assigner =
-        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
+    private val scheduler =
+        Scheduler(
+            loop,
+            store,
+            replica,
+            leadership,
+            capacityTable,
+            types,
+            settings.teams,
+            settings.objectives,
+            fairShare,
+            ::capacityStatusOf,
+        )
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
-    private val fleet = Fleet(
+    private val autoscaler = Autoscaler(
         loop,
         http,
         settings.cloud,
@@ -202,7 +213,7 @@
         leadership.start()
         shardOwnership.start()
         peerStatusExchange.start()
-        fleet.start()
+        autoscaler.start()
         submissions.start()
         metrics.start()
         audit.start()
@@ -218,7 +229,7 @@
     private fun leaderRound() {
         if (leadership.leading) {
             shardAssigner.round()
-            assigner.round()
+            scheduler.round()
             jobFinalizer.round()
         }
         shareBudget()
@@ -246,7 +257,7 @@
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
-            retire = if (leading) fleet.retire else emptyList(),
+            retire = if (leading) autoscaler.retire else emptyList(),
             writesWanted = store.writesWanted,
         )
     }
@@ -324,7 +335,7 @@
         val silent = loop.now().secondsSince(store.lastGood)
         val alone = peersReachStateService()
         val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
-        val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
+        val healthy = replica.state == ReplicaState.CURRENT && types.isLoaded && (silent * 1000 < SILENT_MS || !(alone || lonely))
         return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
     }
 
--- a/src/main/kotlin/copperglade/fleet/Fleet.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -38,7 +38,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The leader's dealings with the cloud: rents what demand asks for, and has what is idle returned. */
-class Fleet(
+class Autoscaler(
     private val loop: EventLoop,
     private val http: HttpCaller,
     private val cloud: Endpoint,
@@ -75,7 +75,7 @@
     var retire: List<MachineName> = emptyList()
         private set
 
-    fun start() = loop.again({ INTERVAL }) { if (leadership.leading && types.known) round() else forget() }
+    fun start() = loop.again({ INTERVAL }) { if (leadership.leading && types.isLoaded) round() else forget() }
 
     /** What a former leadership term left is out of date. */
     private fun forget() {
--- a/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
@@ -15,7 +15,7 @@
 class MachineTypeCatalog(private val loop: EventLoop, private val http: HttpCaller, private val cloud: Endpoint) {
     private var types: Map<String, MachineType> = emptyMap()
 
-    val known: Boolean get() = types.isNotEmpty()
+    val isLoaded: Boolean get() = types.isNotEmpty()
     val all: Collection<MachineType> get() = types.values
 
     operator fun get(name: String): MachineType? = types[name]
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -59,7 +59,7 @@
         when (parsed) {
             is ParsedJob.Bad -> refuse(id, badRequest(parsed.why), responder)
             is ParsedJob.Good -> {
-                if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
+                if (!types.isLoaded || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(later())
                 val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(recordOf(parsed.spec))) null else tooLarge("body")
                 if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
             }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,9 +1,9 @@
 package copperglade.placement
 
-import copperglade.prediction.Factors
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
+import copperglade.prediction.TaskFactors
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
@@ -52,7 +52,7 @@
     /** Past its job's average run time. */
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
+        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
         return elapsed > average * context.operatorSettings.stragglerMargin
     }
 
@@ -62,7 +62,7 @@
     private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
         val home = run.machine ?: return null
         val elapsed = now.secondsSince(run.runningSince ?: return null)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return null
+        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
         // A slow machine has done less of the task than the time says.
         val done = elapsed * context.profiles.speedOf(home.name)
         val similar = context.profiles.similar(run.spec.load, done)
@@ -107,7 +107,7 @@
     }
 
     private fun factorsOn(machine: Machine, run: Run, neighbours: Int) =
-        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
 
     private fun round(seconds: Double) = Math.round(seconds * 10) / 10.0
 
--- a/src/main/kotlin/copperglade/prediction/Profiles.kt
+++ b/src/main/kotlin/copperglade/prediction/Profiles.kt
@@ -12,7 +12,7 @@
 import kotlin.math.sqrt
 
 /** What a task's run time is thought to depend on (section 5.2; the factors are those of DESIGN). */
-class Factors(
+class TaskFactors(
     val job: JobId,
     val load: String,
     val type: String,
@@ -23,7 +23,7 @@
      * The distance from [other] along factor [k], from 0 to 1. Names either agree or don't; amounts count by their
      * relative difference, so that no unit outweighs another before the weights have been fitted.
      */
-    fun apart(other: Factors, k: Int): Double = when (k) {
+    fun apart(other: TaskFactors, k: Int): Double = when (k) {
         0 -> if (load == other.load) 0.0 else 1.0
         1 -> if (job == other.job) 0.0 else 1.0
         2 -> if (type == other.type) 0.0 else 1.0
@@ -46,7 +46,7 @@
 }
 
 /** A finished task. */
-class Profile(val machine: MachineName, val factors: Factors, val runS: Double)
+class TaskProfile(val machine: MachineName, val factors: TaskFactors, val runS: Double)
 
 /** A predicted run time: always a range, the sorted run times of similar past tasks. */
 class Prediction(val timesS: List<Double>) {
@@ -57,12 +57,12 @@
 
 /** The weights of one machine, fitted to how alike its tasks' run times really were (section 5.3). */
 class Weights(private val rate: Double) {
-    val values: DoubleArray = Factors.FIRST_WEIGHTS.copyOf()
+    val values: DoubleArray = TaskFactors.FIRST_WEIGHTS.copyOf()
 
     /** Formula (1). */
-    fun distance(a: Factors, b: Factors): Double {
+    fun distance(a: TaskFactors, b: TaskFactors): Double {
         var sum = 0.0
-        for (k in 0 until Factors.COUNT) {
+        for (k in 0 until TaskFactors.COUNT) {
             val apart = a.apart(b, k)
             sum += values[k] * apart * apart
         }
@@ -74,8 +74,8 @@
      * constraint (3), the pair's part of the objective is (sum of S·W − R)², where S is how alike the two are along
      * a factor.
      */
-    fun step(task: Profile, other: Profile) {
-        val apart = DoubleArray(Factors.COUNT) { task.factors.apart(other.factors, it) }
+    fun step(task: TaskProfile, other: TaskProfile) {
+        val apart = DoubleArray(TaskFactors.COUNT) { task.factors.apart(other.factors, it) }
         var calculated = 0.0
         for (k in apart.indices) calculated += (1.0 - apart[k]) * values[k]
         val error = calculated - realLikeness(task.runS, Prediction(listOf(other.runS)))
@@ -103,11 +103,11 @@
     private val rate: Double,
     private val capacity: Int,
 ) {
-    private val profiles = ArrayDeque<Profile>()
+    private val profiles = ArrayDeque<TaskProfile>()
     private val weights = HashMap<MachineName, Weights>()
 
     /** A machine's latest tasks, newest first: as many as a fit looks at. */
-    private val latestOf = HashMap<MachineName, ArrayDeque<Profile>>()
+    private val latestOf = HashMap<MachineName, ArrayDeque<TaskProfile>>()
     private val ofJob = HashMap<JobId, SequenceNumber>()
     private val ofLoad = HashMap<String, SequenceNumber>()
     private var speeds: Map<MachineName, Double> = emptyMap()
@@ -126,7 +126,7 @@
 
     val size: Int get() = profiles.size
 
-    fun record(profile: Profile) {
+    fun record(profile: TaskProfile) {
         val fitted = weights.getOrPut(profile.machine) { Weights(rate) }
         val latest = latestOf.getOrPut(profile.machine) { ArrayDeque() }
         latest.forEach { fitted.step(profile, it) }
@@ -138,7 +138,7 @@
         sinceMeasured++
     }
 
-    private fun count(profile: Profile, sign: Int) {
+    private fun count(profile: TaskProfile, sign: Int) {
         ofLoad.getOrPut(profile.factors.load) { SequenceNumber() }.add(profile.runS, sign)
         val job = ofJob.getOrPut(profile.factors.job) { SequenceNumber() }
         job.add(profile.runS, sign)
@@ -146,7 +146,7 @@
     }
 
     /** A past task, and how long it would have taken on an average machine. */
-    class Past(val profile: Profile, val averageMachineS: Double)
+    class Past(val profile: TaskProfile, val averageMachineS: Double)
 
     /**
      * The past tasks of [load] that a task is like of which [doneS] seconds of an average machine are known to be done.
@@ -160,7 +160,7 @@
     }
 
     /** The run times of the nearest of [past], for a task that would run on [machine]. */
-    fun predict(machine: MachineName, factors: Factors, past: List<Past>): Prediction? {
+    fun predict(machine: MachineName, factors: TaskFactors, past: List<Past>): Prediction? {
         val fitted = weights[machine] ?: UNFITTED
         val distances = DoubleArray(nearest)
         val times = DoubleArray(nearest)
@@ -183,7 +183,7 @@
         return Prediction(times.take(found).map { it / speed }.sorted())
     }
 
-    fun predict(machine: MachineName, factors: Factors, doneS: Double = 0.0): Prediction? =
+    fun predict(machine: MachineName, factors: TaskFactors, doneS: Double = 0.0): Prediction? =
         predict(machine, factors, similar(factors.load, doneS))
 
     /** How fast a machine has proved to be, 1 for the average: the paper assumes that machines keep their speed. */
@@ -224,11 +224,11 @@
      * How long a task is predicted to run wherever it will be placed, in seconds: the average of the range that the
      * nearest past tasks give on a machine without a fit of its own; null where too few are known.
      */
-    fun expectedRunS(job: JobId, load: String, request: Resources): Double? =
-        predict(ANY_MACHINE, Factors(job, load, type = "", request, neighbours = 0))?.average
+    fun expectedRunSeconds(job: JobId, load: String, request: Resources): Double? =
+        predict(ANY_MACHINE, TaskFactors(job, load, type = "", request, neighbours = 0))?.average
 
     /** The average run time of the job's finished tasks, or of its load's where too few have finished. */
-    fun averageRunS(job: JobId, load: String): Double? {
+    fun averageRunSeconds(job: JobId, load: String): Double? {
         val base = ofJob[job]?.takeIf { it.count >= MIN } ?: ofLoad[load]?.takeIf { it.count >= MIN }
         return base?.let { it.sumS / it.count }
     }
--- a/src/main/kotlin/copperglade/scheduling/Assigner.kt
+++ b/src/main/kotlin/copperglade/scheduling/Scheduler.kt
@@ -39,7 +39,7 @@
  * before any owner may start them. All that is assigned counts against its team's limit until its record says that it
  * is surely gone.
  */
-class Assigner(
+class Scheduler(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
--- a/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
+++ b/src/test/kotlin/copperglade/prediction/RiskAssessmentTest.kt
@@ -13,12 +13,12 @@
 
 /** The paper's formulas, worked through by hand. */
 class RiskAssessmentTest {
-    private val factors = Factors(JobId("job-1"), "render", "box", Resources(2.0, 0.0, 8.0), 3)
+    private val factors = TaskFactors(JobId("job-1"), "render", "box", Resources(2.0, 0.0, 8.0), 3)
 
     @Test
     fun `distance is the weighted Euclidean one of formula 1`() {
-        val other = Factors(JobId("job-2"), "render", "box", Resources(4.0, 0.0, 8.0), 3)
-        assertArrayEquals(doubleArrayOf(0.0, 1.0, 0.0, 0.5, 0.0, 0.0), DoubleArray(Factors.COUNT) { factors.apart(other, it) }, 1e-12)
+        val other = TaskFactors(JobId("job-2"), "render", "box", Resources(4.0, 0.0, 8.0), 3)
+        assertArrayEquals(doubleArrayOf(0.0, 1.0, 0.0, 0.5, 0.0, 0.0), DoubleArray(TaskFactors.COUNT) { factors.apart(other, it) }, 1e-12)
         // sqrt(0.2 * 1² + 0.1 * 0.5²)
         assertEquals(sqrt(0.225), Weights(0.1).distance(factors, other), 1e-12)
     }
@@ -32,11 +32,11 @@
     @Test
     fun `a gradient step moves the calculated likeness towards the real one`() {
         val weights = Weights(0.1)
-        val task = Profile(MachineName("i-1"), factors, 10.0)
-        val other = Profile(MachineName("i-1"), factors, 40.0)
+        val task = TaskProfile(MachineName("i-1"), factors, 10.0)
+        val other = TaskProfile(MachineName("i-1"), factors, 40.0)
         // All factors agree, so the calculated likeness is the weights' sum, 1; the real one is 1 - 30/40 = 0.25.
         weights.step(task, other)
-        val expected = Factors.FIRST_WEIGHTS.map { maxOf(0.0, it - 0.1 * 2 * 0.75) }
+        val expected = TaskFactors.FIRST_WEIGHTS.map { maxOf(0.0, it - 0.1 * 2 * 0.75) }
         assertArrayEquals(expected.toDoubleArray(), weights.values, 1e-12)
     }
 
@@ -68,7 +68,7 @@
 
     private fun profileStore(times: Map<String, List<Double>>): ProfileStore {
         val profileStore = ProfileStore(nearest = 8, steps = 2, rate = 0.02, capacity = 100)
-        for ((machine, runs) in times) runs.forEach { profileStore.record(Profile(MachineName(machine), factors, it)) }
+        for ((machine, runs) in times) runs.forEach { profileStore.record(TaskProfile(MachineName(machine), factors, it)) }
         return profileStore
     }
 
