--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -28,6 +28,7 @@
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
 import copperglade.scheduling.Scheduler
+import copperglade.scheduling.SchedulingPolicy
 import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
@@ -157,21 +158,13 @@
         { replica.leader?.value?.member },
         ::onPeerStatus,
     )
-    private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
-    private val scheduler =
-        Scheduler(
-            loop,
-            store,
-            replica,
-            leadership,
-            capacityTable,
-            types,
-            settings.teams,
-            settings.objectives,
-            fairShare,
-            ::capacityStatusOf,
-        )
+    private val capacityTable = CapacityTable(replica, shardMap, ::capacityStatusOf)
+    private val schedulingPolicy = SchedulingPolicy(
+        settings.teams,
+        settings.objectives,
+        FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare),
+    )
+    private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
     private val autoscaler = Autoscaler(
         loop,
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -30,7 +30,7 @@
         private val preemptible by lazy(LazyThreadSafetyMode.NONE) { machine.runs.filter { !it.isPledged }.preemptibleCapacity() }
 
         /** Whether a task of [spec] would fit once all lower work on the machine is stopped. */
-        fun fitsWithPreemption(spec: JobSpec): Boolean = spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
+        fun fitsWithPreemption(spec: JobSpec): Boolean = preemptible.fitsWithPreemption(spec, free)
     }
 
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -1,15 +1,11 @@
 package copperglade.scheduling
 
 import copperglade.membership.Leadership
-import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Priority
 import copperglade.protocol.Resources
 import copperglade.protocol.Revision
-import copperglade.storage.AssignmentGroup
-import copperglade.storage.AssignmentRange
 import copperglade.storage.Condition
 import copperglade.storage.Job
 import copperglade.storage.Keys
@@ -17,7 +13,6 @@
 import copperglade.storage.RecordCodec
 import copperglade.storage.RecordPacker
 import copperglade.storage.Replica
-import copperglade.storage.ShardTaskRange
 import copperglade.storage.StateClient
 import copperglade.storage.TaskRange
 import copperglade.storage.Transaction
@@ -29,28 +24,27 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A task and the room that it is given. */
-class PlacementChoice(val task: Int, val machineCapacity: CapacityTable.MachineCapacity)
-
-/** What a round of the leader has chosen, by the pages to be written. */
-class AssignmentPlan {
-    val choices = LinkedHashMap<TaskRange, List<PlacementChoice>>()
-    val guaranteePreemptions = LinkedHashMap<TaskRange, BitSet>()
-    val places get() = choices.keys + guaranteePreemptions.keys
-}
-
-/** A page as it is to be written, and those of the choices that went into it. */
-private class FittingRange(val choices: List<PlacementChoice>, val bytes: ByteArray)
-
-/** Writes the leader's decisions down, and keeps count of those whose outcome is not known yet. */
-class AssignmentWriter(
+/** Writes the assignments that the leader plans, and tracks those whose outcome is not known yet. */
+internal class AssignmentWriter(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
     private val capacityTable: CapacityTable,
 ) {
-    /** Arrays are written again and again while they run, services once: apart, a round of arrays is few packed records. */
+    /** The encoded record of a task range, and those of its choices that fit into it. */
+    private class FittingRecord(val choices: List<PlacementChoice>, val bytes: ByteArray)
+
+    /** A transaction on its way, and the leadership [term] that it was made in. */
+    private class AssignmentWrite(
+        val packedWrite: PackedWrite,
+        val transaction: Transaction,
+        val choices: Map<TaskRange, List<PlacementChoice>>,
+        val tasksByJob: Map<JobId, Int>,
+        val term: Revision,
+    )
+
+    /** Arrays are rewritten many times while they run, services rarely: kept apart, a round of arrays changes few packed records. */
     private val packers = JobKind.entries.associateWith { kind ->
         RecordPacker(
             replica,
@@ -60,195 +54,168 @@
             { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
         )
     }
-
+    private val rangeBuilder = AssignmentRangeBuilder(replica)
     private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.condition }
+    private val unresolvedTasks = UnresolvedTasks()
 
-    /** Tasks whose assignment is on its way or of unknown outcome: they count as assigned. */
-    private val pending = HashMap<JobId, Int>()
-
-    /** The leadership term that [pending] belongs to. */
+    /** The leadership term that [unresolvedTasks] belong to. */
     private var term = Revision.ABSENT
-    private var unhurriedWrittenAt = MonotonicTime.NEVER
+    private var nonUrgentWrittenAt = MonotonicTime.NEVER
 
-    /** What an earlier leadership term left behind can't be applied any more: its revision was a condition of all. */
+    /**
+     * Drops what is left of an earlier leadership term. Its writes can't be applied any more, since that term's revision is a
+     * condition of each.
+     */
     fun beginRound() {
         if (term == leadership.revision) return
         term = leadership.revision
-        pending.clear()
+        unresolvedTasks.clear()
         packers.values.forEach { it.endAll() }
     }
 
-    fun pends(job: JobId): Boolean = job in pending
-
-    fun pendingTasks(job: JobId): Int = pending[job] ?: 0
-
-    /** Whether no write is under way that one of this page would have to wait for. */
-    fun ready(job: Job, page: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, page) } ?: false
-
-    /** The page with the [choices] added, and without the tasks that are done or given back. */
-    private fun pageWith(job: Job, page: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
-        val present = job.pages[page]?.value ?: AssignmentRange.EMPTY
-        val groups = assignedGroups(job, page, present)
-        val generation = present.lastGeneration + 1
-        var frontier = present.frontier
-        for ((shard, chosen) in choices.groupBy { it.machineCapacity.shard }) {
-            val fencingToken = FencingToken(
-                replica.shards
-                    .getValue(shard)
-                    .revision.number,
-            )
-            val again = BitSet()
-            val first = BitSet()
-            chosen.forEach { if (it.task < present.frontier) again.set(it.task) else first.set(it.task) }
-            // A task that was never assigned can't have been given back, so it may share a group that stands already:
-            // a group for every round would outgrow the value.
-            val joined = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
-            if (!first.isEmpty && joined >= 0) {
-                val group = groups[joined]
-                val tasks = group.tasks.clone() as BitSet
-                tasks.or(first)
-                groups[joined] = AssignmentGroup(shard, fencingToken, group.generation, tasks)
-            } else {
-                again.or(first)
-            }
-            if (!again.isEmpty) groups += AssignmentGroup(shard, fencingToken, generation, again)
-            frontier = maxOf(frontier, chosen.maxOf { it.task } + 1)
-        }
-        val preemptedForGuarantee = present.preemptedForGuarantee.clone() as BitSet
-        choices.forEach { preemptedForGuarantee.clear(it.task) }
-        guaranteePreemptions?.let(preemptedForGuarantee::or)
-        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, present.version + 1)
-    }
+    fun hasUnresolvedTasks(job: JobId): Boolean = job in unresolvedTasks
 
-    private fun assignedGroups(job: Job, page: Int, present: AssignmentRange): ArrayList<AssignmentGroup> {
-        val groups = ArrayList<AssignmentGroup>()
-        for (group in present.groups) {
-            val tasks = group.tasks.clone() as BitSet
-            tasks.andNot(job.done)
-            job.works[ShardTaskRange(page, group.shard)]
-                ?.value
-                ?.returned
-                ?.get(group.generation)
-                ?.let(tasks::andNot)
-            if (!tasks.isEmpty) groups += AssignmentGroup(group.shard, group.fencingToken, group.generation, tasks)
-        }
-        return groups
-    }
+    fun unresolvedTasks(job: JobId): Int = unresolvedTasks.of(job)
+
+    /** Whether no write is in flight that one of task range [range] would have to wait for. */
+    fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, range) } ?: false
 
+    /**
+     * Writes as much of [plan] as the write budget allows now. What remains is planned again by a later round: a queue of
+     * assignments of low priority would delay urgent ones behind it.
+     */
     fun write(plan: AssignmentPlan) {
         val changes = LinkedHashMap<TaskRange, ByteArray>()
-        val chosen = HashMap<TaskRange, List<PlacementChoice>>()
-        for (place in plan.places) {
-            val choices = plan.choices[place].orEmpty()
-            if (choices.any { it.machineCapacity.shard !in replica.shards }) continue
-            val fitting = fittingPage(place, choices, plan.guaranteePreemptions[place]) ?: continue
-            changes[place] = fitting.bytes
-            chosen[place] = fitting.choices
+        val choices = HashMap<TaskRange, List<PlacementChoice>>()
+        for (range in plan.ranges) {
+            val planned = plan.choices[range].orEmpty()
+            if (planned.any { it.machine.shard !in replica.shards }) continue
+            val fitting = fittingRecord(range, planned, plan.guaranteePreemptions[range]) ?: continue
+            changes[range] = fitting.bytes
+            choices[range] = fitting.choices
         }
-        // No more than can be written now: what must wait is decided later, with more room at a time. Otherwise a
-        // queue of decisions about lesser work would hold up the urgent ones behind it.
-        var affordable = store.affordableAssignments()
+        var affordableWrites = store.affordableAssignments()
         for (packedWrite in pack(changes)) {
-            val urgent = packedWrite.places.any { replica.jobs[it.job]?.spec?.let { spec -> spec.priority <= Priority.HIGH } ?: false }
-            if (!urgent) {
-                // However little there is, some of it is theirs.
-                if (affordable <= store.keptForUrgent && loop.now() < unhurriedWrittenAt + MAX_WITHOUT) {
-                    store.missed(1)
-                    continue
-                }
-                unhurriedWrittenAt = loop.now()
-            }
-            affordable--
-            commit(packedWrite, packedWrite.places.associateWith { chosen.getValue(it) })
+            if (!isUrgent(packedWrite) && !admitNonUrgent(affordableWrites)) continue
+            affordableWrites--
+            commit(packedWrite, packedWrite.places.associateWith { choices.getValue(it) })
         }
     }
 
+    private fun isUrgent(packedWrite: PackedWrite) = packedWrite.places.any { replica.jobs[it.job]?.spec?.isUrgent ?: false }
+
+    /** Whether the budget allows a write without urgent jobs. Even where it does not, one is admitted from time to time. */
+    private fun admitNonUrgent(affordableWrites: Int): Boolean {
+        if (affordableWrites <= store.keptForUrgent && loop.now() < nonUrgentWrittenAt + MAX_NON_URGENT_DELAY) {
+            store.missed(1)
+            return false
+        }
+        nonUrgentWrittenAt = loop.now()
+        return true
+    }
+
     /**
-     * The page with as many of the [choices] as a value of the service can hold; the other tasks are assigned once some
-     * of the page's are over. Null where it could not hold even the page as it stands, or nothing would change.
+     * The record of a task range with as many of the [choices] as a stored value can hold; the other tasks are assigned once
+     * some of the range have ended. Null where no value can hold even the present content, or nothing would change.
      */
-    private fun fittingPage(place: TaskRange, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): FittingRange? {
-        val job = replica.jobs.getValue(place.job)
+    private fun fittingRecord(range: TaskRange, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): FittingRecord? {
+        val job = replica.jobs.getValue(range.job)
         val packer = packers.getValue(job.spec?.kind ?: return null)
-        var kept = choices
+        var fitting = choices
         while (true) {
-            val bytes = RecordCodec.encode(pageWith(job, place.page, kept, guaranteePreemptions))
-            if (packer.fitsValue(place, bytes)) return FittingRange(kept, bytes)
-            if (kept.isEmpty()) return null
-            kept = kept.take(kept.size / 2)
-            if (kept.isEmpty() && guaranteePreemptions == null) return null
+            val bytes = RecordCodec.encode(rangeBuilder.build(job, range.page, fitting, guaranteePreemptions))
+            if (packer.fitsValue(range, bytes)) return FittingRecord(fitting, bytes)
+            if (fitting.isEmpty()) return null
+            fitting = fitting.take(fitting.size / 2)
+            if (fitting.isEmpty() && guaranteePreemptions == null) return null
         }
     }
 
-    /** Services first: they are the urgent ones as a rule. */
+    /** Services first, since most of them are urgent. */
     private fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> = packers.entries
         .sortedBy { it.key != JobKind.SERVICE }
         .flatMap { (kind, packer) -> packer.pack(changes.filterKeys { replica.jobs[it.job]?.spec?.kind == kind }) }
 
     private fun commit(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>) {
+        val conditions = conditionsOf(packedWrite, choices)
+        if (conditions.size > store.limits.transactionConditions) return commitFirstHalf(choices)
+        val tasksByJob = HashMap<JobId, Int>()
+        choices.forEach { (range, chosen) -> tasksByJob.merge(range.job, chosen.size, Int::plus) }
+        val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
+        val write = AssignmentWrite(packedWrite, transaction, choices, tasksByJob, term)
+        unresolvedTasks.add(tasksByJob)
+        packedWrite.packer.begin(packedWrite)
+        store.commit(WritePriority.ASSIGNMENT, transaction) { outcome -> if (isCurrent(write)) onOutcome(write, outcome) }
+    }
+
+    /** Still leading, every job's live record unchanged, and every shard still owned by the owner that reported the capacity. */
+    private fun conditionsOf(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>): Set<Condition> {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
         conditions += packedWrite.condition
-        for ((place, chosen) in choices) {
-            conditions += Condition(Keys.live(place.job), replica.jobs.getValue(place.job).liveRevision())
-            chosen.mapTo(
-                conditions,
-            ) { Condition(Keys.shard(it.machineCapacity.shard), replica.shards.getValue(it.machineCapacity.shard).revision) }
-        }
-        if (conditions.size > store.limits.transactionConditions) return commitPart(choices)
-        val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
-        val counts = HashMap<JobId, Int>()
-        choices.forEach { (place, chosen) -> counts.merge(place.job, chosen.size, Int::plus) }
-        counts.forEach { (job, count) -> pending.merge(job, count, Int::plus) }
-        packedWrite.packer.begin(packedWrite)
-        val spell = term
-        store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
-            if (spell != term) return@commit
-            when (outcome) {
-                is TransactionOutcome.Applied -> {
-                    log.debug("{} assigned", counts)
-                    for ((place, chosen) in choices) {
-                        val request = replica.jobs[place.job]?.spec?.request ?: Resources.ZERO
-                        chosen.forEach { capacityTable.reserve(it.machineCapacity, outcome.revision, request) }
-                    }
-                    replica.applied(transaction, outcome.revision)
-                    settled(packedWrite, counts)
-                }
-                TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL) { if (spell == term) settled(packedWrite, counts) }
-                // Somebody cancelled, a shard changed hands: surely not applied, but what stood in the way must be known.
-                is TransactionOutcome.Conflict -> replica.readFresh { if (spell == term) settled(packedWrite, counts) }
-                // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
-                // reading alone could put a team over its limit.
-                TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
-                    unresolvedWrites.resolve(packedWrite, ours = { spell == term }) { settled(packedWrite, counts) }
+        for ((range, chosen) in choices) {
+            conditions += Condition(Keys.live(range.job), replica.jobs.getValue(range.job).liveRevision())
+            for (choice in chosen) {
+                val shard = choice.machine.shard
+                conditions += Condition(Keys.shard(shard), replica.shards.getValue(shard).revision)
             }
         }
+        return conditions
     }
 
-    /** Too many jobs or shards for one transaction: the first half of them now, the others in a later round. */
-    private fun commitPart(choices: Map<TaskRange, List<PlacementChoice>>) {
-        val part = firstHalf(choices)
-        if (part.isEmpty()) return log.warn("assignments of {} need too many conditions", choices.keys)
-        val changes = part.mapValues { (place, chosen) ->
-            RecordCodec.encode(pageWith(replica.jobs.getValue(place.job), place.page, chosen, guaranteePreemptions = null))
+    /** Commits the first half of what would need too many conditions for one transaction; a later round plans the rest again. */
+    private fun commitFirstHalf(choices: Map<TaskRange, List<PlacementChoice>>) {
+        val half = firstHalf(choices)
+        if (half.isEmpty()) return log.warn("assignment_needs_too_many_conditions task_ranges={}", choices.keys)
+        val changes = half.mapValues { (range, chosen) ->
+            RecordCodec.encode(rangeBuilder.build(replica.jobs.getValue(range.job), range.page, chosen, guaranteePreemptions = null))
         }
-        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { part.getValue(it) }) }
+        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { half.getValue(it) }) }
     }
 
-    /** Half of the pages, or half of the tasks where there is one page. */
+    /** Half of the task ranges, or half of the tasks where there is one range. */
     private fun firstHalf(choices: Map<TaskRange, List<PlacementChoice>>): Map<TaskRange, List<PlacementChoice>> {
         if (choices.size > 1) return choices.entries.take(choices.size / 2).associate { it.key to it.value }
         return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
     }
 
-    private fun settled(packedWrite: PackedWrite, counts: Map<JobId, Int>) {
-        packedWrite.packer.end(packedWrite)
-        counts.forEach { (job, count) -> pending.computeIfPresent(job) { _, sum -> (sum - count).takeIf { it > 0 } } }
+    /** Whether the leadership term in which [write] was made still lasts. */
+    private fun isCurrent(write: AssignmentWrite) = write.term == term
+
+    private fun onOutcome(write: AssignmentWrite, outcome: TransactionOutcome) = when (outcome) {
+        is TransactionOutcome.Applied -> onApplied(write, outcome.revision)
+        TransactionOutcome.Refused -> loop.after(SETTLE_DELAY_AFTER_REFUSAL) { settleIfCurrent(write) }
+        // Surely not applied; but the job or shard record that has changed must be known before planning again.
+        is TransactionOutcome.Conflict -> replica.readFresh { settleIfCurrent(write) }
+        // It may still be applied: if others got its share of the quota meanwhile, the team could exceed the quota.
+        TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
+            unresolvedWrites.resolve(write.packedWrite, ours = { isCurrent(write) }) { settle(write) }
+    }
+
+    private fun onApplied(write: AssignmentWrite, revision: Revision) {
+        log.debug("assignments_written tasks_by_job={} revision={}", write.tasksByJob, revision)
+        for ((range, chosen) in write.choices) {
+            val request = replica.jobs[range.job]?.spec?.request ?: Resources.ZERO
+            chosen.forEach { capacityTable.reserve(it.machine, revision, request) }
+        }
+        replica.applied(write.transaction, revision)
+        settle(write)
+    }
+
+    private fun settleIfCurrent(write: AssignmentWrite) {
+        if (isCurrent(write)) settle(write)
+    }
+
+    /** The outcome of [write] is known, and none of its copies can be applied any more. */
+    private fun settle(write: AssignmentWrite) {
+        write.packedWrite.packer.end(write.packedWrite)
+        unresolvedTasks.resolve(write.tasksByJob)
     }
 
     private companion object {
-        val MAX_WITHOUT = 1500.milliseconds
-        val AFTER_REFUSAL = 200.milliseconds
-        val log = LoggerFactory.getLogger("assigner")
+        /** How long writes without urgent jobs may be held back for the sake of urgent ones. */
+        val MAX_NON_URGENT_DELAY = 1500.milliseconds
+        val SETTLE_DELAY_AFTER_REFUSAL = 200.milliseconds
+        val log = LoggerFactory.getLogger("scheduling")
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -1,7 +1,5 @@
 package copperglade.scheduling
 
-import copperglade.protocol.JobSpec
-import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
@@ -11,54 +9,51 @@
 import copperglade.shards.ShardMap
 import copperglade.storage.Replica
 
-/** The free capacity of each machine, less what the leader has assigned since the owner reported it. */
-class CapacityTable(private val replica: Replica, private val shardMap: ShardMap) {
+/**
+ * The leader's view of each machine's free capacity: what the shard's owner last reported, less the assignments that it did
+ * not know of when it reported.
+ *
+ * @param statusOf the last status of a controller; null where that is too old to assign by.
+ */
+class CapacityTable(
+    private val replica: Replica,
+    private val shardMap: ShardMap,
+    private val statusOf: (MemberId) -> PeerStatus?,
+) {
+    /** Resources assigned to a machine by the write of [revision]. */
     private class Reservation(val revision: Revision, val request: Resources)
 
-    class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, var free: Resources, preemptible: List<Resources>) {
-        private val preemptible = PreemptibleCapacity(preemptible)
-
-        /** Whether [spec] could be given room by stopping what is of lower priority. */
-        fun fitsWithPreemption(spec: JobSpec): Boolean =
-            preemptible.hasBelow(spec.priority) && spec.request.fitsIn(preemptible.withAllBelow(spec.priority, free))
-
-        /** Takes room for a task of [spec]. What it has by stopping lower work is gone from what that work could still yield. */
-        fun take(spec: JobSpec) {
-            free = preemptible.preemptInto(free - spec.request, spec.priority)
-        }
-
-        /** Kept for a task that doesn't fit yet: small ones must not take every piece of room that comes free. */
-        var kept = false
-    }
-
     private val reservations = HashMap<MachineName, MutableList<Reservation>>()
 
-    /** The capacity of the machines of all shards whose owners have been heard lately. */
-    fun capacities(statusOf: (MemberId) -> PeerStatus?): List<MachineCapacity> {
+    /** The machines of all shards whose present owner has reported their capacity under its present fencing token. */
+    fun capacities(): List<MachineCapacity> {
         val capacities = ArrayList<MachineCapacity>()
         for (shard in shardMap.all) {
             val record = replica.shards[shard] ?: continue
             val status = statusOf(record.value.member)?.takeIf { it.incarnation == record.value.incarnation } ?: continue
-            val machineCapacity =
+            val shardCapacity =
                 status.shards.firstOrNull { it.shard == shard && it.fencingToken.number == record.revision.number } ?: continue
-            for (machine in machineCapacity.machines) {
+            for (machine in shardCapacity.machines) {
                 val unconfirmed = unconfirmedReservations(machine.name, status.knownRevision)
-                val free = unconfirmed.fold(machine.free) { left, reservation -> left - reservation.request }
-                capacities += MachineCapacity(shard, machine, free, machine.preemptible)
+                val free = unconfirmed.fold(machine.free) { remaining, reservation -> remaining - reservation.request }
+                capacities += MachineCapacity(shard, machine, free)
             }
         }
         return capacities
     }
 
-    /** What the owner didn't know of yet when it wrote its status. */
+    /** Counts a task with this [request], assigned by the write of [revision], until the shard's owner knows that revision. */
+    fun reserve(machine: MachineCapacity, revision: Revision, request: Resources) {
+        reservations.getOrPut(machine.machine.name) { ArrayList() } += Reservation(revision, request)
+    }
+
+    fun zoneOf(shard: ShardName): String = shardMap.zoneOf(shard)
+
+    /** Reservations that an owner which knows the records up to [knownRevision] has not counted yet; the others are dropped. */
     private fun unconfirmedReservations(machine: MachineName, knownRevision: Revision): List<Reservation> {
         val machineReservations = reservations[machine] ?: return emptyList()
         machineReservations.removeIf { it.revision <= knownRevision }
         if (machineReservations.isEmpty()) reservations.remove(machine)
         return machineReservations
     }
-
-    fun reserve(machineCapacity: MachineCapacity, revision: Revision, request: Resources) {
-        reservations.getOrPut(machineCapacity.machine.name) { ArrayList() } += Reservation(revision, request)
-    }
 }
--- a/src/main/kotlin/copperglade/scheduling/DeadlinePlan.kt
+++ b/src/main/kotlin/copperglade/scheduling/DeadlinePlan.kt
@@ -2,64 +2,75 @@
 
 import copperglade.protocol.TeamName
 import java.util.PriorityQueue
-import kotlin.math.max
-import kotlin.math.min
 
-/** A job as the plan sees it: the work left in it and when it is due at each multiple of its deadline that counts. */
+/**
+ * A job as the deadline plan sees it.
+ *
+ * @property workCpuSeconds the CPU time that its unfinished tasks need.
+ * @property dueInSeconds when it is due at each multiple of its deadline that counts and is feasible, in ascending order.
+ */
 class PlannedJob<T>(
     val job: T,
-    val workCpuS: Double,
-    val dueInS: List<Double>,
-    val waitedS: Double = 0.0,
+    val workCpuSeconds: Double,
+    val dueInSeconds: List<Double>,
+    val waitedSeconds: Double = 0.0,
     val team: TeamName? = null,
 )
 
 /**
- * The order in which jobs with deadlines should get room when there may not be enough for all: as many as possible in
- * time. Moore and Hodgson's rule, with the machines taken as one pool: go by due time, and whenever the jobs so far
- * can't all be in time, put off the one with the most work. What is put off is planned for the next multiple of its
- * deadline, behind what is in time; what can't make any goes last, least work first as long as none has waited for long.
+ * Orders jobs with deadlines so that as many as possible meet them, by the Moore-Hodgson algorithm with all machines taken
+ * as one pool. Jobs that can't meet their deadline are planned for its next multiple, after those that can; jobs that can
+ * meet none come last, those with the least work first, unless others have waited for long.
  *
- * A team's limit is a pool of its own, planned first: with all machines in view, a team at its limit seems to have room
- * for everything, and going by due time alone makes nearly everything late.
+ * Each team's quota is planned as a pool of its own first. Measured against all machines a team at its quota would seem to
+ * have capacity for all its jobs, and ordering these by due time alone would make nearly all of them late.
  */
 class DeadlinePlan(private val poolCpus: Double, private val teamCpus: (TeamName) -> Double = { poolCpus }) {
+    /** The jobs in the order in which they should be assigned. */
     fun <T> order(jobs: List<PlannedJob<T>>): List<T> {
         val ordered = ArrayList<T>(jobs.size)
-        var left = jobs
-        var begunS = 0.0
-        val teamBegunS = HashMap<TeamName?, Double>()
-        for (pass in 0 until (jobs.maxOfOrNull { it.dueInS.size } ?: 0)) {
-            val (due, undue) = left.partition { pass < it.dueInS.size }
-            val withinLimits = due.groupBy { it.team }.flatMap { (team, its) ->
-                inTime(its, pass, teamBegunS[team] ?: 0.0, poolOf(team))
+        var remaining = jobs
+        var poolBusySeconds = 0.0
+        val teamBusySeconds = HashMap<TeamName?, Double>()
+        for (multiple in 0 until (jobs.maxOfOrNull { it.dueInSeconds.size } ?: 0)) {
+            val (due, notDue) = remaining.partition { multiple < it.dueInSeconds.size }
+            val withinQuotas = due.groupBy { it.team }.flatMap { (team, teamJobs) ->
+                mooreHodgson(teamJobs, multiple, teamBusySeconds[team] ?: 0.0, cpusOf(team))
             }
-            val inTime = inTime(withinLimits, pass, begunS, poolCpus)
-            ordered += inTime.map { it.job }
-            begunS += inTime.sumOf { it.workCpuS } / poolCpus
-            inTime.forEach { teamBegunS.merge(it.team, it.workCpuS / poolOf(it.team), Double::plus) }
-            val planned = inTime.toHashSet()
-            left = due.filter { it !in planned } + undue
+            val onTime = mooreHodgson(withinQuotas, multiple, poolBusySeconds, poolCpus)
+            ordered += onTime.map { it.job }
+            poolBusySeconds += onTime.sumOf { it.workCpuSeconds } / poolCpus
+            onTime.forEach { teamBusySeconds.merge(it.team, it.workCpuSeconds / cpusOf(it.team), Double::plus) }
+            val planned = onTime.toHashSet()
+            remaining = due.filter { it !in planned } + notDue
         }
-        return ordered + left.sortedBy { it.workCpuS / poolCpus * WAITS_FOR_LESS - it.waitedS }.map { it.job }
+        return ordered + remaining.sortedBy(::lateOrder).map { it.job }
     }
 
-    private fun poolOf(team: TeamName?): Double = team?.let(teamCpus)?.coerceIn(SMALLEST_POOL, poolCpus) ?: poolCpus
+    /** Ranks a job that is late in any case: by its work, less for each second that it has waited. */
+    private fun lateOrder(job: PlannedJob<*>): Double = job.workCpuSeconds / poolCpus * WAITED_SECONDS_PER_WORK_SECOND - job.waitedSeconds
+
+    private fun cpusOf(team: TeamName?): Double = team?.let(teamCpus)?.coerceIn(MIN_POOL_CPUS, poolCpus) ?: poolCpus
 
-    private fun <T> inTime(jobs: List<PlannedJob<T>>, pass: Int, begunS: Double, cpus: Double): List<PlannedJob<T>> {
-        val chosen = PriorityQueue<PlannedJob<T>>(compareByDescending { it.workCpuS })
-        var endS = begunS
-        for (job in jobs.sortedBy { it.dueInS[pass] }) {
-            chosen += job
-            endS += job.workCpuS / cpus
-            if (endS > job.dueInS[pass]) endS -= chosen.remove().workCpuS / cpus
+    /**
+     * The largest set of [jobs] that can all meet the given [multiple] of their deadlines on [cpus] that are busy for
+     * [busySeconds], in order of due time: takes the jobs in that order, and drops the one with the most work whenever the
+     * jobs so far can't all be in time.
+     */
+    private fun <T> mooreHodgson(jobs: List<PlannedJob<T>>, multiple: Int, busySeconds: Double, cpus: Double): List<PlannedJob<T>> {
+        val onTime = PriorityQueue<PlannedJob<T>>(compareByDescending { it.workCpuSeconds })
+        var endSeconds = busySeconds
+        for (job in jobs.sortedBy { it.dueInSeconds[multiple] }) {
+            onTime += job
+            endSeconds += job.workCpuSeconds / cpus
+            if (endSeconds > job.dueInSeconds[multiple]) endSeconds -= onTime.remove().workCpuSeconds / cpus
         }
-        return chosen.sortedBy { it.dueInS[pass] }
+        return onTime.sortedBy { it.dueInSeconds[multiple] }
     }
 
     private companion object {
-        /** What would take a second longer with all machines is passed by what came up to so many seconds later. */
-        const val WAITS_FOR_LESS = 8.0
-        const val SMALLEST_POOL = 1e-3
+        /** A second of work on the whole pool is worth this many seconds of waiting. */
+        const val WAITED_SECONDS_PER_WORK_SECOND = 8.0
+        const val MIN_POOL_CPUS = 1e-3
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/FairShare.kt
+++ b/src/main/kotlin/copperglade/scheduling/FairShare.kt
@@ -1,40 +1,50 @@
 package copperglade.scheduling
 
-import copperglade.protocol.TeamName
-import java.util.PriorityQueue
 import kotlin.math.max
 import kotlin.math.min
 
-/** A job that waits: how long it has, how many of its CPUs run, and whether any task of it has ever begun. */
+/**
+ * A job with unassigned tasks.
+ *
+ * @property runningCpus CPUs of its tasks that are assigned.
+ * @property hasStarted whether any of its tasks has ever been assigned.
+ * @property canMeetDeadline whether any multiple of its deadline that counts is still feasible.
+ */
 class WaitingJob<T>(
     val job: T,
-    val waitedS: Double,
+    val waitedSeconds: Double,
     val taskCpus: Double,
     val runningCpus: Double,
-    val begun: Boolean,
-    val mayBeInTime: Boolean,
+    val hasStarted: Boolean,
+    val canMeetDeadline: Boolean,
 )
 
+/** How many [tasks] of a starving [job] are assigned ahead of the deadline plan. */
+data class JobShare<T>(val job: T, val tasks: Int)
+
 /**
- * What bounds the waiting that [DeadlinePlan] alone would not: it puts off the largest jobs for as long as smaller ones
- * keep coming, so under lasting overload these would never run. A job that has waited for [afterS] begins with a few
- * tasks, whatever else waits; and what can't be in time any more shares a part of the machines in order of arrival, small
- * at first and larger the longer the first of them has waited. The rest, and so nearly all jobs in time, stays the plan's.
+ * Bounds the starvation that [DeadlinePlan] alone would allow: it defers the largest jobs as long as smaller ones keep
+ * arriving, so that under lasting overload these would never run.
+ *
+ * A job that has waited for the starvation threshold starts with a few tasks, whatever else waits. Starving jobs that can't
+ * meet their deadlines any more also share a part of the machines in order of arrival; that part grows with the waiting time
+ * of the first of them. All other capacity is left to the plan.
  */
-class FairShare(private val afterS: Double, private val share: Double) {
-    /** How many tasks of which jobs come before the plan's. */
-    fun <T> of(jobs: List<WaitingJob<T>>, poolCpus: Double): List<Pair<T, Int>> {
-        val waiting = jobs.filter { it.waitedS >= afterS }.sortedByDescending { it.waitedS }
-        val late = waiting.filter { !it.mayBeInTime }
-        val growth = (late.firstOrNull()?.waitedS ?: 0.0) / afterS
-        var left = poolCpus * min(share * growth, max(share, LARGEST_SHARE)) - late.sumOf { it.runningCpus }
-        val shares = ArrayList<Pair<T, Int>>()
-        for (job in waiting) {
-            var tasks = if (job.begun) 0 else FIRST_TASKS
-            if (!job.mayBeInTime && left > 0.0) tasks = maxOf(tasks, (left / job.taskCpus).toInt())
+class FairShare(private val starvationThresholdSeconds: Double, private val starvationShare: Double) {
+    /** The shares of the starving ones among [jobs] on machines that have [poolCpus] in all, longest waiting first. */
+    fun <T> of(jobs: List<WaitingJob<T>>, poolCpus: Double): List<JobShare<T>> {
+        val starving = jobs.filter { it.waitedSeconds >= starvationThresholdSeconds }.sortedByDescending { it.waitedSeconds }
+        val late = starving.filter { !it.canMeetDeadline }
+        val growth = (late.firstOrNull()?.waitedSeconds ?: 0.0) / starvationThresholdSeconds
+        val poolShare = min(starvationShare * growth, max(starvationShare, MAX_STARVATION_SHARE))
+        var remainingCpus = poolCpus * poolShare - late.sumOf { it.runningCpus }
+        val shares = ArrayList<JobShare<T>>()
+        for (job in starving) {
+            var tasks = if (job.hasStarted) 0 else FIRST_TASKS
+            if (!job.canMeetDeadline && remainingCpus > 0.0) tasks = maxOf(tasks, (remainingCpus / job.taskCpus).toInt())
             if (tasks == 0) continue
-            left -= tasks * job.taskCpus
-            shares += job.job to tasks
+            remainingCpus -= tasks * job.taskCpus
+            shares += JobShare(job.job, tasks)
         }
         return shares
     }
@@ -42,7 +52,7 @@
     private companion object {
         const val FIRST_TASKS = 2
 
-        /** The plan keeps half of the machines whatever waits. */
-        const val LARGEST_SHARE = 0.5
+        /** The deadline plan keeps half of the machines however many jobs starve, unless the operators set a larger share. */
+        const val MAX_STARVATION_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -7,59 +7,60 @@
 import copperglade.storage.Assignment
 import copperglade.storage.Job
 
-/** Tasks within a team's guarantee that wait for room. */
-class GuaranteeClaim(val team: TeamName, val request: Resources, val tasks: Int)
+/** Unassigned tasks that a team's guarantee covers. */
+internal class GuaranteeClaim(val team: TeamName, val request: Resources, val tasks: Int)
 
-/** What a job outside its team's guarantee has been assigned. */
-class BorrowedQuota(val job: Job, val spec: JobSpec, val assigned: List<Assignment>)
+/** Assigned tasks of a job that its team's guarantee does not cover. */
+internal class BorrowedQuota(val job: Job, val spec: JobSpec, val assigned: List<Assignment>)
 
 /**
- * What to stop so that teams get their guarantees: work that other teams run beyond their own. Saved progress first, then
- * what was assigned last, which has least to lose; never more than the claims need, nor than a team has borrowed.
+ * Chooses tasks to preempt so that teams get their guarantees, among those that other teams run beyond their own.
+ *
+ * Tasks that write checkpoints are preempted first, then those assigned last, which lose the least; never more than the
+ * claims need, nor more than a team has borrowed. A team that has a claim itself loses nothing.
  */
-class GuaranteePreemption(private val teams: Map<TeamName, Team>) {
-    /** The tasks to recall, by job. */
+internal class GuaranteePreemption(private val teams: Map<TeamName, Team>) {
+    /** The assignments to preempt, by job, in the order in which the jobs are preempted. [usedCpus] are the CPUs that each team's assigned tasks request. */
     fun choose(
         claims: List<GuaranteeClaim>,
         borrowedQuotas: List<BorrowedQuota>,
         usedCpus: Map<TeamName, Double>,
     ): Map<Job, List<Assignment>> {
-        var needed = neededCpus(claims, usedCpus)
-        // What has been recalled before and is still there is on its way out.
-        needed -= borrowedQuotas.sumOf { job -> job.assigned.count { it.preemptedForGuarantee } * job.spec.request.cpus }
-        val spare = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.cpus }
+        // Tasks preempted earlier that are still assigned are about to free their resources.
+        var missingCpus = claimedCpus(claims, usedCpus) - beingPreemptedCpus(borrowedQuotas)
+        val borrowedCpus = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.cpus }
+        val claiming = claims.mapTo(HashSet()) { it.team }
         val chosen = LinkedHashMap<Job, MutableList<Assignment>>()
-        for (borrowed in borrowedQuotas.sortedWith(
-            compareBy<BorrowedQuota> {
-                if (it.spec.checkpointS >
-                    0.0
-                ) {
-                    0
-                } else {
-                    1
-                }
-            }.thenByDescending {
-                it.job.live
-                    ?.value
-                    ?.acceptedAtMs ?: 0L
-            },
-        )) {
+        for (borrowed in borrowedQuotas.sortedWith(CHECKPOINTED_THEN_LATEST)) {
+            val team = borrowed.spec.team
+            if (team in claiming) continue
             val cpus = borrowed.spec.request.cpus
             for (assignment in borrowed.assigned.filter { !it.preemptedForGuarantee }.sortedByDescending { it.generation }) {
-                val left = spare[borrowed.spec.team] ?: 0.0
-                if (needed <= 0.0 || left < cpus) break
-                if (claims.any { it.team == borrowed.spec.team }) break
-                needed -= cpus
-                spare[borrowed.spec.team] = left - cpus
+                val remainingCpus = borrowedCpus[team] ?: 0.0
+                if (missingCpus <= 0.0 || remainingCpus < cpus) break
+                missingCpus -= cpus
+                borrowedCpus[team] = remainingCpus - cpus
                 chosen.getOrPut(borrowed.job) { ArrayList() } += assignment
             }
         }
         return chosen
     }
 
-    private fun neededCpus(claims: List<GuaranteeClaim>, usedCpus: Map<TeamName, Double>): Double =
-        claims.groupBy { it.team }.entries.sumOf { (name, its) ->
-            val within = (teams[name]?.cpus ?: 0.0) - (usedCpus[name] ?: 0.0)
-            its.sumOf { it.request.cpus * it.tasks }.coerceAtMost(within.coerceAtLeast(0.0))
+    private fun claimedCpus(claims: List<GuaranteeClaim>, usedCpus: Map<TeamName, Double>): Double =
+        claims.groupBy { it.team }.entries.sumOf { (team, teamClaims) ->
+            val unusedGuarantee = (teams[team]?.cpus ?: 0.0) - (usedCpus[team] ?: 0.0)
+            teamClaims.sumOf { it.request.cpus * it.tasks }.coerceAtMost(unusedGuarantee.coerceAtLeast(0.0))
         }
+
+    private fun beingPreemptedCpus(borrowedQuotas: List<BorrowedQuota>): Double =
+        borrowedQuotas.sumOf { borrowed -> borrowed.assigned.count { it.preemptedForGuarantee } * borrowed.spec.request.cpus }
+
+    private companion object {
+        val CHECKPOINTED_THEN_LATEST = compareBy<BorrowedQuota> { if (it.spec.checkpointS > 0.0) 0 else 1 }
+            .thenByDescending {
+                it.job.live
+                    ?.value
+                    ?.acceptedAtMs ?: 0L
+            }
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/scheduling/MachineCapacity.kt
@@ -0,0 +1,31 @@
+package copperglade.scheduling
+
+import copperglade.protocol.JobSpec
+import copperglade.protocol.MachineAvailability
+import copperglade.protocol.Resources
+import copperglade.protocol.ShardName
+
+/**
+ * The capacity of one machine during a scheduling round, reduced by what the round assigns to it.
+ *
+ * @property machine the machine as its shard's owner reported it.
+ */
+class MachineCapacity(val shard: ShardName, val machine: MachineAvailability, free: Resources) {
+    private val preemptible = PreemptibleCapacity(machine.preemptible)
+
+    /** Resources not used by any task; negative while preempted tasks still run. */
+    var free = free
+        private set
+
+    /** Whether it is reserved for a task that does not fit yet; otherwise small tasks would take all capacity that is freed. */
+    var isReserved = false
+
+    /** Whether a task of [spec] fits after preempting all tasks of lower priority, of which there must be some. */
+    fun fitsWithPreemption(spec: JobSpec): Boolean =
+        preemptible.hasBelow(spec.priority) && preemptible.fitsWithPreemption(spec, free)
+
+    /** Allocates resources for a task of [spec], by preemption where [free] does not suffice. */
+    fun allocate(spec: JobSpec) {
+        free = preemptible.preemptInto(free - spec.request, spec.priority)
+    }
+}
--- a/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
+++ b/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
@@ -3,20 +3,24 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.MachineType
 
-/** How little a place suits a task, in seconds of waiting that would be as bad. Leader and owners judge alike. */
+/**
+ * The score of a machine for a task: the lower, the better. It is measured in seconds of waiting that would be as bad. The
+ * leader and the shard owners use the same score.
+ */
 object PlacementCost {
-    /** Ordinary machines are kept for what can't run elsewhere, so that they empty and can be returned. */
-    private const val ORDINARY_FOR_FLEXIBLE_S = 4.0
+    /** Keeps on-demand machines free for tasks that can't run on spot machines, so that they become idle and can be scaled in. */
+    private const val ON_DEMAND_FOR_SPOT_TASK_SECONDS = 4.0
 
-    /** Stopping work of lower priority loses what it has done. */
-    private const val PREEMPTION_S = 1.0
-    private const val SLOWEST_GB_PER_S = 1e-3
+    /** Preempted tasks lose the work that they have done. */
+    private const val PREEMPTION_SECONDS = 1.0
+    private const val MIN_FETCH_GB_PER_SECOND = 1e-3
 
-    fun of(spec: JobSpec, type: MachineType?, spot: Boolean, imageThere: Boolean, preempts: Boolean): Double {
+    /** @param type the machine's type; null where it is not known. */
+    fun of(spec: JobSpec, type: MachineType?, spot: Boolean, imageCached: Boolean, preempts: Boolean): Double {
         var cost = 0.0
-        if (!imageThere) cost += spec.image.gb / (type?.fetchGbPerS ?: 1.0).coerceAtLeast(SLOWEST_GB_PER_S)
-        if (spec.spotAllowed && !spot) cost += ORDINARY_FOR_FLEXIBLE_S
-        if (preempts) cost += PREEMPTION_S
+        if (!imageCached) cost += spec.image.gb / (type?.fetchGbPerS ?: 1.0).coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+        if (spec.spotAllowed && !spot) cost += ON_DEMAND_FOR_SPOT_TASK_SECONDS
+        if (preempts) cost += PREEMPTION_SECONDS
         return cost
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
@@ -1,27 +1,36 @@
 package copperglade.scheduling
 
+import copperglade.protocol.JobSpec
 import copperglade.protocol.Priority
 import copperglade.protocol.Resources
 
-/** What stopping array tasks on a machine would free, by their priority. Services are never stopped for others. */
+/**
+ * What preempting array tasks on a machine would free. Services are never preempted.
+ *
+ * @property byPriority the resources of preemptible tasks, by the ordinal of their [Priority].
+ */
 class PreemptibleCapacity(val byPriority: List<Resources>) {
-    /** The lowest priority of which something could be stopped; -1: nothing could. */
-    private val lowest = byPriority.indexOfLast { it.cpus > 0.0 }
+    private val lowestPriority = byPriority.indexOfLast { it.cpus > 0.0 }
 
-    /** What is left of it after [preemptInto]. */
+    /** What [preemptInto] has not used up. */
     private val remaining = byPriority.toTypedArray()
 
-    /** Whether anything of lower priority than [priority] could be stopped. */
-    fun hasBelow(priority: Priority): Boolean = lowest > priority.ordinal
+    /** Whether there were any tasks of lower priority than [priority] to begin with. */
+    fun hasBelow(priority: Priority): Boolean = lowestPriority > priority.ordinal
 
-    /** [free], and what stopping everything of lower priority than [priority] would add to it. */
-    fun withAllBelow(priority: Priority, free: Resources): Resources {
+    /** Whether a task of [spec] fits into [free] after preempting all tasks of lower priority. */
+    fun fitsWithPreemption(spec: JobSpec, free: Resources): Boolean = spec.request.fitsIn(withAllBelow(spec.priority, free))
+
+    private fun withAllBelow(priority: Priority, free: Resources): Resources {
         var sum = free
-        for (lower in priority.ordinal + 1..lowest) sum += remaining[lower]
+        for (lower in priority.ordinal + 1..lowestPriority) sum += remaining[lower]
         return sum
     }
 
-    /** Takes what [free] is short of from what is of lower priority than [priority], the lowest first; what is free then. */
+    /**
+     * Covers the CPUs that [free] is short of by preempting tasks of lower priority than [priority], the lowest first;
+     * returns what is free then, which may still be too little.
+     */
     fun preemptInto(free: Resources, priority: Priority): Resources {
         var sum = free
         var lower = remaining.lastIndex
--- /dev/null
+++ b/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
@@ -0,0 +1,37 @@
+package copperglade.scheduling
+
+import copperglade.protocol.JobSpec
+import copperglade.protocol.ShardName
+
+/** The usable machines of one scheduling round. Their capacity only shrinks until the round ends. */
+internal class RoundCapacity(val machines: List<MachineCapacity>) {
+    val shards: List<ShardName> = machines.mapTo(LinkedHashSet()) { it.shard }.toList()
+
+    /** CPUs that are free or could be freed by preemption; at least 1. */
+    val poolCpus: Double
+        get() = machines
+            .sumOf { capacity -> capacity.machine.free.cpus + capacity.machine.preemptible.sumOf { it.cpus } }
+            .coerceAtLeast(1.0)
+
+    /** Jobs whose tasks fit on no machine any more. In an overload hundreds of jobs request the same, so one check serves them all. */
+    private val unplaceable = ArrayList<JobSpec>()
+
+    /** Notes that no machine can take another task of [spec] in this round. */
+    fun markFullFor(spec: JobSpec) {
+        if (!spec.oneZone && !spec.spread && unplaceable.size < MAX_UNPLACEABLE) unplaceable += spec
+    }
+
+    /** Whether the round is full for a task that requests no more than one of [spec] and may run wherever that one may. */
+    fun isFullFor(spec: JobSpec): Boolean = unplaceable.any { it.isNoHarderToPlaceThan(spec) }
+
+    private fun JobSpec.isNoHarderToPlaceThan(other: JobSpec): Boolean =
+        request.fitsIn(other.request) &&
+            priority <= other.priority &&
+            (spotAllowed || !other.spotAllowed) &&
+            (types == null || types == other.types) &&
+            (zone == null || zone == other.zone)
+
+    private companion object {
+        const val MAX_UNPLACEABLE = 16
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/scheduling/SchedulingPolicy.kt
@@ -0,0 +1,8 @@
+package copperglade.scheduling
+
+import copperglade.protocol.TeamName
+import copperglade.settings.ServiceLevelObjectives
+import copperglade.settings.Team
+
+/** What the leader's scheduling rounds are to respect: quotas and guarantees, objectives, and the share of starving jobs. */
+class SchedulingPolicy(val teams: Map<TeamName, Team>, val objectives: ServiceLevelObjectives, val fairShare: FairShare)
--- /dev/null
+++ b/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
@@ -0,0 +1,32 @@
+package copperglade.scheduling
+
+import copperglade.protocol.Resources
+import copperglade.settings.Team
+
+/** What a team's jobs use and request, as counted during one scheduling round. */
+internal class TeamUsage(val team: Team) {
+    /** Resources of the team's tasks that are assigned, or whose assignment is still unresolved. */
+    var used = Resources.ZERO
+        private set
+
+    private var requested = Resources.ZERO
+
+    /** Whether the team's quota allows another task with this [request]. */
+    fun allows(request: Resources): Boolean {
+        val after = used + request
+        return team.allows(after.cpus, after.gpus)
+    }
+
+    fun use(resources: Resources) {
+        used += resources
+    }
+
+    /**
+     * Counts the [resources] that one of the team's jobs requests in all, and returns whether the team's guarantee covers it.
+     * Jobs must be counted in order of acceptance: the guarantee goes to the earliest.
+     */
+    fun request(resources: Resources): Boolean {
+        requested += resources
+        return team.guarantees(requested.cpus, requested.gpus)
+    }
+}
