--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -1,6 +1,6 @@
 package copperglade.controller
 
-import copperglade.fleet.Fleet
+import copperglade.fleet.Autoscaler
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
@@ -25,9 +25,10 @@
 import copperglade.safety.ActionGuard
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
-import copperglade.scheduling.Assigner
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
+import copperglade.scheduling.Scheduler
+import copperglade.scheduling.SchedulingPolicy
 import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
@@ -92,7 +93,7 @@
             maxCatchUp = staleness,
             EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
-            profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
+            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val membership = Membership(
@@ -157,12 +158,15 @@
         { replica.leader?.value?.member },
         ::onPeerStatus,
     )
-    private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare)
-    private val assigner =
-        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
+    private val capacityTable = CapacityTable(replica, shardMap, ::capacityStatusOf)
+    private val schedulingPolicy = SchedulingPolicy(
+        settings.teams,
+        settings.objectives,
+        FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
+    )
+    private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
-    private val fleet = Fleet(
+    private val autoscaler = Autoscaler(
         loop,
         http,
         settings.cloud,
@@ -204,7 +208,7 @@
         leadership.start()
         shardOwnership.start()
         peerStatusExchange.start()
-        fleet.start()
+        autoscaler.start()
         submissions.start()
         metrics.start()
         audit.start()
@@ -220,7 +224,7 @@
     private fun leaderRound() {
         if (leadership.leading) {
             shardAssigner.round()
-            assigner.round()
+            scheduler.round()
             jobFinalizer.round()
         }
         shareBudget()
@@ -251,7 +255,7 @@
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
-            retire = if (leading) fleet.retire else emptyList(),
+            retire = if (leading) autoscaler.retire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
@@ -329,7 +333,7 @@
         val silent = loop.now().secondsSince(store.lastAnswerAt)
         val alone = peersReachStateService()
         val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
-        val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
+        val healthy = replica.state == ReplicaState.CURRENT && types.isLoaded && (silent * 1000 < SILENT_MS || !(alone || lonely))
         return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("not ready"))
     }
 
