--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -12,7 +12,7 @@
  *
  * An answer of 200 renews the worker's lease, so it must be reckoned with whether it arrives or not. Invariants: a late copy
  * of a report gets no answer and changes nothing; no 200 lacks the stops of the cancelled tasks that the report shows
- * ([ActionGuard.stopsFor]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
+ * ([ActionGuard.requiredStops]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
  * taken for new.
  */
 class HeartbeatHandler(
@@ -90,16 +90,16 @@
     private fun answersDoNotArrive(machine: Machine): Boolean =
         state.open && !state.isFenced(machine) && machine.unacknowledgedAnswers >= MAX_UNACKNOWLEDGED_ANSWERS
 
-    /** Every answer of 200 is made here: see [ActionGuard.stopsFor] for what none of them may lack. */
+    /** Every answer of 200 is made here: see [ActionGuard.requiredStops] for what none of them may lack. */
     private fun answer(heartbeat: Heartbeat, commands: List<Command> = emptyList()): ByteArray {
         val guard = state.context.guard
-        val stops = guard.stopsFor(heartbeat)
+        val stops = guard.requiredStops(heartbeat)
         val others = commands.filterNot { command ->
             command is Command.Stop && stops.any { it.attempt == command.attempt && it.task == command.task }
         }
         val approved = guard.approveAnswer(heartbeat, stops + others)
-        state.context.audit.commanded(heartbeat.machine, state.token, approved, way = "answer")
-        state.context.audit.answered(heartbeat.machine, state.token, stops.size)
+        state.context.audit.recordCommands(heartbeat.machine, state.token, approved, channel = "answer")
+        state.context.audit.recordAnswer(heartbeat.machine, state.token, stops.size)
         return WorkerWire.answer(state.token, approved)
     }
 
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -28,7 +28,7 @@
 
     /** By then, every worker that only a former owner answered has lost its lease. */
     private val formerLeasesOverAt: MonotonicTime
-        get() = maxOf(state.grantedAt, context.formerIncarnations.over) + context.maxLease
+        get() = maxOf(state.grantedAt, context.formerIncarnations.allStoppedAt) + context.maxLease
 
     /** Brings the runs of a job in line with its records. */
     fun sync(job: Job) {
@@ -72,7 +72,7 @@
 
     /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
     private fun forget(run: Run) {
-        context.audit.forgotten(run.task, run.state.name, run.machine?.name, run.onMachine)
+        context.audit.recordDroppedRun(run.task, run.state.name, run.machine?.name, run.onMachine)
         run.unbind()
         runs.remove(run)
     }
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -53,7 +53,7 @@
 
     private fun shards(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
         start.actsUntil == null && start.fencingToken == state.token && now >= start.since + PATIENCE &&
-            (!machine.unresponsive || context.guard.isOver(start.task.job))
+            (!machine.unresponsive || context.guard.isEndedOrCancelled(start.task.job))
 
     private companion object {
         /** How long a start may stay unresolved before the token is raised. */
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -104,7 +104,7 @@
     private fun send(machine: Machine, planned: List<Command>) {
         if (!context.membership.mayAct) return
         val commands = context.guard.approveCommands(machine.name, planned)
-        context.audit.commanded(machine.name, state.token, commands, way = "direct")
+        context.audit.recordCommands(machine.name, state.token, commands, channel = "direct")
         planner.markSent(machine, commands)
         val sentAt = loop.now()
         machine.commandInFlight = true
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -58,7 +58,7 @@
     private fun finalize(over: List<Job>) {
         val jobs = guard.approveEnds(over)
         if (jobs.isEmpty()) return
-        jobs.forEach { audit.ended(it.id) }
+        jobs.forEach { audit.recordJobEnd(it.id) }
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
         conditions += leadership.condition
--- a/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -48,6 +48,6 @@
     }
 
     /** When the last of them has surely stopped answering under an earlier incarnation. */
-    val over: MonotonicTime
+    val allStoppedAt: MonotonicTime
         get() = observed.values.maxOfOrNull { it.stoppedBy } ?: MonotonicTime.NEVER
 }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -53,7 +53,7 @@
         heard(status)
         val leader = currentLeader()
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
-        val brief = lazy { PeerWire.encode(status.brief()) }
+        val brief = lazy { PeerWire.encode(status.withoutCapacities()) }
         val now = loop.now()
         val briefDue = now >= briefAt + BRIEF_INTERVAL
         if (briefDue) briefAt = now
@@ -91,7 +91,7 @@
     private fun fittingValue(status: PeerStatus): ByteArray? {
         var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
         repeat(MAX_SHORTENINGS) {
-            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.shortened(bytes)))
+            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.truncatedTo(bytes)))
             if (value.size <= store.limits.valueBytes) return value
             bytes = (bytes * SHORTENING).toInt()
         }
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -29,7 +29,7 @@
     fun start() = loop.again({ INTERVAL }, ::summarize)
 
     /** [commands] go out to [machine] under [token], directly or with an answer. */
-    fun commanded(machine: MachineName, token: FencingToken, commands: List<Command>, way: String) {
+    fun recordCommands(machine: MachineName, token: FencingToken, commands: List<Command>, channel: String) {
         for (command in commands) {
             val action = when (command) {
                 is Command.Start -> "start"
@@ -45,14 +45,14 @@
                 command.attempt,
                 machine,
                 token,
-                way,
+                channel,
                 basis(command.task.job),
             )
         }
     }
 
     /** A report of [machine] is answered with 200, which renews its lease. */
-    fun answered(machine: MachineName, token: FencingToken, stops: Int) {
+    fun recordAnswer(machine: MachineName, token: FencingToken, stops: Int) {
         count("answer")
         if (log.isDebugEnabled) log.debug("action=answer machine={} token={} stops={} {}", machine, token, stops, right())
     }
@@ -64,20 +64,20 @@
      * @param machine the machine that it is on, or was to be started on.
      * @param onMachine whether it may be on that machine now, or come to be.
      */
-    fun forgotten(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
+    fun recordDroppedRun(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
         count(if (onMachine) "forget_on_machine" else "forget")
         if (!log.isDebugEnabled) return
         log.debug("action=forget task={} state={} machine={} {}", task, state, machine, basis(task.job))
     }
 
     /** The leader asks the state service to end [job]. */
-    fun ended(job: JobId) {
+    fun recordJobEnd(job: JobId) {
         count("end")
         if (log.isDebugEnabled) log.debug("action=end job={} {}", job, basis(job))
     }
 
     /** A waiting task is not started, for another reason than before. */
-    fun refused(task: TaskId, refusal: Refusal) {
+    fun recordRefusal(task: TaskId, refusal: Refusal) {
         count("refused_${refusal.name.lowercase()}")
         if (log.isDebugEnabled) log.debug("action=refuse task={} refusal={} {}", task, refusal, basis(task.job))
     }
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -60,7 +60,7 @@
     /** The leader that assigned it may have known less than we do, or may be of a version that knows no dependencies. */
     private fun isRefused(run: Run): Boolean {
         val refusal = state.context.guard.refusalByRecords(run.task)
-        if (refusal != null && refusal != run.lastRefusal) state.context.audit.refused(run.task, refusal)
+        if (refusal != null && refusal != run.lastRefusal) state.context.audit.recordRefusal(run.task, refusal)
         run.lastRefusal = refusal
         return refusal != null
     }
--- a/src/main/kotlin/copperglade/protocol/PeerWire.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerWire.kt
@@ -43,7 +43,7 @@
     val writesWanted: Double,
 ) {
     /** The machines with most room, without their images, as many as fit into about [bytes]. */
-    fun shortened(bytes: Int): PeerStatus {
+    fun truncatedTo(bytes: Int): PeerStatus {
         val most = (bytes - BYTES_BESIDE) / BYTES_PER_MACHINE
         val chosen = shards
             .flatMap { it.machines }
@@ -57,7 +57,17 @@
         return PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, left, emptyList(), emptyList(), writesWanted)
     }
 
-    fun brief() = PeerStatus(member, incarnation, knownRevision, stateSilentMs, isLeader, emptyList(), release, retire, writesWanted)
+    fun withoutCapacities() = PeerStatus(
+        member,
+        incarnation,
+        knownRevision,
+        stateSilentMs,
+        isLeader,
+        emptyList(),
+        release,
+        retire,
+        writesWanted,
+    )
 
     private companion object {
         const val BYTES_BESIDE = 400
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -16,10 +16,10 @@
 /** Why something must not be done now. */
 enum class Refusal {
     /** Neither session lease nor endorsements last, or the records are not known at present. */
-    NO_RIGHT,
+    NO_AUTHORITY,
 
     /** What is known is too old to start anything on. */
-    STALE_KNOWLEDGE,
+    STALE_SNAPSHOT,
 
     /** The job is neither live nor known to have ended. */
     UNKNOWN_JOB,
@@ -42,8 +42,8 @@
 class ActionGuard(private val replica: Replica, private val right: ActionAuthority, private val violations: InvariantViolations) {
     /** Why [task] must not be started now, or null where it may be. */
     fun refusalToStart(task: TaskId): Refusal? = when {
-        !right.mayAct -> Refusal.NO_RIGHT
-        !right.mayStart -> Refusal.STALE_KNOWLEDGE
+        !right.mayAct -> Refusal.NO_AUTHORITY
+        !right.mayStart -> Refusal.STALE_SNAPSHOT
         else -> refusalByRecords(task)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Whether nothing of [job] may go on running: it is cancelled, or has ended either way. */
-    fun isOver(job: JobId): Boolean {
+    fun isEndedOrCancelled(job: JobId): Boolean {
         val live = replica.jobs[job]?.takeIf { it.live != null }
         return live?.cancelled ?: (replica.endOf(job) != null)
     }
@@ -78,10 +78,10 @@
      * has run out), a cancelled task is gone a lease after the last answer that was given without knowing of the cancellation, and that
      * is bounded by the age of knowledge. Stop commands can be repeated and are right under any owner, since an end is final.
      */
-    fun stopsFor(heartbeat: Heartbeat): List<Command.Stop> =
+    fun requiredStops(heartbeat: Heartbeat): List<Command.Stop> =
         heartbeat.reportedTasks.filter(::mustStop).map { Command.Stop(it.task, it.attempt, 0.0) }
 
-    private fun mustStop(reported: ReportedTask) = reported.state != ReportedTaskState.EXITED && isOver(reported.task.job)
+    private fun mustStop(reported: ReportedTask) = reported.state != ReportedTaskState.EXITED && isEndedOrCancelled(reported.task.job)
 
     /** Whether the leader may end [job]: all records are known, it is over, and no task of it is assigned to anybody. */
     fun mayEnd(job: Job): Boolean =
@@ -92,14 +92,14 @@
     /** Whether a message may go out to a worker now. */
     fun approveSending(what: String): Boolean {
         if (right.mayAct) return true
-        violations.refused(Invariant.SENT_WITH_RIGHT, what)
+        violations.refused(Invariant.SENT_WITH_AUTHORITY, what)
         return false
     }
 
     /** The [commands] that may go out to [machine]: all of them, unless a path forgot to ask. */
     fun approveCommands(machine: MachineName, commands: List<Command>): List<Command> = commands.filter { command ->
         val refusal = if (command is Command.Start) refusalToStart(command.task) else null
-        if (refusal != null) violations.refused(Invariant.START_IS_ALLOWED, "task=${command.task} machine=$machine refusal=$refusal")
+        if (refusal != null) violations.refused(Invariant.START_PERMITTED, "task=${command.task} machine=$machine refusal=$refusal")
         refusal == null
     }
 
@@ -108,14 +108,14 @@
         val stopped = commands.filterIsInstance<Command.Stop>().mapTo(HashSet()) { it.task to it.attempt }
         val missing = heartbeat.reportedTasks.filter { mustStop(it) && (it.task to it.attempt) !in stopped }
         if (missing.isEmpty()) return commands
-        violations.refused(Invariant.ANSWER_STOPS_WHAT_IS_OVER, "machine=${heartbeat.machine} tasks=${missing.map { it.task }}")
+        violations.refused(Invariant.ANSWER_STOPS_ENDED_TASKS, "machine=${heartbeat.machine} tasks=${missing.map { it.task }}")
         return missing.map { Command.Stop(it.task, it.attempt, 0.0) } + commands
     }
 
     /** Those of [jobs] that may be ended. */
     fun approveEnds(jobs: List<Job>): List<Job> = jobs.filter { job ->
         val allowed = mayEnd(job)
-        if (!allowed) violations.refused(Invariant.ENDED_WITH_NOTHING_LEFT, "job=${job.id}")
+        if (!allowed) violations.refused(Invariant.ENDED_WITHOUT_ASSIGNMENTS, "job=${job.id}")
         allowed
     }
 }
--- a/src/main/kotlin/copperglade/safety/InvariantViolations.kt
+++ b/src/main/kotlin/copperglade/safety/InvariantViolations.kt
@@ -6,16 +6,16 @@
 /** What must hold whenever something is done, whatever path led there. */
 enum class Invariant {
     /** No task is started whose job is not known to be live, released and wanted, or without the right to start. */
-    START_IS_ALLOWED,
+    START_PERMITTED,
 
     /** No answer renews a worker's lease without stopping what is known to be over there. */
-    ANSWER_STOPS_WHAT_IS_OVER,
+    ANSWER_STOPS_ENDED_TASKS,
 
     /** Nothing is sent to a worker without the right to act. */
-    SENT_WITH_RIGHT,
+    SENT_WITH_AUTHORITY,
 
     /** No job is ended, and so forgotten, while a machine may hold a task of it. */
-    ENDED_WITH_NOTHING_LEFT,
+    ENDED_WITHOUT_ASSIGNMENTS,
 }
 
 /** A break of an [Invariant] that was caught and refused. */
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -103,16 +103,16 @@
             listOf(null, Refusal.JOB_CANCELLED, Refusal.JOB_BLOCKED, Refusal.JOB_ENDED, Refusal.JOB_ENDED, Refusal.UNKNOWN_JOB)
         assertEquals(expected, refusals)
         right.mayStart = false
-        assertEquals(Refusal.STALE_KNOWLEDGE, guard.refusalToStart(TaskId(free, 0)))
+        assertEquals(Refusal.STALE_SNAPSHOT, guard.refusalToStart(TaskId(free, 0)))
         right.mayAct = false
-        assertEquals(Refusal.NO_RIGHT, guard.refusalToStart(TaskId(free, 0)))
+        assertEquals(Refusal.NO_AUTHORITY, guard.refusalToStart(TaskId(free, 0)))
     }
 
     @Test
     fun `a start that no path asked about is not sent`() {
         val sent = guard.approveCommands(machine, listOf(start(cancelled), start(free), start(blocked)))
         assertEquals(listOf<Command>(start(free)), sent)
-        assertReported(Invariant.START_IS_ALLOWED, Invariant.START_IS_ALLOWED)
+        assertReported(Invariant.START_PERMITTED, Invariant.START_PERMITTED)
     }
 
     @Test
@@ -120,9 +120,9 @@
         val heartbeat = heartbeat(listOf(free, cancelled, over, called, unknown))
         val stops = guard.approveAnswer(heartbeat, emptyList()).map { it.task.job }
         assertEquals(listOf(cancelled, over, called), stops)
-        assertReported(Invariant.ANSWER_STOPS_WHAT_IS_OVER)
-        assertEquals(guard.stopsFor(heartbeat), guard.approveAnswer(heartbeat, guard.stopsFor(heartbeat)))
-        assertReported(Invariant.ANSWER_STOPS_WHAT_IS_OVER)
+        assertReported(Invariant.ANSWER_STOPS_ENDED_TASKS)
+        assertEquals(guard.requiredStops(heartbeat), guard.approveAnswer(heartbeat, guard.requiredStops(heartbeat)))
+        assertReported(Invariant.ANSWER_STOPS_ENDED_TASKS)
     }
 
     @Test
@@ -130,7 +130,7 @@
         assertTrue(guard.approveSending("a command"))
         right.mayAct = false
         assertFalse(guard.approveSending("a command"))
-        assertReported(Invariant.SENT_WITH_RIGHT)
+        assertReported(Invariant.SENT_WITH_AUTHORITY)
     }
 
     @Test
@@ -144,7 +144,7 @@
                 .size,
         )
         assertTrue(guard.approveEnds(jobs).isEmpty())
-        assertReported(Invariant.ENDED_WITH_NOTHING_LEFT, Invariant.ENDED_WITH_NOTHING_LEFT)
+        assertReported(Invariant.ENDED_WITHOUT_ASSIGNMENTS, Invariant.ENDED_WITHOUT_ASSIGNMENTS)
     }
 
     @Test
@@ -152,9 +152,9 @@
         assertTrue(guard.isCancelled(cancelled))
         assertTrue(guard.isCancelled(called))
         assertFalse(guard.isCancelled(over))
-        assertTrue(guard.isOver(over))
-        assertFalse(guard.isOver(free))
-        assertFalse(guard.isOver(unknown))
+        assertTrue(guard.isEndedOrCancelled(over))
+        assertFalse(guard.isEndedOrCancelled(free))
+        assertFalse(guard.isEndedOrCancelled(unknown))
         assertNull(replica.endOf(unknown))
     }
 
