--- /dev/null
+++ b/src/main/kotlin/copperglade/controller/ClientRouter.kt
@@ -0,0 +1,72 @@
+package copperglade.controller
+
+import copperglade.jobs.JobService
+import copperglade.observability.RequestLatency
+import copperglade.ownership.ShardOwnership
+import copperglade.protocol.JobId
+import copperglade.protocol.UserWire
+import copperglade.protocol.WorkerWire
+import copperglade.storage.Replica
+import copperglade.storage.ReplicaState
+import copperglade.transport.HttpStatus
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import copperglade.transport.RequestHandler
+import copperglade.transport.Responder
+
+/** Routes the requests of users, workers and the load balancer's health checks. */
+internal class ClientRouter(
+    private val replica: Replica,
+    private val jobService: JobService,
+    private val shardOwnership: ShardOwnership,
+    private val healthCheck: HealthCheck,
+    private val submissionLatency: RequestLatency,
+    private val pollLatency: RequestLatency,
+) : RequestHandler {
+    override fun handle(request: Request, responder: Responder) {
+        val path = request.path.substringBefore('?')
+        when {
+            path == WorkerWire.HEARTBEAT_PATH -> requireMethod(Method.POST, request, responder) { handleHeartbeat(request, responder) }
+            path == UserWire.JOBS_PATH -> requireMethod(Method.POST, request, responder) {
+                jobService.submit(request.body, submissionLatency.timed(responder))
+            }
+            path == UserWire.HEALTH_PATH -> requireMethod(Method.GET, request, responder) { responder.send(health()) }
+            path.startsWith(JOB_PREFIX) -> handleJob(request, path.removePrefix(JOB_PREFIX), responder)
+            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such path")))
+        }
+    }
+
+    private fun handleJob(request: Request, subpath: String, responder: Responder) {
+        val cancelling = subpath.endsWith(CANCEL_SUFFIX)
+        val id = JobId.parse(subpath.removeSuffix(CANCEL_SUFFIX))
+        when {
+            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job")))
+            cancelling -> requireMethod(Method.POST, request, responder) { jobService.cancel(id, responder) }
+            else -> requireMethod(Method.GET, request, responder) { jobService.poll(id, pollLatency.timed(responder)) }
+        }
+    }
+
+    private fun requireMethod(method: Method, request: Request, responder: Responder, action: () -> Unit) {
+        if (request.method == method) return action()
+        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserWire.error("method not allowed here")))
+    }
+
+    private fun handleHeartbeat(request: Request, responder: Responder) {
+        val heartbeat = WorkerWire.parseHeartbeat(request.body)
+        val reply = when {
+            heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
+            replica.state != ReplicaState.CURRENT -> JobService.later()
+            else -> shardOwnership.handleHeartbeat(heartbeat)
+        }
+        responder.send(reply)
+    }
+
+    private fun health(): Reply =
+        if (healthCheck.isHealthy()) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
+
+    private companion object {
+        const val JOB_PREFIX = "${UserWire.JOBS_PATH}/"
+        const val CANCEL_SUFFIX = "/${UserWire.CANCEL_END}"
+    }
+}
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -5,55 +5,45 @@
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
 import copperglade.jobs.JobService
+import copperglade.membership.AuthorityLimits
 import copperglade.membership.FormerIncarnations
 import copperglade.membership.Leadership
 import copperglade.membership.LeaseEndorsement
 import copperglade.membership.Membership
 import copperglade.membership.PeerStatusExchange
+import copperglade.membership.PeerStatusTable
+import copperglade.membership.StalenessLimit
 import copperglade.observability.ActionAudit
 import copperglade.observability.EventLoopMetrics
 import copperglade.observability.RequestLatency
 import copperglade.ownership.ShardOwnership
 import copperglade.prediction.ProfileStore
-import copperglade.protocol.JobId
-import copperglade.protocol.MemberId
-import copperglade.protocol.PeerStatus
 import copperglade.protocol.PeerWire
-import copperglade.protocol.UserWire
-import copperglade.protocol.WorkerWire
-import copperglade.protocol.secondsSince
 import copperglade.safety.ActionGuard
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
 import copperglade.scheduling.Assigner
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
-import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
 import copperglade.shards.ShardMap
-import copperglade.storage.BudgetShare
 import copperglade.storage.EndedJobs
 import copperglade.storage.Replica
-import copperglade.storage.ReplicaState
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ShardContext
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
-import copperglade.transport.HttpStatus
-import copperglade.transport.Method
-import copperglade.transport.Reply
-import copperglade.transport.Request
 import copperglade.transport.RequestHandler
-import copperglade.transport.Responder
-import kotlin.time.Duration
-import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** One controller: everything that decides, over a clock and ways to send that are handed in. */
+/**
+ * One controller: wires everything that decides, over a clock and ways to send that are handed in, and starts it. It decides nothing
+ * itself.
+ */
 class Controller(
     private val loop: EventLoop,
     caller: HttpCaller,
@@ -71,11 +61,10 @@
         http,
         settings.state,
         StateLimits(settings.stateRps, settings.stateWriteRps, settings.valueKb, settings.transactionWrites),
-        // Until it knows the others, it takes no more than would be left to it if they all lived.
-        firstShare = BUDGET_USED / (settings.peers.size + 1),
+        firstShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
     )
-    private val staleness = stalenessLimit(settings.leaseS, settings.cancelS, operatorSettings)
-    private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, staleness / READINGS_IN_STALENESS)
+    private val stalenessLimit = StalenessLimit.of(settings.leaseS, settings.cancelS, operatorSettings)
+    private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, stalenessLimit / REFRESHES_PER_STALENESS_LIMIT)
     private val profiles =
         ProfileStore(
             operatorSettings.nearestProfiles,
@@ -89,41 +78,31 @@
             store,
             readers = settings.peers.size + 1,
             idleRefreshInterval,
-            maxCatchUp = staleness,
+            maxCatchUp = stalenessLimit,
             EndedJobs.endsThatFitInto(heapBytes),
         ) { spec ->
             profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
-    private val membership = Membership(
-        loop,
-        store,
-        replica,
-        leaseEndorsement,
-        settings.member,
-        leaseLength = minOf(staleness, (settings.leaseS * operatorSettings.sessionLeasePart).seconds),
-        stalenessLimit = staleness,
-        startLimit = idleRefreshInterval * 2,
+    private val authorityLimits = AuthorityLimits(
+        sessionLease = minOf(stalenessLimit, (settings.leaseS * operatorSettings.sessionLeasePart).seconds),
+        staleness = stalenessLimit,
+        startStaleness = idleRefreshInterval * 2,
     )
+    private val membership = Membership(loop, store, replica, leaseEndorsement, settings.member, authorityLimits)
     private val violations = InvariantViolations(onViolation)
     private val guard = ActionGuard(replica, membership, violations)
     private val audit = ActionAudit(loop, replica, membership, violations)
-    private val formerIncarnations = FormerIncarnations(loop, replica, settings.peers.map { it.member }, membership.grace)
+    private val formerIncarnations = FormerIncarnations(loop, replica, settings.peers.map { it.member }, membership.gracePeriod)
     private val leadership = Leadership(loop, store, replica, membership, operatorSettings.leaderLease)
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val shardMap = ShardMap(settings.zones, operatorSettings.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
-    private val shardAssigner = ShardAssigner(
-        loop,
-        store,
-        replica,
-        leadership,
-        shardMap,
-        zoneOfMember,
-        leaseEndorsement,
-        settling = (settings.leaseS * LEASES_TO_SETTLE).seconds,
-    )
+    private val shardAssigner =
+        ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.leaseS)
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
-    private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
+    private val cloudBudget =
+        TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRps, zoneOfMember.size), CLOUD_BURST_S, loop.now())
+    private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
     private val shardOwnership: ShardOwnership = ShardOwnership(
         ShardContext(
             loop,
@@ -144,23 +123,22 @@
         shardMap,
         settings.cloud,
         cloudBudget,
-        ::peersReachStateService,
+        peerStatuses::peersReachStateService,
     )
-    private val peerStatusExchange = PeerStatusExchange(
+    private val capacityTable = CapacityTable(replica, shardMap)
+    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
+    private val assigner = Assigner(
         loop,
-        http,
         store,
-        settings.member,
-        settings.peers,
-        { shardOwnership.machineCount },
-        { composeStatus() },
-        { replica.leader?.value?.member },
-        ::onPeerStatus,
+        replica,
+        leadership,
+        capacityTable,
+        types,
+        settings.teams,
+        settings.objectives,
+        fairShare,
+        peerStatuses::capacityStatusOf,
     )
-    private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
-    private val assigner =
-        Assigner(loop, store, replica, leadership, capacityTable, types, settings.teams, settings.objectives, fairShare, ::capacityStatusOf)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
     private val fleet = Fleet(
         loop,
@@ -175,26 +153,35 @@
         shardMap,
         operatorSettings,
         settings.listLagS,
-        ::statusOf,
+        peerStatuses::statusOf,
+    )
+    private val peerStatusExchange = PeerStatusExchange(
+        loop,
+        http,
+        store,
+        settings.member,
+        settings.peers,
+        peerStatuses,
+        PeerStatusComposer(loop, store, replica, membership, leadership, shardOwnership, shardAssigner, fleet),
     )
-    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = staleness)
+    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = stalenessLimit)
     private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
+    private val budgetAllocator = BudgetAllocator(loop, settings, store, replica, leadership, peerStatuses, cloudBudget)
+    private val leaderLoop = LeaderLoop(loop, metrics, leadership, shardAssigner, assigner, jobFinalizer, budgetAllocator)
+    private val healthCheck = HealthCheck(loop, store, replica, types, peerStatuses)
+    private val submissionLatency = RequestLatency(loop, "submissions")
+    private val pollLatency = RequestLatency(loop, "polls")
 
-    private val submissions = RequestLatency(loop, "submissions")
-    private val polls = RequestLatency(loop, "polls")
-
-    /** Users, workers and health checks. */
-    val clientHandler = metrics.measured(RequestHandler(::handleClient))
+    /** Serves users, workers and health checks. */
+    val clientHandler: RequestHandler =
+        metrics.measured(ClientRouter(replica, jobService, shardOwnership, healthCheck, submissionLatency, pollLatency))
 
-    /** The other controllers. */
-    val clusterHandler = metrics.measured(RequestHandler(::handlePeer))
+    /** Serves the other controllers. */
+    val clusterHandler: RequestHandler = metrics.measured(PeerRouter(leaseEndorsement, cancellationBroadcast, peerStatusExchange))
 
+    /** Starts all parts; call it once, on the event loop. The order of listeners and timers decides the order of events. */
     fun start() {
-        replica.listen(formerIncarnations)
-        replica.listen(shardOwnership)
-        replica.listen(jobFinalizer)
-        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatusExchange::receiveIndirect) }
-        membership.onChange = shardOwnership::reconcile
+        listenToRecords()
         types.start()
         replica.start()
         membership.start()
@@ -203,181 +190,27 @@
         shardOwnership.start()
         peerStatusExchange.start()
         fleet.start()
-        submissions.start()
+        submissionLatency.start()
         metrics.start()
         audit.start()
-        polls.start()
-        loop.again({ if (leadership.leading) MIN_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
-            val began = loop.now()
-            metrics.measure("round") { leaderRound() }
-            lastRound = (loop.now().ms - began.ms).milliseconds
-        }
-    }
-
-    /** The leader's rounds. The longer a round takes, the later the next one, and the more it decides. */
-    private fun leaderRound() {
-        if (leadership.leading) {
-            shardAssigner.round()
-            assigner.round()
-            jobFinalizer.round()
-        }
-        shareBudget()
-    }
-
-    private var lastRound = Duration.ZERO
-
-    /** All controllers together must stay within the state service's budgets; whoever has more to write gets more. */
-    private fun shareBudget() {
-        val others = (replica.members.keys - settings.member).map { statusOf(it)?.writesWanted }
-        // The leader rents and lists, the others only return what is idle.
-        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
-        cloudBudget.setRate(settings.cloudRps * CLOUD_SHARE * cloudShare, loop.now())
-        store.setShares(BUDGET_USED / (others.size + 1), BUDGET_USED * BudgetShare.of(store.writesWanted, others, settings.stateWriteRps))
-    }
-
-    private fun composeStatus(): PeerStatus? {
-        val incarnation = membership.incarnation ?: return null
-        val leading = leadership.leading
-        return PeerStatus(
-            member = settings.member,
-            incarnation = incarnation,
-            knownRevision = replica.knownRevision,
-            stateSilentMs = loop.now().ms - store.lastGood.ms,
-            isLeader = leading,
-            shards = shardOwnership.shardCapacities(),
-            release = if (leading) shardAssigner.release else emptyList(),
-            retire = if (leading) fleet.retire else emptyList(),
-            writesWanted = store.writesWanted,
-        )
-    }
-
-    private var ownStatus: PeerStatus? = null
-
-    private fun onPeerStatus(status: PeerStatus) {
-        if (status.member == settings.member) ownStatus = status
-        if (!status.isLeader) return
-        shardOwnership.release(status.release)
-        shardOwnership.retire(status.retire)
-    }
-
-    private fun statusOf(member: MemberId): PeerStatus? =
-        if (member == settings.member) ownStatus else peerStatusExchange.of(member)
-
-    private fun capacityStatusOf(member: MemberId): PeerStatus? =
-        if (member == settings.member) ownStatus else peerStatusExchange.capacityStatusOf(member)
-
-    // ---- requests ----
-
-    private fun handleClient(request: Request, responder: Responder) {
-        val path = request.path.substringBefore('?')
-        when {
-            path == WorkerWire.HEARTBEAT_PATH -> onPost(request, responder) { handleHeartbeat(request, responder) }
-            path == UserWire.JOBS_PATH -> onPost(request, responder) { jobService.submit(request.body, submissions.timed(responder)) }
-            path == UserWire.HEALTH_PATH -> if (request.method ==
-                Method.GET
-            ) {
-                responder.send(health())
-            } else {
-                wrongMethod(responder)
-            }
-            path.startsWith(
-                "${UserWire.JOBS_PATH}/",
-            ) -> job(request, path.removePrefix("${UserWire.JOBS_PATH}/"), responder)
-            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such path")))
-        }
-    }
-
-    private fun job(request: Request, rest: String, responder: Responder) {
-        val cancelling = rest.endsWith("/${UserWire.CANCEL_END}")
-        val id = JobId.parse(rest.removeSuffix("/${UserWire.CANCEL_END}"))
-        when {
-            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job")))
-            cancelling -> onPost(request, responder) { jobService.cancel(id, responder) }
-            request.method == Method.GET -> jobService.poll(id, polls.timed(responder))
-            else -> wrongMethod(responder)
-        }
-    }
-
-    private fun onPost(request: Request, responder: Responder, action: () -> Unit) =
-        if (request.method == Method.POST) action() else wrongMethod(responder)
-
-    private fun wrongMethod(responder: Responder) =
-        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserWire.error("method not allowed here")))
-
-    private fun handleHeartbeat(request: Request, responder: Responder) {
-        val heartbeat = WorkerWire.parseHeartbeat(request.body)
-        responder.send(
-            when {
-                heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
-                replica.state != ReplicaState.CURRENT -> JobService.later()
-                else -> shardOwnership.handleHeartbeat(heartbeat)
-            },
-        )
-    }
-
-    /**
-     * A node that alone has lost the state service should get no users; if all have lost it, none of the others
-     * would serve them better, and the balancer would only be slow to come back. One that hears neither the service nor
-     * any other controller is probably alone: users who stayed with it would get no answer for as long as that lasts.
-     */
-    private fun health(): Reply {
-        val silent = loop.now().secondsSince(store.lastGood)
-        val alone = peersReachStateService()
-        val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
-        val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
-        return if (healthy) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
+        pollLatency.start()
+        leaderLoop.start()
     }
 
-    private fun peersReachStateService(): Boolean = settings.peers.any { peer ->
-        peerStatusExchange.of(peer.member)?.let { it.stateSilentMs < SILENT_MS }
-            ?: false
-    }
-
-    private fun handlePeer(request: Request, responder: Responder) {
-        if (request.path == PeerWire.ENDORSEMENT_PATH) {
-            val endorsed = leaseEndorsement.endorse(MemberId(request.body.decodeToString()))
-            return responder.send(Reply(if (endorsed) HttpStatus.OK else HttpStatus.CONFLICT))
-        }
-        if (request.path == PeerWire.CANCELLED_PATH) {
-            val cancellations = PeerWire.decodeCancelled(request.body)
-            cancellations?.let(cancellationBroadcast::receive)
-            return responder.send(Reply(if (cancellations == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
+    private fun listenToRecords() {
+        replica.listen(formerIncarnations)
+        replica.listen(shardOwnership)
+        replica.listen(jobFinalizer)
+        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatuses::recordFromStateService) }
+        membership.onChange = shardOwnership::reconcile
+        peerStatusExchange.onLeaderStatus = { status ->
+            shardOwnership.release(status.release)
+            shardOwnership.retire(status.retire)
         }
-        if (request.path != PeerWire.PATH) return responder.send(Reply(HttpStatus.NOT_FOUND))
-        val status = PeerWire.decode(request.body)
-        if (status != null) peerStatusExchange.receive(status)
-        responder.send(Reply(if (status == null) HttpStatus.BAD_REQUEST else HttpStatus.OK))
     }
 
-    companion object {
-        private const val SILENT_MS = 3000L
-        private const val BUDGET_USED = 0.9
-        private const val CLOUD_SHARE = 0.9
-        private const val ROUND_REST = 3
-        private const val LEADER_SHARE_OF_CLOUD = 0.6
-        private const val LONELY_S = 10.0
-        private const val LEASES_TO_SETTLE = 1.5
-        private const val READINGS_IN_STALENESS = 4
-        private val MIN_STALENESS = 1.seconds
-        private val MIN_ROUND = 60.milliseconds
-        private val IDLE_ROUND = 250.milliseconds
-
-        /**
-         * How long a process may act on what it knew last. At 30 s, the design's first choice, an owner cut off from
-         * the state service could keep a worker going past the time in which a cancelled job must be gone: this time,
-         * then the worker's lease. The margin covers the drift of the clocks, a thousandth of both together; where there is
-         * little time between lease and cancellation, it is a third of that.
-         */
-        fun stalenessLimit(leaseS: Double, cancelS: Double, operatorSettings: OperatorSettings): Duration {
-            val between = (cancelS - leaseS).seconds
-            val wanted = operatorSettings.stalenessMargin
-            val margin = if (wanted > OperatorSettings.USUAL_STALENESS_MARGIN) wanted else minOf(wanted, between / 3)
-            if (between - margin < MIN_STALENESS) {
-                throw InvalidSettingException(
-                    "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
-                )
-            }
-            return minOf(operatorSettings.stalenessLimit, between - margin)
-        }
+    private companion object {
+        const val REFRESHES_PER_STALENESS_LIMIT = 4
+        const val CLOUD_BURST_S = 2.0
     }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/controller/HealthCheck.kt
@@ -0,0 +1,36 @@
+package copperglade.controller
+
+import copperglade.fleet.MachineTypeCatalog
+import copperglade.membership.PeerStatusTable
+import copperglade.protocol.secondsSince
+import copperglade.storage.Replica
+import copperglade.storage.ReplicaState
+import copperglade.storage.StateClient
+import copperglade.transport.EventLoop
+
+/** Whether the load balancer should send users to this controller. */
+internal class HealthCheck(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val replica: Replica,
+    private val types: MachineTypeCatalog,
+    private val peerStatuses: PeerStatusTable,
+) {
+    /**
+     * A controller that alone has lost the state service should get no users; if all have lost it, none of the others would serve
+     * them better, and the balancer would only be slow to come back. One that hears neither the service nor any other controller is
+     * probably alone: users who stayed with it would get no answer for as long as that lasts.
+     */
+    fun isHealthy(): Boolean {
+        val stateSilentS = loop.now().secondsSince(store.lastGood)
+        val peersReachStateService = peerStatuses.peersReachStateService()
+        val isolated = peerStatuses.hearsNoPeer() && stateSilentS >= ISOLATED_AFTER_S
+        val reachesStateService = stateSilentS * MS_PER_S < PeerStatusTable.STATE_SILENCE_LIMIT_MS
+        return replica.state == ReplicaState.CURRENT && types.known && (reachesStateService || !(peersReachStateService || isolated))
+    }
+
+    private companion object {
+        const val ISOLATED_AFTER_S = 10.0
+        const val MS_PER_S = 1000
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/controller/LeaderLoop.kt
@@ -0,0 +1,48 @@
+package copperglade.controller
+
+import copperglade.jobs.JobFinalizer
+import copperglade.membership.Leadership
+import copperglade.observability.EventLoopMetrics
+import copperglade.scheduling.Assigner
+import copperglade.shards.ShardAssigner
+import copperglade.transport.EventLoop
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** Runs the leader's decisions in rounds, in a fixed order; while this controller doesn't lead, a round only allocates the budgets. */
+internal class LeaderLoop(
+    private val loop: EventLoop,
+    private val metrics: EventLoopMetrics,
+    private val leadership: Leadership,
+    private val shardAssigner: ShardAssigner,
+    private val assigner: Assigner,
+    private val jobFinalizer: JobFinalizer,
+    private val budgetAllocator: BudgetAllocator,
+) {
+    private var lastRoundDuration = Duration.ZERO
+
+    fun start() = loop.again(::interval) {
+        val startedAt = loop.now()
+        metrics.measure("round", ::round)
+        lastRoundDuration = (loop.now().ms - startedAt.ms).milliseconds
+    }
+
+    /** The longer a round takes, the later the next one, and the more it decides: the loop keeps time for everything else. */
+    private fun interval(): Duration =
+        if (leadership.leading) MIN_INTERVAL + lastRoundDuration * PAUSE_PER_ROUND_DURATION else FOLLOWER_INTERVAL
+
+    private fun round() {
+        if (leadership.leading) {
+            shardAssigner.round()
+            assigner.round()
+            jobFinalizer.round()
+        }
+        budgetAllocator.allocate()
+    }
+
+    private companion object {
+        const val PAUSE_PER_ROUND_DURATION = 3
+        val MIN_INTERVAL = 60.milliseconds
+        val FOLLOWER_INTERVAL = 250.milliseconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -0,0 +1,45 @@
+package copperglade.controller
+
+import copperglade.fleet.Fleet
+import copperglade.membership.Leadership
+import copperglade.membership.Membership
+import copperglade.membership.PeerStatusSource
+import copperglade.ownership.ShardOwnership
+import copperglade.protocol.MemberId
+import copperglade.protocol.PeerStatus
+import copperglade.shards.ShardAssigner
+import copperglade.storage.Replica
+import copperglade.storage.StateClient
+import copperglade.transport.EventLoop
+
+/** Composes what this controller tells its peers; as the leader, with its requests to the shard owners. */
+internal class PeerStatusComposer(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val replica: Replica,
+    private val membership: Membership,
+    private val leadership: Leadership,
+    private val shardOwnership: ShardOwnership,
+    private val shardAssigner: ShardAssigner,
+    private val fleet: Fleet,
+) : PeerStatusSource {
+    override val machineCount: Int get() = shardOwnership.machineCount
+
+    override val currentLeader: MemberId? get() = replica.leader?.value?.member
+
+    override fun compose(): PeerStatus? {
+        val incarnation = membership.incarnation ?: return null
+        val leading = leadership.leading
+        return PeerStatus(
+            member = membership.self,
+            incarnation = incarnation,
+            knownRevision = replica.knownRevision,
+            stateSilentMs = loop.now().ms - store.lastGood.ms,
+            isLeader = leading,
+            shards = shardOwnership.shardCapacities(),
+            release = if (leading) shardAssigner.shardsToRelease else emptyList(),
+            retire = if (leading) fleet.retire else emptyList(),
+            writesWanted = store.writesWanted,
+        )
+    }
+}
--- a/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -10,19 +10,22 @@
 import kotlin.time.Duration
 
 /**
- * Until when other controllers may have answered workers of shards that were theirs. One that hears from nobody goes on
- * answering for [grace] beyond its session lease ([Membership.mayExtendWorkerLeases]); one that is back under a new incarnation has
- * stopped.
+ * Until when other controllers may have extended the leases of workers in shards that were theirs. One that hears from nobody goes on
+ * for [gracePeriod] beyond its session lease ([Membership.mayExtendWorkerLeases]); one that is back under a new incarnation has stopped.
  */
 class FormerIncarnations(
     private val loop: EventLoop,
     private val replica: Replica,
     private val others: List<MemberId>,
-    private val grace: Duration,
+    private val gracePeriod: Duration,
 ) : ReplicaListener {
-    private class Observed(var incarnation: Incarnation?, var stoppedBy: MonotonicTime)
+    /**
+     * @property incarnation the present one, or null.
+     * @property stoppedAt when all earlier incarnations have certainly stopped extending leases.
+     */
+    private class Observed(var incarnation: Incarnation?, var stoppedAt: MonotonicTime)
 
-    private val observed = others.associateWithTo(HashMap()) { Observed(null, loop.now() + grace) }
+    private val observed = others.associateWithTo(HashMap()) { Observed(null, loop.now() + gracePeriod) }
 
     override fun changed(changes: ReplicaChanges) {
         if (!changes.clusterRecordsChanged) return
@@ -30,24 +33,24 @@
     }
 
     /**
-     * A member that comes back after its former incarnation has surely stopped changes nothing: on a recorded day, the return of
-     * one that had been down for a minute and a half held up all the tasks that were missing just then, for a lease.
+     * The return of a member after its former incarnation has certainly stopped changes nothing: else missing tasks would wait for a
+     * further worker lease.
      */
     private fun observe(other: MemberId, changes: ReplicaChanges) {
         val member = observed.getValue(other)
         val present = replica.members[other]?.value?.incarnation
         val now = loop.now()
         // It may have come and gone between two readings, or while nothing could be read.
-        val unseen = changes.reloaded || other in changes.removedMembers
+        val mayHaveComeAndGone = changes.reloaded || other in changes.removedMembers
         when {
-            present == null -> if (member.incarnation != null || unseen) member.stoppedBy = now + grace
-            member.incarnation == null && !unseen -> member.stoppedBy = minOf(member.stoppedBy, now)
-            member.incarnation != present -> member.stoppedBy = now
+            present == null -> if (member.incarnation != null || mayHaveComeAndGone) member.stoppedAt = now + gracePeriod
+            member.incarnation == null && !mayHaveComeAndGone -> member.stoppedAt = minOf(member.stoppedAt, now)
+            member.incarnation != present -> member.stoppedAt = now
         }
         member.incarnation = present
     }
 
-    /** When the last of them has surely stopped answering under an earlier incarnation. */
+    /** When the last of the former incarnations has certainly stopped extending leases. */
     val allStoppedAt: MonotonicTime
-        get() = observed.values.maxOfOrNull { it.stoppedBy } ?: MonotonicTime.NEVER
+        get() = observed.values.maxOfOrNull { it.stoppedAt } ?: MonotonicTime.NEVER
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -1,5 +1,7 @@
 package copperglade.membership
 
+import copperglade.protocol.Incarnation
+import copperglade.protocol.LeaseId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.protocol.secondsSince
@@ -18,12 +20,23 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-enum class LeadershipState { FOLLOWING, CAMPAIGNING, CATCHING_UP, LEADING }
+enum class LeadershipState {
+    /** Somebody else leads, or nobody. */
+    FOLLOWING,
+
+    /** A lease for the leader key is being asked for, or the key is being written. */
+    CAMPAIGNING,
+
+    /** Elected, but the records of the former leader are not known yet. */
+    CATCHING_UP,
+
+    /** Elected, and everything that the former leader wrote is known. */
+    LEADING,
+}
 
 /**
- * Who leads. The leader's key hangs on a session lease of its own, much shorter than a member's, since a leader that is
- * gone holds up every new task; nothing unsafe follows from two leaders, as each write of a leader is conditional on
- * the key's revision.
+ * Leader election. The leader key is attached to a lease of its own, much shorter than a session lease, since no new task starts
+ * without a leader. Two leaders at a time do no harm: each write of a leader has the key's [revision] as a condition.
  */
 class Leadership(
     private val loop: EventLoop,
@@ -33,54 +46,67 @@
     private val leaseLength: Duration,
 ) {
     private var lease = SessionLease(loop, store, leaseLength)
-    private var since = MonotonicTime.NEVER
+    private var leadingSince = MonotonicTime.NEVER
     private var loggedLeader: Revision? = null
 
     var state = LeadershipState.FOLLOWING
         private set
 
-    /** The revision of the leader's key, condition of everything that the leader writes. */
+    /** The revision of the leader key as this process wrote it last: the fencing token of everything that the leader writes. */
     var revision = Revision.ABSENT
         private set
 
+    /** Whether this process may decide as the leader at this very moment. */
     val leading: Boolean get() = state == LeadershipState.LEADING && lease.alive && membership.mayAct
+
+    /** Belongs to each transaction of the leader: it fails once somebody else has been elected. */
     val condition: Condition get() = Condition(Keys.LEADER, revision)
-    val leadingForS: Double get() = loop.now().secondsSince(since)
 
+    /** How long ago this process last began to lead, in seconds. */
+    val leadingForS: Double get() = loop.now().secondsSince(leadingSince)
+
+    /** Campaigns whenever there is no leader, from now on. */
     fun start() {
         replica.listen { changes -> if (changes.clusterRecordsChanged) logLeader() }
-        loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
+        loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else CHECK_INTERVAL }, ::tick)
     }
 
     private fun logLeader() {
         val present = replica.leader
         if (present?.revision == loggedLeader) return
         loggedLeader = present?.revision
-        log.info("leader={} incarnation={} token={}", present?.value?.member, present?.value?.incarnation, present?.revision)
+        log.info(
+            "leader_changed leader={} incarnation={} fencing_token={}",
+            present?.value?.member,
+            present?.value?.incarnation,
+            present?.revision,
+        )
     }
 
-    private fun moveTo(next: LeadershipState, why: String) {
+    private fun moveTo(next: LeadershipState, reason: String) {
         if (state == next) return
-        log.info("lead {} -> {}: {}", state, next, why)
+        log.info("leadership_changed from={} to={} reason={}", state, next, reason)
         state = next
     }
 
-    private fun tick() {
-        when (state) {
-            LeadershipState.FOLLOWING -> if (vacant()) campaign()
-            LeadershipState.LEADING -> {
-                if (replica.leader?.revision != revision) {
-                    stepDown("the key is no longer ours")
-                } else {
-                    lease.extend { kept -> if (!kept) stepDown("the hold ran out") }
-                }
+    private fun tick() = when (state) {
+        LeadershipState.FOLLOWING -> if (isVacant()) campaign() else Unit
+        LeadershipState.LEADING -> keepLeading()
+        LeadershipState.CAMPAIGNING, LeadershipState.CATCHING_UP -> Unit
+    }
+
+    private fun keepLeading() {
+        if (replica.leader?.revision != revision) return stepDown("leader_key_overwritten")
+        lease.extend { outcome ->
+            when (outcome) {
+                LeaseExtension.Extended, LeaseExtension.Unconfirmed -> Unit
+                LeaseExtension.Lost -> stepDown("leader_lease_lost")
             }
-            LeadershipState.CAMPAIGNING, LeadershipState.CATCHING_UP -> Unit
         }
     }
 
-    /** Nobody leads, or the key was left behind by an earlier life of this very member. */
-    private fun vacant(): Boolean {
+    /** Nobody leads, or the key was left behind by a former incarnation of this very member. */
+    private fun isVacant(): Boolean {
         if (!membership.mayAct) return false
         val present = replica.leader ?: return true
         return present.value.member == membership.self && present.value.incarnation != membership.incarnation
@@ -88,45 +114,59 @@
 
     private fun campaign() {
         val incarnation = membership.incarnation ?: return
-        moveTo(LeadershipState.CAMPAIGNING, "no lead")
+        moveTo(LeadershipState.CAMPAIGNING, "leader_vacant")
         lease = SessionLease(loop, store, leaseLength)
-        lease.open { opened ->
-            val leaseId = lease.leaseId
-            if (!opened || leaseId == null) return@open stepDown("no hold")
-            val before = replica.leader?.revision ?: Revision.ABSENT
-            if (!vacant()) return@open stepDown("somebody else was faster")
-            val record = RecordCodec.encode(LeaderRecord(membership.self, incarnation))
-            val transaction = Transaction(
-                listOf(Condition(Keys.LEADER, before), Condition(Keys.member(membership.self), membership.revision)),
-                listOf(Write.Set(Keys.LEADER, record, leaseId)),
-            )
-            store.commit(WritePriority.LEASE, transaction) { outcome ->
-                if (outcome !is TransactionOutcome.Applied) return@commit stepDown("lost the campaign")
-                revision = outcome.revision
-                replica.applied(transaction, outcome.revision)
-                catchUp()
+        lease.open { outcome ->
+            when (outcome) {
+                is LeaseOpening.Granted -> writeLeaderKey(outcome.leaseId, incarnation)
+                LeaseOpening.Failed -> stepDown("leader_lease_not_granted")
             }
         }
     }
 
+    private fun writeLeaderKey(leaseId: LeaseId, incarnation: Incarnation) {
+        val present = replica.leader?.revision ?: Revision.ABSENT
+        if (!isVacant()) return stepDown("another_member_elected")
+        val record = RecordCodec.encode(LeaderRecord(membership.self, incarnation))
+        val transaction = Transaction(
+            listOf(Condition(Keys.LEADER, present), Condition(Keys.member(membership.self), membership.revision)),
+            listOf(Write.Set(Keys.LEADER, record, leaseId)),
+        )
+        store.commit(WritePriority.LEASE, transaction) { outcome -> onLeaderKeyOutcome(transaction, outcome) }
+    }
+
+    private fun onLeaderKeyOutcome(transaction: Transaction, outcome: TransactionOutcome) = when (outcome) {
+        is TransactionOutcome.Applied -> {
+            revision = outcome.revision
+            replica.applied(transaction, outcome.revision)
+            catchUp()
+        }
+        is TransactionOutcome.Conflict,
+        TransactionOutcome.NoSuchLease,
+        TransactionOutcome.Refused,
+        TransactionOutcome.Unknown,
+        -> stepDown("election_lost")
+    }
+
     /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
     private fun catchUp() {
-        moveTo(LeadershipState.CATCHING_UP, "elected with stamp $revision")
-        replica.readFresh { known ->
-            if (!known) return@readFresh stepDown("could not catch up")
-            since = loop.now()
-            moveTo(LeadershipState.LEADING, "caught up")
-        }
+        moveTo(LeadershipState.CATCHING_UP, "elected fencing_token=$revision")
+        replica.readFresh { known -> if (known) lead() else stepDown("records_unknown") }
+    }
+
+    private fun lead() {
+        leadingSince = loop.now()
+        moveTo(LeadershipState.LEADING, "records_known")
     }
 
-    private fun stepDown(why: String) {
+    private fun stepDown(reason: String) {
         lease.end()
-        moveTo(LeadershipState.FOLLOWING, why)
+        moveTo(LeadershipState.FOLLOWING, reason)
     }
 
     private companion object {
         const val EXTENSIONS_PER_LEASE = 5
-        val LOOK = 100.milliseconds
-        val log = LoggerFactory.getLogger("lead")
+        val CHECK_INTERVAL = 100.milliseconds
+        val log = LoggerFactory.getLogger("membership")
     }
 }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -3,11 +3,9 @@
 import copperglade.protocol.Incarnation
 import copperglade.protocol.LeaseId
 import copperglade.protocol.MemberId
-import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.storage.Condition
 import copperglade.storage.Keys
-import copperglade.storage.LeaseOutcome
 import copperglade.storage.MemberRecord
 import copperglade.storage.RecordCodec
 import copperglade.storage.Replica
@@ -22,138 +20,168 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-enum class MemberState { OUTSIDE, JOINING, MEMBER }
+enum class MemberState {
+    /** No session lease, and no request for one under way. */
+    NOT_MEMBER,
 
-/** This process's place among the controllers: a session lease, and `member/<id>` attached to it. */
+    /** A session lease is being asked for, or the member key is being written. */
+    JOINING,
+
+    /** The member key was written and its session lease is not known to have been lost. It may have expired: see [Membership.mayAct]. */
+    MEMBER,
+}
+
+/**
+ * This process's membership among the controllers: a session lease, and the member key attached to it. A membership that is lost is
+ * sought again at once, under a new incarnation.
+ */
 class Membership(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val leaseEndorsement: LeaseEndorsement,
     val self: MemberId,
-    private val leaseLength: Duration,
-    private val stalenessLimit: Duration,
-    private val startLimit: Duration,
+    private val limits: AuthorityLimits,
 ) : ActionAuthority {
-    private var lease = SessionLease(loop, store, leaseLength)
+    private var lease = SessionLease(loop, store, limits.sessionLease)
 
-    var state = MemberState.OUTSIDE
+    var state = MemberState.NOT_MEMBER
         private set
+
+    /** The revision of the member key: a condition of writes that need this incarnation to be a member still. */
     var revision = Revision.ABSENT
         private set
 
-    /** The session lease's number stands for this life of the process: the state service gives none twice. */
-    val incarnation: Incarnation? get() = lease.leaseId
-        ?.takeIf {
-            state == MemberState.MEMBER
-        }?.let { Incarnation(it.number) }
+    /** The number of the session lease, which the state service gives only once; null while this process is no member. */
+    val incarnation: Incarnation?
+        get() = lease.leaseId?.takeIf { state == MemberState.MEMBER }?.let { Incarnation(it.number) }
+
+    /** Whether shards that this process owns can't have been granted to anybody else: by the session lease, or by endorsements. */
+    private val ownershipIntact: Boolean
+        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
-     * Whether this process may act at this very moment: on its session lease, or on what its peers endorsed in an outage. In
-     * either case its knowledge must be recent enough for a cancellation it has not heard of to be met in time.
+     * Whether this process may act at this very moment: on its session lease, or on the endorsements of its peers in an outage. In
+     * either case its records must be recent enough for a cancellation it has not heard of to be carried out in time.
      */
     override val mayAct: Boolean
-        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) &&
-            knowsRecords && loop.now() < replica.readTime + stalenessLimit
+        get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.staleness
 
-    /** While the records are loaded anew, a part of them is missing: nothing may be decided on the rest. */
-    private val knowsRecords: Boolean get() = replica.state == ReplicaState.CURRENT
+    /** While the records are reloaded, a part of them is missing: nothing may be decided on the rest. */
+    private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
 
     /** For how long [mayAct] will hold if nothing more is heard, in milliseconds; 0 where it doesn't. */
     val authorityRemainingMs: Long
         get() {
             if (!mayAct) return 0
-            val byLease = maxOf(lease.surelyUntil, leaseEndorsement.endorsedUntil)
-            return minOf(byLease, replica.readTime + stalenessLimit).ms - loop.now().ms
+            val ownershipUntil = maxOf(lease.aliveUntil, leaseEndorsement.endorsedUntil)
+            return minOf(ownershipUntil, replica.readTime + limits.staleness).ms - loop.now().ms
         }
 
     /**
-     * Whether tasks may be started. For that, what is known must be newer than for keeping what runs, since no task may
-     * start after its user was told that it is cancelled: either the state service has answered a moment ago, or all
-     * others state that it answers nobody, and nothing can be confirmed then that they haven't told us before.
+     * Whether tasks may be started. For that, the records must be newer than for keeping running tasks alive, since no task may
+     * start after its user was told that it is cancelled: either the state service has answered a moment ago, or all peers state that
+     * it answers nobody, so that nothing can be confirmed that they haven't told us before.
      */
     override val mayStart: Boolean
-        get() = mayAct && (loop.now() < replica.readTime + startLimit || loop.now() < leaseEndorsement.endorsedUntil)
+        get() = mayAct && (loop.now() < replica.readTime + limits.startStaleness || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
-     * Whether workers may still be told that somebody lives, though nothing may be commanded any more: the session
-     * lease has run out without a word of the state service. A zone that is cut off keeps its tasks so. Takers-over
-     * reckon with it ([FormerIncarnations]).
+     * Whether workers' leases may still be extended, though nothing may be commanded any more: the session lease has expired
+     * without an answer of the state service. A zone that is cut off keeps its tasks this way. Successors allow for it
+     * ([FormerIncarnations]).
      */
     val mayExtendWorkerLeases: Boolean
-        get() = state == MemberState.MEMBER && knowsRecords && loop.now() < minOf(lease.renewedAt, replica.readTime) + stalenessLimit
+        get() = state == MemberState.MEMBER && recordsComplete && loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.staleness
 
-    /** How long that may go on beyond the session lease. */
-    val grace: Duration get() = (stalenessLimit - leaseLength) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
+    /** For how long [mayExtendWorkerLeases] may hold beyond the end of the session lease, by any clock. */
+    val gracePeriod: Duration
+        get() = (limits.staleness - limits.sessionLease) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
 
-    /** Called whenever a life of this member begins or ends. */
+    /** Called on each change of [state], hence whenever [incarnation] has changed. */
     var onChange: () -> Unit = {}
 
+    /** Joins, and keeps the session lease alive from then on. */
     fun start() {
-        leaseEndorsement.intact = { state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) }
+        leaseEndorsement.ownershipIntact = { ownershipIntact }
         join()
-        loop.again({ if (lease.alive) leaseLength / EXTENSIONS_PER_LEASE else RETRY }) {
-            if (state == MemberState.MEMBER) lease.extend { kept -> if (!kept) lost() }
+        loop.again({ if (lease.alive) limits.sessionLease / EXTENSIONS_PER_LEASE else RETRY_INTERVAL }) {
+            if (state == MemberState.MEMBER) lease.extend(::onLeaseExtension)
         }
     }
 
-    private fun moveTo(next: MemberState, why: String) {
-        if (state == next) return
-        log.info("membership {} -> {}: {}", state, next, why)
-        state = next
-        onChange()
+    private fun onLeaseExtension(outcome: LeaseExtension) = when (outcome) {
+        LeaseExtension.Extended, LeaseExtension.Unconfirmed -> Unit
+        LeaseExtension.Lost -> {
+            moveTo(MemberState.NOT_MEMBER, "session_lease_lost")
+            join()
+        }
     }
 
     private fun join() {
-        if (state != MemberState.OUTSIDE) return
-        moveTo(MemberState.JOINING, "asking for a hold")
-        lease = SessionLease(loop, store, leaseLength)
-        lease.open { if (it) register() else retry("no hold") }
+        if (state != MemberState.NOT_MEMBER) return
+        moveTo(MemberState.JOINING, "opening_session_lease")
+        lease = SessionLease(loop, store, limits.sessionLease)
+        lease.open { outcome ->
+            when (outcome) {
+                is LeaseOpening.Granted -> register()
+                LeaseOpening.Failed -> retryLater("session_lease_not_granted")
+            }
+        }
     }
 
-    /** Replaces the key of our predecessor, who is dead: a process of this name runs only once. */
+    /** Writes the member key once the records are known, so that a predecessor's key is replaced and not taken for absent. */
     private fun register() {
-        val leaseId = lease.leaseId ?: return retry("hold lost")
+        val leaseId = lease.leaseId ?: return retryLater("session_lease_lost")
         if (replica.state != ReplicaState.CURRENT && lease.alive) {
-            loop.after(LOOK) { register() }
+            loop.after(REPLICA_CHECK_INTERVAL) { register() }
             return
         }
-        replica.readFresh { known ->
-            if (!known) return@readFresh retry("state service silent")
-            val before = replica.members[self]?.revision ?: Revision.ABSENT
-            val record = MemberRecord(Incarnation(leaseId.number))
-            val transaction = Transaction(
-                listOf(Condition(Keys.member(self), before)),
-                listOf(Write.Set(Keys.member(self), RecordCodec.encode(record), leaseId)),
-            )
-            store.commit(WritePriority.LEASE, transaction) { outcome ->
-                if (outcome is TransactionOutcome.Applied) {
-                    revision = outcome.revision
-                    replica.applied(transaction, outcome.revision)
-                    moveTo(MemberState.MEMBER, "incarnation $leaseId")
-                } else {
-                    retry("could not register")
-                }
-            }
+        replica.readFresh { known -> if (known) writeMemberKey(leaseId) else retryLater("records_unknown") }
+    }
+
+    /** A key that is there is our predecessor's, who is dead: only one process of a name runs at a time. */
+    private fun writeMemberKey(leaseId: LeaseId) {
+        val present = replica.members[self]?.revision ?: Revision.ABSENT
+        val record = RecordCodec.encode(MemberRecord(Incarnation(leaseId.number)))
+        val transaction = Transaction(
+            listOf(Condition(Keys.member(self), present)),
+            listOf(Write.Set(Keys.member(self), record, leaseId)),
+        )
+        store.commit(WritePriority.LEASE, transaction) { outcome -> onMemberKeyOutcome(leaseId, transaction, outcome) }
+    }
+
+    private fun onMemberKeyOutcome(leaseId: LeaseId, transaction: Transaction, outcome: TransactionOutcome) = when (outcome) {
+        is TransactionOutcome.Applied -> {
+            revision = outcome.revision
+            replica.applied(transaction, outcome.revision)
+            moveTo(MemberState.MEMBER, "registered incarnation=$leaseId")
         }
+        is TransactionOutcome.Conflict,
+        TransactionOutcome.NoSuchLease,
+        TransactionOutcome.Refused,
+        TransactionOutcome.Unknown,
+        -> retryLater("registration_failed")
     }
 
-    private fun retry(why: String) {
+    private fun retryLater(reason: String) {
         lease.end()
-        moveTo(MemberState.OUTSIDE, why)
-        loop.after(RETRY) { join() }
+        moveTo(MemberState.NOT_MEMBER, reason)
+        loop.after(RETRY_INTERVAL) { join() }
     }
 
-    private fun lost() {
-        moveTo(MemberState.OUTSIDE, "the hold ran out")
-        join()
+    private fun moveTo(next: MemberState, reason: String) {
+        if (state == next) return
+        log.info("membership_changed from={} to={} reason={}", state, next, reason)
+        state = next
+        onChange()
     }
 
     private companion object {
         const val EXTENSIONS_PER_LEASE = 8
         val GRACE_MARGIN = 500.milliseconds
-        val RETRY = 300.milliseconds
-        val LOOK = 20.milliseconds
-        val log = LoggerFactory.getLogger("member")
+        val RETRY_INTERVAL = 300.milliseconds
+        val REPLICA_CHECK_INTERVAL = 20.milliseconds
+        val log = LoggerFactory.getLogger("membership")
     }
 }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -20,8 +20,19 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
+/** Where [PeerStatusExchange] gets what it sends. */
+interface PeerStatusSource {
+    val machineCount: Int
+
+    /** The member that the records name as the leader. */
+    val currentLeader: MemberId?
+
+    /** This controller's status at present, or null while it is no member. */
+    fun compose(): PeerStatus?
+}
+
 /**
- * Sends this controller's status to its peers and keeps the latest of theirs. Where the leader can't be reached, because
+ * Sends this controller's status to its peers, and keeps the latest of theirs in [statuses]. Where the leader can't be reached, because
  * controllers refuse each other, a member's free capacity goes to it through the state service: less of it, and less often.
  */
 class PeerStatusExchange(
@@ -30,105 +41,97 @@
     private val store: StateClient,
     private val self: MemberId,
     private val peers: List<Peer>,
-    private val machines: () -> Int,
-    private val compose: () -> PeerStatus?,
-    private val currentLeader: () -> MemberId?,
-    private val heard: (PeerStatus) -> Unit,
+    private val statuses: PeerStatusTable,
+    private val source: PeerStatusSource,
 ) {
-    private class Received(val status: PeerStatus, val at: MonotonicTime)
-
-    private val latest = HashMap<MemberId, Received>()
-    private val indirect = HashMap<MemberId, Received>()
-    private val busy = HashSet<MemberId>()
+    private val requestsInFlight = HashSet<MemberId>()
     private val deliveredAt = HashMap<MemberId, MonotonicTime>()
     private var recordedAt = MonotonicTime.NEVER
-    private var briefAt = MonotonicTime.NEVER
+    private var followersToldAt = MonotonicTime.NEVER
+
+    /** Called with each status of the leader, whoever that is: it holds the leader's requests to all members. */
+    var onLeaderStatus: (PeerStatus) -> Unit = {}
 
-    fun start() = loop.again({ interval() }) { compose()?.let(::tell) }
+    /** Sends the status at intervals, from now on. */
+    fun start() = loop.again({ interval() }) { source.compose()?.let(::broadcast) }
 
-    /** The more machines a status tells of, the rarer: five times the machines must not cost five times the processor. */
-    private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * machines(), MAX_INTERVAL)
+    /** The more machines a status describes, the rarer it is sent, so that its cost grows less than the fleet does. */
+    private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * source.machineCount, MAX_INTERVAL)
 
-    private fun tell(status: PeerStatus) {
-        heard(status)
-        val leader = currentLeader()
+    private fun broadcast(status: PeerStatus) {
+        statuses.recordOwn(status)
+        notifyIfLeader(status)
+        val leader = source.currentLeader
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
-        val brief = lazy { PeerWire.encode(status.withoutCapacities()) }
+        val withoutCapacities = lazy { PeerWire.encode(status.withoutCapacities()) }
         val now = loop.now()
-        val briefDue = now >= briefAt + BRIEF_INTERVAL
-        if (briefDue) briefAt = now
+        val followersDue = now >= followersToldAt + FOLLOWER_INTERVAL
+        if (followersDue) followersToldAt = now
         for (peer in peers) {
-            if (peer.member in busy) continue
+            if (peer.member in requestsInFlight) continue
             if (peer.member == leader) {
                 send(peer, PeerWire.encode(status))
-            } else if (briefDue) {
-                send(peer, brief.value)
+            } else if (followersDue) {
+                send(peer, withoutCapacities.value)
             }
         }
-        if (leader != null && leader != self) recordIfCutOff(leader, status)
+        if (leader != null && leader != self) recordIfLeaderUnreachable(leader, status)
     }
 
     private fun send(peer: Peer, body: ByteArray) {
-        busy += peer.member
-        http.call(peer.endpoint, Request(Method.POST, PeerWire.PATH, body), TIMEOUT) { reply ->
-            busy -= peer.member
+        requestsInFlight += peer.member
+        http.call(peer.endpoint, Request(Method.POST, PeerWire.PATH, body), REQUEST_TIMEOUT) { reply ->
+            requestsInFlight -= peer.member
             if (reply?.status == HttpStatus.OK) deliveredAt[peer.member] = loop.now()
         }
     }
 
-    private fun recordIfCutOff(leader: MemberId, status: PeerStatus) {
+    private fun recordIfLeaderUnreachable(leader: MemberId, status: PeerStatus) {
         val now = loop.now()
-        val reached = deliveredAt.getOrPut(leader) { now }
-        if (now < reached + UNREACHED || now < recordedAt + RECORD_INTERVAL) return
+        val lastDelivery = deliveredAt.getOrPut(leader) { now }
+        if (now < lastDelivery + UNREACHABLE_AFTER || now < recordedAt + RECORD_INTERVAL) return
         recordedAt = now
-        val value = fittingValue(status) ?: return
+        val value = encodeWithinValueLimit(status) ?: return
         val write = Write.Set(Keys.memberCapacity(self), value)
-        // A hint only, and of use only while it is new: no condition, and what comes late is told by its incarnation.
+        // A hint only, and of use only while it is new: no condition, and a late one is recognized by its incarnation.
         store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
 
-    /** As many machines of [status] as a value can hold; how much a machine takes is an estimate, so it is measured. */
-    private fun fittingValue(status: PeerStatus): ByteArray? {
-        var bytes = (store.limits.valueBytes * PART_OF_VALUE).toInt()
-        repeat(MAX_SHORTENINGS) {
-            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.truncatedTo(bytes)))
+    /** As many machines of [status] as a value can hold; the bytes a machine takes are an estimate, so the result is measured. */
+    private fun encodeWithinValueLimit(status: PeerStatus): ByteArray? {
+        var targetBytes = (store.limits.valueBytes * JSON_OVERHEAD_FACTOR).toInt()
+        repeat(MAX_TRUNCATIONS) {
+            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.truncatedTo(targetBytes)))
             if (value.size <= store.limits.valueBytes) return value
-            bytes = (bytes * SHORTENING).toInt()
+            targetBytes = (targetBytes * TRUNCATION_FACTOR).toInt()
         }
         return null
     }
 
+    /** Takes a [status] that a peer has sent. */
     fun receive(status: PeerStatus) {
-        latest[status.member] = Received(status, loop.now())
-        heard(status)
+        statuses.recordReceived(status)
+        notifyIfLeader(status)
     }
 
-    fun receiveIndirect(status: PeerStatus) {
-        if (status.member != self) indirect[status.member] = Received(status, loop.now())
+    private fun notifyIfLeader(status: PeerStatus) {
+        if (status.isLeader) onLeaderStatus(status)
     }
 
-    fun of(member: MemberId): PeerStatus? = latest[member]?.takeIf { loop.now() < it.at + FRESH }?.status
-
-    /** What is known of a member's room, by whichever way; it may be only a part. */
-    fun capacityStatusOf(member: MemberId): PeerStatus? =
-        of(member) ?: indirect[member]?.takeIf { loop.now() < it.at + FRESH_INDIRECT }?.status
-
-    companion object {
-        private const val MAX_SHORTENINGS = 8
-        private const val SHORTENING = 0.75
+    private companion object {
+        const val MAX_TRUNCATIONS = 8
+        const val TRUNCATION_FACTOR = 0.75
 
         /** Bytes become a third more in JSON. */
-        private const val PART_OF_VALUE = 0.65
-        private val INTERVAL = 150.milliseconds
-        private val INTERVAL_PER_MACHINE = 1.milliseconds
-        private val MAX_INTERVAL = 600.milliseconds
-
-        /** What others than the leader are told changes slowly. */
-        private val BRIEF_INTERVAL = 450.milliseconds
-        private val TIMEOUT = 1.seconds
-        private val FRESH = 2.seconds
-        private val UNREACHED = 1500.milliseconds
-        private val RECORD_INTERVAL = 1500.milliseconds
-        private val FRESH_INDIRECT = 4.seconds
+        const val JSON_OVERHEAD_FACTOR = 0.65
+        val INTERVAL = 150.milliseconds
+        val INTERVAL_PER_MACHINE = 1.milliseconds
+        val MAX_INTERVAL = 600.milliseconds
+
+        /** What peers other than the leader are sent changes slowly. */
+        val FOLLOWER_INTERVAL = 450.milliseconds
+        val REQUEST_TIMEOUT = 1.seconds
+        val UNREACHABLE_AFTER = 1500.milliseconds
+        val RECORD_INTERVAL = 1500.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -2,7 +2,6 @@
 
 import copperglade.membership.Leadership
 import copperglade.membership.LeaseEndorsement
-import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
@@ -23,124 +22,156 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's hand in who owns which shard. A shard is granted anew only when its holder's incarnation is gone from the
- * member key, which is a condition of the same transaction, or when the holder has given it up.
+ * The leader's assignment of shards to controllers. A shard is granted only when its owner's incarnation is gone from the member key,
+ * which is a condition of the same transaction, or when the owner has given it up.
  */
 class ShardAssigner(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val leadership: Leadership,
-    private val shards: ShardMap,
+    private val shardMap: ShardMap,
     private val zoneOfMember: Map<MemberId, String>,
     private val leaseEndorsement: LeaseEndorsement,
-    /** How long a shard stays with a new owner, however uneven the shards are dealt out. */
-    private val settling: Duration,
+    workerLeaseS: Double,
 ) {
-    private val inFlight = HashSet<ShardName>()
+    private class Grant(val revision: Revision, val knownSince: MonotonicTime)
 
-    /** The last grant of each shard, and since when it is known. */
-    private val grants = HashMap<ShardName, Grant>()
+    /** For how long a shard stays with a new owner, however uneven the distribution is. */
+    private val minTenure: Duration = (workerLeaseS * MIN_TENURE_IN_WORKER_LEASES).seconds
+    private val grantsInFlight = HashSet<ShardName>()
 
-    private class Grant(val revision: Revision, val since: MonotonicTime)
+    /** The last grant of each shard that this process knows of. */
+    private val lastGrants = HashMap<ShardName, Grant>()
 
-    /** Members that hear no workers, and until when they are given no shards. */
-    private val unreachableUntil = HashMap<MemberId, MonotonicTime>()
+    /** Members that reach no workers, and until when they are granted no shards. */
+    private val excludedUntil = HashMap<MemberId, MonotonicTime>()
 
-    /** Shards whose owners should give them up, so that every member has its part. */
-    var release: List<ShardName> = emptyList()
+    /** Shards whose owners should give them up, so that the shards are distributed evenly; found anew in each round. */
+    var shardsToRelease: List<ShardName> = emptyList()
         private set
 
+    /** Grants each shard without an owner, or, where there is none, looks for one to release. Called while this process leads. */
     fun round() {
-        val patience = replica.members.size >= zoneOfMember.size || leadership.leadingForS > WAIT_FOR_MEMBERS_S
-        if (!patience) return
-        observeGrants()
+        if (!hasWaitedForMembers()) return
+        recordGrants()
+        val shardCounts = shardCounts(eligibleMembers())
+        val orphans = shardMap.all.filter { ownerOf(it) == null }
+        for (shard in orphans) {
+            if (shard in grantsInFlight || !mayGrant(shard)) continue
+            val owner = chooseOwner(shard, shardCounts) ?: continue
+            shardCounts.merge(owner, 1, Int::plus)
+            grant(shard, owner)
+        }
+        shardsToRelease = if (orphans.isEmpty()) shardsToRebalance(shardCounts) else emptyList()
+    }
+
+    /** After a start of the whole cluster, the members that join first would otherwise get all shards. */
+    private fun hasWaitedForMembers(): Boolean =
+        replica.members.size >= zoneOfMember.size || leadership.leadingForS > WAIT_FOR_MEMBERS_S
+
+    private fun recordGrants() {
+        val now = loop.now()
+        for ((shard, record) in replica.shards) {
+            if (lastGrants[shard]?.revision != record.revision) lastGrants[shard] = Grant(record.revision, now)
+        }
+    }
+
+    /** The members that reach their workers; where none does, all of them. */
+    private fun eligibleMembers(): Collection<MemberId> {
         val now = loop.now()
         replica.shards.values
             .filter { it.value.givenUp }
-            .forEach { unreachableUntil[it.value.member] = now + UNREACHABLE }
-        val hearing = replica.members.keys.filter { now >= (unreachableUntil[it] ?: MonotonicTime.NEVER) }
-        val load = hearing.ifEmpty { replica.members.keys }.associateWithTo(HashMap()) { 0 }
-        val orphans = ArrayList<ShardName>()
-        for (shard in shards.all) {
-            val owner = ownerOf(shard)
-            if (owner == null) orphans += shard else load.computeIfPresent(owner) { _, shards -> shards + 1 }
-        }
-        for (shard in orphans) {
-            if (shard in inFlight) continue
-            val holder = replica.shards[shard]?.value?.member
-            val left = replica.shards[shard]?.value?.givenUp ?: false
-            if (!left && holder != null && holder !in replica.members && !leaseEndorsement.mayGrantAway(holder)) continue
-            val chosen = choose(shard, load) ?: continue
-            load.merge(chosen, 1, Int::plus)
-            grant(shard, chosen)
-        }
-        release = if (orphans.isEmpty()) balance(load) else emptyList()
+            .forEach { excludedUntil[it.value.member] = now + EXCLUSION }
+        val reaching = replica.members.keys.filter { now >= (excludedUntil[it] ?: MonotonicTime.NEVER) }
+        return reaching.ifEmpty { replica.members.keys }
+    }
+
+    private fun shardCounts(members: Collection<MemberId>): HashMap<MemberId, Int> {
+        val counts = members.associateWithTo(HashMap()) { 0 }
+        for (owner in shardMap.all.mapNotNull(::ownerOf)) counts.computeIfPresent(owner) { _, count -> count + 1 }
+        return counts
     }
 
-    fun ownerOf(shard: ShardName): MemberId? {
+    private fun ownerOf(shard: ShardName): MemberId? {
         val record = replica.shards[shard]?.value ?: return null
         return record.member.takeIf { replica.members[it]?.value?.incarnation == record.incarnation }
     }
 
-    /** The former owner where it lives again: it knows the machines' ways to it. Else whoever has least. */
-    private fun choose(shard: ShardName, load: Map<MemberId, Int>): MemberId? {
+    /** Whether no endorsement of ours protects a former owner that is absent. */
+    private fun mayGrant(shard: ShardName): Boolean {
+        val record = replica.shards[shard]?.value ?: return true
+        return record.givenUp || record.member in replica.members || leaseEndorsement.mayReassignShardsOf(record.member)
+    }
+
+    /** The former owner where it is back and has no more than its part: the workers report to it already. Else whoever has least. */
+    private fun chooseOwner(shard: ShardName, shardCounts: Map<MemberId, Int>): MemberId? {
         val former = replica.shards[shard]?.value?.member
-        val fair = (shards.all.size + load.size - 1) / load.size.coerceAtLeast(1)
-        if (former != null && former in load && load.getValue(former) < fair) return former
-        val zone = shards.zoneOf(shard)
-        return load.keys.minWithOrNull(
-            compareBy<MemberId> { load.getValue(it) }
+        val evenCount = (shardMap.all.size + shardCounts.size - 1) / shardCounts.size.coerceAtLeast(1)
+        if (former != null && former in shardCounts && shardCounts.getValue(former) < evenCount) return former
+        val zone = shardMap.zoneOf(shard)
+        return shardCounts.keys.minWithOrNull(
+            compareBy<MemberId> { shardCounts.getValue(it) }
                 .thenBy { if (zoneOfMember[it] == zone) 0 else 1 }
                 .thenBy { it.text },
         )
     }
 
-    private fun balance(load: Map<MemberId, Int>): List<ShardName> {
-        val most = load.maxByOrNull { it.value } ?: return emptyList()
-        val least = load.values.min()
+    /** One shard of the member with most, where another has at least two fewer. */
+    private fun shardsToRebalance(shardCounts: Map<MemberId, Int>): List<ShardName> {
+        val most = shardCounts.maxByOrNull { it.value } ?: return emptyList()
+        val least = shardCounts.values.min()
         if (most.value - least < 2) return emptyList()
-        return listOfNotNull(shards.all.lastOrNull { ownerOf(it) == most.key && isSettled(it) })
+        return listOfNotNull(shardMap.all.lastOrNull { ownerOf(it) == most.key && hasMinTenure(it) })
     }
 
     /**
-     * Whether [shard] has been with its owner for a while. Tasks that a new owner has not found yet may start only when the
-     * workers' leases are over, counted from the grant: handed on in that time, they would wait once more.
+     * Tasks that a new owner has not found yet may start only when the workers' leases have expired, counted from the grant: if the shard
+     * were granted once more in that time, they would wait once more.
      */
-    private fun isSettled(shard: ShardName): Boolean = grants[shard]?.let { loop.now() >= it.since + settling } ?: false
+    private fun hasMinTenure(shard: ShardName): Boolean = lastGrants[shard]?.let { loop.now() >= it.knownSince + minTenure } ?: false
 
-    private fun observeGrants() {
-        val now = loop.now()
-        for ((shard, record) in replica.shards) {
-            if (grants[shard]?.revision != record.revision) grants[shard] = Grant(record.revision, now)
-        }
+    private fun grant(shard: ShardName, owner: MemberId) {
+        val member = replica.members[owner] ?: return
+        val record = RecordCodec.encode(ShardRecord(owner, member.value.incarnation))
+        val transaction = Transaction(grantConditions(shard, owner, member.revision), listOf(Write.Set(Keys.shard(shard), record)))
+        grantsInFlight += shard
+        store.commit(WritePriority.LEASE, transaction) { outcome -> onGrantOutcome(shard, owner, transaction, outcome) }
     }
 
-    private fun grant(shard: ShardName, to: MemberId) {
-        val member = replica.members[to] ?: return
+    /** We lead, the new owner is a member, the shard's record is as we know it, and its former owner is gone. */
+    private fun grantConditions(shard: ShardName, owner: MemberId, memberRevision: Revision): List<Condition> {
         val present = replica.shards[shard]
         val conditions = ArrayList<Condition>()
         conditions += leadership.condition
-        conditions += Condition(Keys.member(to), member.revision)
+        conditions += Condition(Keys.member(owner), memberRevision)
         conditions += Condition(Keys.shard(shard), present?.revision ?: Revision.ABSENT)
-        present?.value?.takeIf { it.member != to && !it.givenUp }?.member?.let { holder ->
-            conditions += Condition(Keys.member(holder), replica.members[holder]?.revision ?: Revision.ABSENT)
+        present?.value?.takeIf { it.member != owner && !it.givenUp }?.member?.let { former ->
+            conditions += Condition(Keys.member(former), replica.members[former]?.revision ?: Revision.ABSENT)
         }
-        val record = RecordCodec.encode(ShardRecord(to, member.value.incarnation))
-        val transaction = Transaction(conditions, listOf(Write.Set(Keys.shard(shard), record)))
-        inFlight += shard
-        store.commit(WritePriority.LEASE, transaction) { outcome ->
-            inFlight -= shard
-            if (outcome is TransactionOutcome.Applied) {
-                log.info("block {} granted to {} with baton {}", shard, to, outcome.revision)
+        return conditions
+    }
+
+    /** A grant that failed, or whose outcome is unknown, is tried again in a later round if the shard still has no owner then. */
+    private fun onGrantOutcome(shard: ShardName, owner: MemberId, transaction: Transaction, outcome: TransactionOutcome) {
+        grantsInFlight -= shard
+        when (outcome) {
+            is TransactionOutcome.Applied -> {
+                log.info("shard_granted shard={} to={} fencing_token={}", shard, owner, outcome.revision)
                 replica.applied(transaction, outcome.revision)
             }
+            is TransactionOutcome.Conflict,
+            TransactionOutcome.NoSuchLease,
+            TransactionOutcome.Refused,
+            TransactionOutcome.Unknown,
+            -> Unit
         }
     }
 
     private companion object {
         const val WAIT_FOR_MEMBERS_S = 1.5
-        val UNREACHABLE = 30.seconds
-        val log = LoggerFactory.getLogger("blocks")
+        const val MIN_TENURE_IN_WORKER_LEASES = 1.5
+        val EXCLUSION = 30.seconds
+        val log = LoggerFactory.getLogger("shards")
     }
 }
--- a/src/main/kotlin/copperglade/shards/ShardMap.kt
+++ b/src/main/kotlin/copperglade/shards/ShardMap.kt
@@ -1,44 +1,32 @@
 package copperglade.shards
 
-import copperglade.membership.Leadership
-import copperglade.membership.LeaseEndorsement
 import copperglade.protocol.MachineName
-import copperglade.protocol.MemberId
-import copperglade.protocol.MonotonicTime
-import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
-import copperglade.storage.Condition
-import copperglade.storage.Keys
-import copperglade.storage.RecordCodec
-import copperglade.storage.Replica
-import copperglade.storage.ShardRecord
-import copperglade.storage.StateClient
-import copperglade.storage.Transaction
-import copperglade.storage.TransactionOutcome
-import copperglade.storage.Write
-import copperglade.storage.WritePriority
-import copperglade.transport.EventLoop
-import org.slf4j.LoggerFactory
-import kotlin.time.Duration
-import kotlin.time.Duration.Companion.seconds
 
-/** Which shard a machine belongs to: a pure function, so that a machine needs no record and has exactly one shard. */
-class ShardMap(private val zones: List<String>, private val perZone: Int) {
-    val all: List<ShardName> = zones.flatMap { zone -> (0 until perZone).map { ShardName("$zone.$it") } }
+/**
+ * Which shard a machine belongs to: a pure function of its name and zone, so that a machine needs no record and has exactly one shard.
+ * All controllers must be given the same [zones] and [shardsPerZone].
+ */
+class ShardMap(zones: List<String>, private val shardsPerZone: Int) {
+    /** All shards, in a fixed order. */
+    val all: List<ShardName> = zones.flatMap { zone -> (0 until shardsPerZone).map { ShardName("$zone.$it") } }
 
+    /** The shard of [machine] in [zone]. */
     fun of(machine: MachineName, zone: String): ShardName {
-        // Names are numbered in order of rental: machines of one rental spread evenly over the slots.
+        // Names end in a number that counts the machines: those that came together spread evenly.
         val number =
             machine.text
                 .takeLastWhile { it.isDigit() }
-                .takeLast(NUMBER_DIGITS)
+                .takeLast(MAX_NUMBER_DIGITS)
                 .toIntOrNull() ?: machine.text.hashCode()
-        return ShardName("$zone.${Math.floorMod(number, perZone)}")
+        return ShardName("$zone.${Math.floorMod(number, shardsPerZone)}")
     }
 
+    /** The zone of all machines of [shard]. */
     fun zoneOf(shard: ShardName): String = shard.text.substringBeforeLast('.')
 
     private companion object {
-        const val NUMBER_DIGITS = 9
+        /** As many as an [Int] surely holds. */
+        const val MAX_NUMBER_DIGITS = 9
     }
 }
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -34,7 +34,7 @@
     private val limits = StateLimits(1e6, 1e6, 2.0, 4)
     private val store = StateClient(loop, network.callerOf("member", loop), STATE, limits)
 
-    private fun memberCapacity(number: Int) = MachineAvailability(
+    private fun machine(number: Int) = MachineAvailability(
         MachineName("i-machine-with-a-long-name-$number"),
         "type-with-a-long-name",
         "zone-with-a-long-name",
@@ -53,14 +53,21 @@
         Revision(9),
         12,
         isLeader = false,
-        listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::memberCapacity))),
+        listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), List(40, ::machine))),
         emptyList(),
         emptyList(),
         writesWanted = 1.0,
     )
 
+    private val source = object : PeerStatusSource {
+        override val machineCount = 40
+        override val currentLeader = MemberId("leader")
+
+        override fun compose() = status()
+    }
+
     @Test
-    fun `a room record holds as many machines as fit into a value`() {
+    fun `a capacity record holds as many machines as fit into a value`() {
         service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerS)
         val caller = network.callerOf("member", loop)
         PeerStatusExchange(
@@ -69,20 +76,18 @@
             store,
             SELF,
             emptyList(),
-            machines = { 40 },
-            compose = ::status,
-            currentLeader = { MemberId("lead") },
-            heard = {},
+            PeerStatusTable(loop, SELF, emptyList()),
+            source,
         ).start()
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
         val value = Json.read(service.text(Keys.memberCapacity(SELF))!!.toByteArray())!!
-        val told = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
+        val recorded = PeerWire.decode(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
-            told.shards
+            recorded.shards
                 .single()
                 .machines.size in 3..39,
-            "${told.shards.single().machines.size} machines",
+            "${recorded.shards.single().machines.size} machines",
         )
     }
 
--- a/src/test/kotlin/copperglade/membership/StalenessTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessLimitTest.kt
@@ -1,6 +1,5 @@
 package copperglade.membership
 
-import copperglade.controller.Controller
 import copperglade.settings.InvalidSettingException
 import copperglade.settings.OperatorSettings
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -11,7 +10,7 @@
 import kotlin.time.DurationUnit
 
 /** The age of knowledge and the workers' lease together stay below `cancel_s`, clocks included, or the settings are refused. */
-class StalenessTest {
+class StalenessLimitTest {
     @Test
     fun `whatever settings are accepted leave time for the lease`() {
         val random = Random(1)
@@ -21,7 +20,7 @@
             val cancelS = leaseS + 0.01 + random.nextDouble() * random.nextDouble() * 60.0
             val operatorSettings = OperatorSettings(stalenessMargin = (500 + random.nextInt(8000)).milliseconds)
             val limit = try {
-                Controller.stalenessLimit(leaseS, cancelS, operatorSettings).toDouble(DurationUnit.SECONDS)
+                StalenessLimit.of(leaseS, cancelS, operatorSettings).toDouble(DurationUnit.SECONDS)
             } catch (_: InvalidSettingException) {
                 return@repeat
             }
@@ -35,11 +34,11 @@
 
     @Test
     fun `settings that leave no time to act are refused by name`() {
-        val fault = assertThrows(InvalidSettingException::class.java) { Controller.stalenessLimit(10.0, 11.0, OperatorSettings()) }
+        val fault = assertThrows(InvalidSettingException::class.java) { StalenessLimit.of(10.0, 11.0, OperatorSettings()) }
         assertTrue("cancel_s" in fault.message!!)
         val margin =
             assertThrows(InvalidSettingException::class.java) {
-                Controller.stalenessLimit(10.0, 30.0, OperatorSettings(stalenessMargin = 19_500.milliseconds))
+                StalenessLimit.of(10.0, 30.0, OperatorSettings(stalenessMargin = 19_500.milliseconds))
             }
         assertTrue("hold.margin.s" in margin.message!!)
     }
