--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells what was done and on what it rested: which token, how old the records were, how long the right to act would last, what the job
- * waited for. Each action is a line at `debug`; at `info` there are counts, once a minute. All in the form `key=value`.
+ * Records each action and what it rested on: which fencing token, how old the records were, how long the authority to act would last,
+ * what the job waited for. Each action is a line at `debug`; at `info` there are counts, once a minute.
  */
 class ActionAudit(
     private val loop: EventLoop,
@@ -26,21 +26,22 @@
 ) {
     private val counts = TreeMap<String, Int>()
 
-    fun start() = loop.again({ INTERVAL }, ::summarize)
+    /** Logs the counts at intervals, from now on. */
+    fun start() = loop.again({ INTERVAL }, ::logCounts)
 
-    /** [commands] go out to [machine] under [token], directly or with an answer. */
+    /** [commands] go out to [machine] under [token], by this [channel]: directly or with the answer to a heartbeat. */
     fun recordCommands(machine: MachineName, token: FencingToken, commands: List<Command>, channel: String) {
         for (command in commands) {
-            val action = when (command) {
-                is Command.Start -> "start"
-                is Command.Stop -> "stop"
-                is Command.Remove -> "remove"
+            val event = when (command) {
+                is Command.Start -> "start_sent"
+                is Command.Stop -> "stop_sent"
+                is Command.Remove -> "remove_sent"
             }
-            count(action)
+            count(event)
             if (!log.isDebugEnabled) continue
             log.debug(
-                "action={} task={} attempt={} machine={} token={} way={} {}",
-                action,
+                "{} task={} attempt={} machine={} fencing_token={} channel={} {}",
+                event,
                 command.task,
                 command.attempt,
                 machine,
@@ -51,43 +52,48 @@
         }
     }
 
-    /** A report of [machine] is answered with 200, which renews its lease. */
+    /** A heartbeat of [machine] is answered with 200, which renews its lease; the answer carries [stops] stop commands. */
     fun recordAnswer(machine: MachineName, token: FencingToken, stops: Int) {
-        count("answer")
-        if (log.isDebugEnabled) log.debug("action=answer machine={} token={} stops={} {}", machine, token, stops, right())
+        count("heartbeat_answered")
+        if (log.isDebugEnabled) {
+            log.debug("heartbeat_answered machine={} fencing_token={} stops={} {}", machine, token, stops, authority())
+        }
     }
 
     /**
-     * The shard no longer follows [task], since its record says that it is over or assigned elsewhere.
+     * The shard no longer follows [task], since its record says that it has ended or is assigned elsewhere.
      *
-     * @param state what its owner knew of it last.
+     * @param state the state in which its owner knew it last.
      * @param machine the machine that it is on, or was to be started on.
      * @param onMachine whether it may be on that machine now, or come to be.
      */
     fun recordDroppedRun(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
-        count(if (onMachine) "forget_on_machine" else "forget")
+        count(if (onMachine) "run_dropped_on_machine" else "run_dropped")
         if (!log.isDebugEnabled) return
-        log.debug("action=forget task={} state={} machine={} {}", task, state, machine, basis(task.job))
+        log.debug("run_dropped task={} state={} machine={} on_machine={} {}", task, state, machine, onMachine, basis(task.job))
     }
 
     /** The leader asks the state service to end [job]. */
     fun recordJobEnd(job: JobId) {
-        count("end")
-        if (log.isDebugEnabled) log.debug("action=end job={} {}", job, basis(job))
+        count("job_end_requested")
+        if (log.isDebugEnabled) log.debug("job_end_requested job={} {}", job, basis(job))
     }
 
     /** A waiting task is not started, for another reason than before. */
     fun recordRefusal(task: TaskId, refusal: Refusal) {
-        count("refused_${refusal.name.lowercase()}")
-        if (log.isDebugEnabled) log.debug("action=refuse task={} refusal={} {}", task, refusal, basis(task.job))
+        count("start_refused_${refusal.name.lowercase()}")
+        if (log.isDebugEnabled) log.debug("start_refused task={} reason={} {}", task, refusal, basis(task.job))
     }
 
-    private fun count(what: String) {
-        counts.merge(what, 1, Int::plus)
+    private fun count(event: String) {
+        counts.merge(event, 1, Int::plus)
     }
 
-    private fun right() =
-        "knowledge_ms=${loop.now().ms - replica.readTime.ms} revision=${replica.knownRevision} lease_ms=${membership.authorityRemainingMs} replica=${replica.state}"
+    private fun authority(): String {
+        val recordsAgeMs = loop.now().ms - replica.readTime.ms
+        return "records_age_ms=$recordsAgeMs revision=${replica.knownRevision} " +
+            "authority_ms=${membership.authorityRemainingMs} replica=${replica.state}"
+    }
 
     private fun basis(id: JobId): String {
         val job = replica.jobs[id]
@@ -97,16 +103,17 @@
             job.dependencies.isEmpty() -> "FREE"
             else -> job.dependencyState.name
         }
-        return "job_state=$state record=${job?.liveRevision()} ${right()}"
+        return "job_state=$state job_revision=${job?.liveRevision()} ${authority()}"
     }
 
-    private fun summarize() {
-        log.info("violations={} {} {}", violations.total, right(), counts.entries.joinToString(" ") { (what, count) -> "$what=$count" })
+    private fun logCounts() {
+        val countsByEvent = counts.entries.joinToString(" ") { (event, count) -> "$event=$count" }
+        log.info("action_counts violations={} {} {}", violations.total, authority(), countsByEvent)
         counts.clear()
     }
 
     private companion object {
         val INTERVAL = 60.seconds
-        val log = LoggerFactory.getLogger("decision")
+        val log = LoggerFactory.getLogger("audit")
     }
 }
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -13,66 +13,77 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What the event loop is busy with, by kind: how often, for how long in all, and at the longest. Logged once a minute:
- * at hundreds of machines a controller is as good as its loop has time left.
+ * What the event loop spends its time on, by kind of work; logged once a minute. A controller can follow as many machines as its loop
+ * has time for.
  */
 class EventLoopMetrics(private val loop: EventLoop) {
-    private class Tally {
+    private class Usage {
         var count = 0
-        var micros = 0L
-        var longest = 0L
+        var totalMicros = 0L
+        var longestMicros = 0L
+
+        fun add(micros: Long) {
+            count++
+            totalMicros += micros
+            if (micros > longestMicros) longestMicros = micros
+        }
     }
 
-    private val tallies = TreeMap<String, Tally>()
-    private var since = loop.now()
+    private val usageByKind = TreeMap<String, Usage>()
+    private var intervalStartedAt = loop.now()
 
+    /** Logs at intervals, from now on. */
     fun start() = loop.again({ INTERVAL }, ::report)
 
+    /** Runs [action] and counts its time under [kind], also where it throws. Times of nested actions count under both kinds. */
     fun measure(kind: String, action: () -> Unit) {
-        val began = loop.micros()
+        val startedAtMicros = loop.micros()
         try {
             action()
         } finally {
-            val took = loop.micros() - began
-            val tally = tallies.getOrPut(kind) { Tally() }
-            tally.count++
-            tally.micros += took
-            if (took > tally.longest) tally.longest = took
+            val micros = loop.micros() - startedAtMicros
+            usageByKind.getOrPut(kind) { Usage() }.add(micros)
         }
     }
 
+    /** [handler], its time counted under `in:` and the first segment of the request's path. */
     fun measured(handler: RequestHandler) = RequestHandler { request: Request, responder: Responder ->
-        measure("in ${kindOf(request)}") { handler.handle(request, responder) }
+        measure("in:${firstSegment(request)}") { handler.handle(request, responder) }
     }
 
+    /** [caller], the time of its callbacks counted under `out:` and the first segment of the request's path. */
     fun measured(caller: HttpCaller) = HttpCaller { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
-        val kind = "out ${kindOf(request)}"
+        val kind = "out:${firstSegment(request)}"
         caller.call(to, request, timeout) { reply -> measure(kind) { done(reply) } }
     }
 
-    private fun kindOf(request: Request) = request.path
+    private fun firstSegment(request: Request) = request.path
         .removePrefix("/")
         .substringBefore('/')
         .substringBefore('?')
 
     private fun report() {
-        val seconds = (loop.now().ms - since.ms) / MS
-        since = loop.now()
-        if (tallies.isEmpty() || seconds <= 0.0) return
-        log.info(
-            "per second, ms per second, longest ms: {}",
-            tallies.entries.joinToString { (kind, tally) ->
-                val perSecond = "%.1f".format(tally.count / seconds)
-                "$kind $perSecond ${"%.1f".format(tally.micros / MS / seconds)} ${tally.longest / MICROS_PER_MS}"
-            },
-        )
-        tallies.clear()
+        val intervalS = (loop.now().ms - intervalStartedAt.ms) / MS_PER_S
+        intervalStartedAt = loop.now()
+        if (intervalS <= 0.0) return
+        for ((kind, usage) in usageByKind) {
+            val perSecond = "%.1f".format(usage.count / intervalS)
+            val msPerSecond = "%.1f".format(usage.totalMicros / MICROS_PER_MS / intervalS)
+            log.info(
+                "event_loop_usage kind={} per_s={} ms_per_s={} longest_ms={}",
+                kind,
+                perSecond,
+                msPerSecond,
+                usage.longestMicros / MICROS_PER_MS.toLong(),
+            )
+        }
+        usageByKind.clear()
     }
 
     private companion object {
-        const val MS = 1000.0
-        const val MICROS_PER_MS = 1000
+        const val MS_PER_S = 1000.0
+        const val MICROS_PER_MS = 1000.0
         val INTERVAL = 60.seconds
-        val log = LoggerFactory.getLogger("workload")
+        val log = LoggerFactory.getLogger("metrics")
     }
 }
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -8,24 +8,20 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** How long users wait for our answers; logged once a minute. */
-class RequestLatency(private val loop: EventLoop, private val what: String) {
-    private val histogram = Histogram(MAX_MS, DIGITS)
-    private var turnedAway = 0
+/** How long users wait for answers to one [kind] of request; logged once a minute where there were any. */
+class RequestLatency(private val loop: EventLoop, private val kind: String) {
+    private val histogram = Histogram(MAX_MS, SIGNIFICANT_DIGITS)
+    private var unavailableAnswers = 0
 
-    fun start() {
-        loop.after(INTERVAL) {
-            report()
-            start()
-        }
-    }
+    /** Logs at intervals, from now on. */
+    fun start() = loop.again({ INTERVAL }, ::report)
 
-    /** A responder that also takes the time. */
+    /** A responder that also records the time from now to the answer, which it passes on to [responder]. */
     fun timed(responder: Responder): Responder {
-        val began = loop.now()
+        val startedAt = loop.now()
         return Responder { reply: Reply ->
-            histogram.recordValue((loop.now().ms - began.ms).coerceIn(0, MAX_MS))
-            if (reply.status == HttpStatus.UNAVAILABLE) turnedAway++
+            histogram.recordValue((loop.now().ms - startedAt.ms).coerceIn(0, MAX_MS))
+            if (reply.status == HttpStatus.UNAVAILABLE) unavailableAnswers++
             responder.send(reply)
         }
     }
@@ -33,22 +29,22 @@
     private fun report() {
         if (histogram.totalCount == 0L) return
         log.info(
-            "{}: {} answers, {} of them 503, p50 {} ms, p99 {} ms, worst {} ms",
-            what,
+            "request_latency kind={} answers={} unavailable={} p50_ms={} p99_ms={} max_ms={}",
+            kind,
             histogram.totalCount,
-            turnedAway,
+            unavailableAnswers,
             histogram.getValueAtPercentile(50.0),
             histogram.getValueAtPercentile(99.0),
             histogram.maxValue,
         )
         histogram.reset()
-        turnedAway = 0
+        unavailableAnswers = 0
     }
 
     private companion object {
         const val MAX_MS = 60_000L
-        const val DIGITS = 2
+        const val SIGNIFICANT_DIGITS = 2
         val INTERVAL = 60.seconds
-        val log = LoggerFactory.getLogger("users")
+        val log = LoggerFactory.getLogger("latency")
     }
 }
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -38,19 +38,19 @@
 
 /** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
 class ActionGuardTest {
-    private class Right(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : ActionAuthority
+    private class FakeAuthority(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : ActionAuthority
 
     private val free = JobId("job-1")
     private val cancelled = JobId("job-2")
     private val blocked = JobId("job-3")
-    private val over = JobId("job-4")
-    private val called = JobId("job-5")
+    private val ended = JobId("job-4")
+    private val cancelledAndEnded = JobId("job-5")
     private val unknown = JobId("job-99")
     private val machine = MachineName("i-1")
-    private val right = Right()
-    private val seen = ArrayList<InvariantViolation>()
+    private val authority = FakeAuthority()
+    private val reported = ArrayList<InvariantViolation>()
     private val replica = loadedReplica()
-    private val guard = ActionGuard(replica, right, InvariantViolations { seen += it })
+    private val guard = ActionGuard(replica, authority, InvariantViolations { reported += it })
 
     private fun loadedReplica(): Replica {
         val sim = Simulation(1)
@@ -66,15 +66,15 @@
         live(free)
         live(cancelled, cancelled = true)
         live(blocked, awaits = listOf(free))
-        state.put(Keys.over(over), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
-        state.put(Keys.over(called), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
+        state.put(Keys.over(ended), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
+        state.put(Keys.over(cancelledAndEnded), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
         val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
         val page = RecordCodec.encode(AssignmentRange(listOf(group), BitSet(), 1, 1, 1))
         state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(TaskRange(cancelled, 0) to page)))
         val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), AT, StateLimits(1e3, 1e3, 4.0, 12)))
         replica.start()
         sim.run(500.0)
-        listOf(over, called).forEach { replica.readEnd(it) {} }
+        listOf(ended, cancelledAndEnded).forEach { replica.readEnd(it) {} }
         sim.run(500.0)
         return replica
     }
@@ -94,17 +94,17 @@
         reportedTasks = jobs.map { ReportedTask(TaskId(it, 0), Attempt(1), ReportedTaskState.RUNNING, null) },
     )
 
-    private fun assertReported(vararg invariants: Invariant) = assertEquals(invariants.toList(), seen.map { it.invariant })
+    private fun assertReported(vararg invariants: Invariant) = assertEquals(invariants.toList(), reported.map { it.invariant })
 
     @Test
     fun `why a task may not be started`() {
-        val refusals = listOf(free, cancelled, blocked, over, called, unknown).map { guard.refusalToStart(TaskId(it, 0)) }
+        val refusals = listOf(free, cancelled, blocked, ended, cancelledAndEnded, unknown).map { guard.refusalToStart(TaskId(it, 0)) }
         val expected =
             listOf(null, Refusal.JOB_CANCELLED, Refusal.JOB_BLOCKED, Refusal.JOB_ENDED, Refusal.JOB_ENDED, Refusal.UNKNOWN_JOB)
         assertEquals(expected, refusals)
-        right.mayStart = false
+        authority.mayStart = false
         assertEquals(Refusal.STALE_SNAPSHOT, guard.refusalToStart(TaskId(free, 0)))
-        right.mayAct = false
+        authority.mayAct = false
         assertEquals(Refusal.NO_AUTHORITY, guard.refusalToStart(TaskId(free, 0)))
     }
 
@@ -116,19 +116,19 @@
     }
 
     @Test
-    fun `an answer that lacks the stops of what is over gets them`() {
-        val heartbeat = heartbeat(listOf(free, cancelled, over, called, unknown))
+    fun `an answer that lacks required stops gets them`() {
+        val heartbeat = heartbeat(listOf(free, cancelled, ended, cancelledAndEnded, unknown))
         val stops = guard.approveAnswer(heartbeat, emptyList()).map { it.task.job }
-        assertEquals(listOf(cancelled, over, called), stops)
+        assertEquals(listOf(cancelled, ended, cancelledAndEnded), stops)
         assertReported(Invariant.ANSWER_STOPS_ENDED_TASKS)
         assertEquals(guard.requiredStops(heartbeat), guard.approveAnswer(heartbeat, guard.requiredStops(heartbeat)))
         assertReported(Invariant.ANSWER_STOPS_ENDED_TASKS)
     }
 
     @Test
-    fun `nothing is sent without the right to act`() {
+    fun `nothing is sent without the authority to act`() {
         assertTrue(guard.approveSending("a command"))
-        right.mayAct = false
+        authority.mayAct = false
         assertFalse(guard.approveSending("a command"))
         assertReported(Invariant.SENT_WITH_AUTHORITY)
     }
@@ -150,9 +150,9 @@
     @Test
     fun `a job that has ended counts as cancelled as it did before`() {
         assertTrue(guard.isCancelled(cancelled))
-        assertTrue(guard.isCancelled(called))
-        assertFalse(guard.isCancelled(over))
-        assertTrue(guard.isEndedOrCancelled(over))
+        assertTrue(guard.isCancelled(cancelledAndEnded))
+        assertFalse(guard.isCancelled(ended))
+        assertTrue(guard.isEndedOrCancelled(ended))
         assertFalse(guard.isEndedOrCancelled(free))
         assertFalse(guard.isEndedOrCancelled(unknown))
         assertNull(replica.endOf(unknown))
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -189,7 +189,7 @@
         if (takesFaults) loop.guard = FaultBarrier { crash(node) }::run
         val its = if (outsideLimitS != null && node % 2 == 0) OperatorSettings(stalenessLimit = outsideLimitS.seconds) else operatorSettings
         val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its, onViolation = { violation ->
-            breach("invariant", "${violation.invariant}: ${violation.what}")
+            breach("invariant", "${violation.invariant}: ${violation.detail}")
         })
         controllers[node] = controller to loop
         network.listen(client(node), name(node), loop, controller.clientHandler)
