--- a/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
+++ b/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
@@ -29,7 +29,7 @@
         // The leader scales out and lists machines, the others only delete idle ones.
         val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / otherCount.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRps * USED_PART_OF_CLOUD_BUDGET * cloudShare, loop.now())
-        val writeShare = BudgetShare.of(store.writesWanted, writesWantedByOthers, settings.stateWriteRps)
+        val writeShare = BudgetShare.of(store.writeDemandPerS, writesWantedByOthers, settings.stateWriteRps)
         store.setShares(USED_PART_OF_STATE_BUDGET / (otherCount + 1), USED_PART_OF_STATE_BUDGET * writeShare)
     }
 
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -79,7 +79,7 @@
             readers = settings.peers.size + 1,
             idleRefreshInterval,
             maxCatchUp = stalenessLimit,
-            EndedJobs.endsThatFitInto(heapBytes),
+            EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
             profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
         }
@@ -198,10 +198,10 @@
     }
 
     private fun listenToRecords() {
-        replica.listen(formerIncarnations)
-        replica.listen(shardOwnership)
-        replica.listen(jobFinalizer)
-        replica.listen { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatuses::recordFromStateService) }
+        replica.addListener(formerIncarnations)
+        replica.addListener(shardOwnership)
+        replica.addListener(jobFinalizer)
+        replica.addListener { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatuses::recordFromStateService) }
         membership.onChange = shardOwnership::reconcile
         peerStatusExchange.onLeaderStatus = { status ->
             shardOwnership.release(status.release)
--- a/src/main/kotlin/copperglade/controller/HealthCheck.kt
+++ b/src/main/kotlin/copperglade/controller/HealthCheck.kt
@@ -22,7 +22,7 @@
      * probably alone: users who stayed with it would get no answer for as long as that lasts.
      */
     fun isHealthy(): Boolean {
-        val stateSilentS = loop.now().secondsSince(store.lastGood)
+        val stateSilentS = loop.now().secondsSince(store.lastAnswerAt)
         val peersReachStateService = peerStatuses.peersReachStateService()
         val isolated = peerStatuses.hearsNoPeer() && stateSilentS >= ISOLATED_AFTER_S
         val reachesStateService = stateSilentS * MS_PER_S < PeerStatusTable.STATE_SILENCE_LIMIT_MS
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -34,12 +34,12 @@
             member = membership.self,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMs = loop.now().ms - store.lastGood.ms,
+            stateSilentMs = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.shardsToRelease else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
-            writesWanted = store.writesWanted,
+            writesWanted = store.writeDemandPerS,
         )
     }
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -5,6 +5,7 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.protocol.secondsSince
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.LeaderRecord
@@ -67,7 +68,7 @@
 
     /** Campaigns whenever there is no leader, from now on. */
     fun start() {
-        replica.listen { changes -> if (changes.clusterRecordsChanged) logLeader() }
+        replica.addListener { changes -> if (changes.clusterRecordsChanged) logLeader() }
         loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else CHECK_INTERVAL }, ::tick)
     }
 
@@ -138,7 +139,7 @@
     private fun onLeaderKeyOutcome(transaction: Transaction, outcome: TransactionOutcome) = when (outcome) {
         is TransactionOutcome.Applied -> {
             revision = outcome.revision
-            replica.applied(transaction, outcome.revision)
+            replica.applyCommitted(transaction, outcome.revision)
             catchUp()
         }
         is TransactionOutcome.Conflict,
@@ -151,7 +152,12 @@
     /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
     private fun catchUp() {
         moveTo(LeadershipState.CATCHING_UP, "elected fencing_token=$revision")
-        replica.readFresh { known -> if (known) lead() else stepDown("records_unknown") }
+        replica.catchUp { outcome ->
+            when (outcome) {
+                CatchUpOutcome.Current -> lead()
+                CatchUpOutcome.Unavailable -> stepDown("records_unknown")
+            }
+        }
     }
 
     private fun lead() {
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -51,7 +51,7 @@
 
     /** Asks all peers for endorsements at intervals, from now on, as long as the state service doesn't answer. */
     fun start() = loop.again({ REQUEST_INTERVAL }) {
-        if (store.isSilent() && ownershipIntact()) peers.filter { it.member !in requestsInFlight }.forEach(::request)
+        if (store.isUnreachable() && ownershipIntact()) peers.filter { it.member !in requestsInFlight }.forEach(::request)
     }
 
     private fun request(peer: Peer) {
@@ -69,7 +69,7 @@
 
     /** Whether we endorse [member]. After true, its shards are granted to nobody else for [ENDORSEMENT_LENGTH]. */
     fun endorse(member: MemberId): Boolean {
-        if (!store.isSilent()) return false
+        if (!store.isUnreachable()) return false
         givenUntil[member] = loop.now() + ENDORSEMENT_LENGTH
         return true
     }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -4,6 +4,7 @@
 import copperglade.protocol.LeaseId
 import copperglade.protocol.MemberId
 import copperglade.protocol.Revision
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.MemberRecord
@@ -137,7 +138,12 @@
             loop.after(REPLICA_CHECK_INTERVAL) { register() }
             return
         }
-        replica.readFresh { known -> if (known) writeMemberKey(leaseId) else retryLater("records_unknown") }
+        replica.catchUp { outcome ->
+            when (outcome) {
+                CatchUpOutcome.Current -> writeMemberKey(leaseId)
+                CatchUpOutcome.Unavailable -> retryLater("records_unknown")
+            }
+        }
     }
 
     /** A key that is there is our predecessor's, who is dead: only one process of a name runs at a time. */
@@ -154,7 +160,7 @@
     private fun onMemberKeyOutcome(leaseId: LeaseId, transaction: Transaction, outcome: TransactionOutcome) = when (outcome) {
         is TransactionOutcome.Applied -> {
             revision = outcome.revision
-            replica.applied(transaction, outcome.revision)
+            replica.applyCommitted(transaction, outcome.revision)
             moveTo(MemberState.MEMBER, "registered incarnation=$leaseId")
         }
         is TransactionOutcome.Conflict,
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -81,7 +81,7 @@
     private fun eligibleMembers(): Collection<MemberId> {
         val now = loop.now()
         replica.shards.values
-            .filter { it.value.givenUp }
+            .filter { it.value.released }
             .forEach { excludedUntil[it.value.member] = now + EXCLUSION }
         val reaching = replica.members.keys.filter { now >= (excludedUntil[it] ?: MonotonicTime.NEVER) }
         return reaching.ifEmpty { replica.members.keys }
@@ -101,7 +101,7 @@
     /** Whether no endorsement of ours protects a former owner that is absent. */
     private fun mayGrant(shard: ShardName): Boolean {
         val record = replica.shards[shard]?.value ?: return true
-        return record.givenUp || record.member in replica.members || leaseEndorsement.mayReassignShardsOf(record.member)
+        return record.released || record.member in replica.members || leaseEndorsement.mayReassignShardsOf(record.member)
     }
 
     /** The former owner where it is back and has no more than its part: the workers report to it already. Else whoever has least. */
@@ -146,7 +146,7 @@
         conditions += leadership.condition
         conditions += Condition(Keys.member(owner), memberRevision)
         conditions += Condition(Keys.shard(shard), present?.revision ?: Revision.ABSENT)
-        present?.value?.takeIf { it.member != owner && !it.givenUp }?.member?.let { former ->
+        present?.value?.takeIf { it.member != owner && !it.released }?.member?.let { former ->
             conditions += Condition(Keys.member(former), replica.members[former]?.revision ?: Revision.ABSENT)
         }
         return conditions
@@ -158,7 +158,7 @@
         when (outcome) {
             is TransactionOutcome.Applied -> {
                 log.info("shard_granted shard={} to={} fencing_token={}", shard, owner, outcome.revision)
-                replica.applied(transaction, outcome.revision)
+                replica.applyCommitted(transaction, outcome.revision)
             }
             is TransactionOutcome.Conflict,
             TransactionOutcome.NoSuchLease,
