--- /dev/null
+++ b/src/test/kotlin/copperglade/architecture/ArchitecturePageTest.kt
@@ -0,0 +1,49 @@
+package copperglade.architecture
+
+import com.tngtech.archunit.core.importer.ClassFileImporter
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import java.nio.file.Files
+import java.nio.file.Path
+
+/** The names in `docs/architecture.md` are those of classes and packages that exist. */
+class ArchitecturePageTest {
+    private val classes = ClassFileImporter().importPackages("copperglade")
+    private val simpleNames = classes.mapTo(HashSet()) { it.simpleName }
+    private val packages = classes.mapTo(HashSet()) { it.packageName }
+    private val page = Files.readString(Path.of("docs/architecture.md"))
+
+    @Test
+    fun `each class and package on the page exists`() {
+        assertEquals(emptyList<String>(), unknownNames(page))
+    }
+
+    @Test
+    fun `each package is on the page`() {
+        val production = ClassFileImporter().importPath(Path.of("target/classes")).mapTo(HashSet()) { it.packageName }
+        assertEquals(emptyList<String>(), production.filterNot { "`$it`" in page })
+    }
+
+    @Test
+    fun `a name that does not exist is found`() {
+        val names = unknownNames("`Controller` and `NoSuchClass` in `copperglade.app` and `copperglade.none`, `cg/now/lead`, `audit`")
+        assertEquals(listOf("NoSuchClass", "copperglade.none"), names)
+    }
+
+    @Test
+    fun `the page names classes`() {
+        assertTrue(CLASS_NAME.findAll(page).count() > 30)
+    }
+
+    private fun unknownNames(text: String): List<String> {
+        val unknownClasses = CLASS_NAME.findAll(text).map { it.groupValues[1] }.filter { it !in simpleNames }
+        val unknownPackages = PACKAGE_NAME.findAll(text).map { it.groupValues[1] }.filter { it !in packages }
+        return (unknownClasses + unknownPackages).toList()
+    }
+
+    private companion object {
+        val CLASS_NAME = Regex("`([A-Z][a-z]+[A-Za-z]*)`")
+        val PACKAGE_NAME = Regex("`(copperglade\\.[a-z]+)`")
+    }
+}
