--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -220,7 +220,7 @@
                 // It may yet be applied, so its tasks count as assigned: giving their share to others on the word of a
                 // reading alone could put a team over its limit.
                 TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
-                    unresolvedWrites.resolve(packedWrite, ours = { spell == term }) { settled(packedWrite, counts) }
+                    unresolvedWrites.resolve(packedWrite, isOwner = { spell == term }) { settled(packedWrite, counts) }
             }
         }
     }
--- /dev/null
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -0,0 +1,176 @@
+package copperglade.storage
+
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.Revision
+import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** What a [ChangeReader] keeps current. */
+internal interface ChangeTarget {
+    val state: ReplicaState
+    val knownRevision: Revision
+    val jobCount: Int
+
+    /** Applies the changes of a read that began at [knownRevision] or earlier; ignores them while loading. */
+    fun apply(read: ChangesOutcome.Received)
+
+    /** Starts loading all records again. */
+    fun reload(reason: String)
+}
+
+/**
+ * Reads changes from the state service: one watch, which is reopened after a pause because every opening costs a request, and reads
+ * beside it for callers of [catchUp], many of which share one request.
+ *
+ * @param readers the number of controllers that share the request budget.
+ * @param idleRefreshInterval the age of the snapshot at which a read is sent though nobody has asked for one.
+ * @param maxCatchUp the age of the snapshot at which failing reads lead to a reload: a read returns all changes in one answer of
+ *   unbounded size, whereas a reload is paged.
+ */
+internal class ChangeReader(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val target: ChangeTarget,
+    readers: Int,
+    private val idleRefreshInterval: Duration,
+    private val maxCatchUp: Duration,
+) {
+    /** The interval between requests at which all readers together use half of the service's requests. */
+    val minInterval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerS * READ_SHARE)).seconds)
+    private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
+    private var readInFlight = false
+    private var watchOpen = false
+    private var lastRequestAt = MonotonicTime.NEVER
+    private var applyDuration = Duration.ZERO
+    private var consecutiveFailures = 0
+
+    /** When the latest successful read was sent: every change made before is known. */
+    var readTime = MonotonicTime.NEVER
+        private set
+
+    /** Starts refreshing idle snapshots; [watch] has to be called after each load. */
+    fun start() = loop.again({ idleRefreshInterval }, ::refreshIfIdle)
+
+    /** An open watch doesn't say how old its silence is, so a read is sent after a while without one. */
+    private fun refreshIfIdle() {
+        if (loop.now() >= readTime + idleRefreshInterval && target.state == ReplicaState.CURRENT && !readInFlight) catchUp {}
+    }
+
+    /**
+     * Opens the watch. Callers of [catchUp] that wait already are served by the same request, which then returns at once: otherwise
+     * constant changes would take twice the requests.
+     */
+    fun watch() {
+        if (target.state != ReplicaState.CURRENT) return
+        watchOpen = true
+        val served = if (readInFlight) emptyList() else takeWaiters()
+        read(served, if (served.isEmpty()) WATCH_TIMEOUT else Duration.ZERO, ::watchEnded)
+    }
+
+    private fun watchEnded(outcome: ChangesOutcome) {
+        watchOpen = false
+        when (outcome) {
+            is ChangesOutcome.Received -> loop.after(pause()) { watch() }
+            ChangesOutcome.Failed ->
+                if (cannotCatchUp()) {
+                    reload("changes since ${target.knownRevision} can't be read")
+                } else {
+                    loop.after(RETRY_INTERVAL) { watch() }
+                }
+            ChangesOutcome.TooOld -> reload("the service no longer has the changes since ${target.knownRevision}")
+        }
+    }
+
+    private fun reload(reason: String) {
+        if (target.state == ReplicaState.LOADING) return
+        consecutiveFailures = 0
+        target.reload(reason)
+    }
+
+    private fun takeWaiters(): List<(CatchUpOutcome) -> Unit> = waiters.also { waiters = ArrayList() }
+
+    private fun read(served: List<(CatchUpOutcome) -> Unit>, wait: Duration, then: (ChangesOutcome) -> Unit) {
+        val sentAt = loop.now()
+        lastRequestAt = sentAt
+        store.changes(Keys.ROOT, target.knownRevision, wait) { outcome ->
+            received(outcome, sentAt)
+            then(outcome)
+            served.forEach { it(catchUpOutcome(outcome)) }
+        }
+    }
+
+    private fun received(outcome: ChangesOutcome, sentAt: MonotonicTime) {
+        val receivedAt = loop.now()
+        consecutiveFailures = if (outcome is ChangesOutcome.Received) 0 else consecutiveFailures + 1
+        logRead(outcome, sentAt)
+        if (outcome is ChangesOutcome.Received) target.apply(outcome)
+        applyDuration = (loop.now().ms - receivedAt.ms).milliseconds
+        // Changes that arrive while loading aren't applied, so they must not make the snapshot look newer than it is.
+        if (outcome is ChangesOutcome.Received && sentAt > readTime && target.state == ReplicaState.CURRENT) readTime = sentAt
+    }
+
+    private fun catchUpOutcome(outcome: ChangesOutcome): CatchUpOutcome {
+        val current = outcome is ChangesOutcome.Received && target.state == ReplicaState.CURRENT
+        return if (current) CatchUpOutcome.Current else CatchUpOutcome.Unavailable
+    }
+
+    private fun logRead(outcome: ChangesOutcome, sentAt: MonotonicTime) {
+        if (!log.isDebugEnabled) return
+        val received = outcome as? ChangesOutcome.Received
+        log.debug(
+            "changes_read from={} to={} changes={} took_ms={} knowledge_ms={} state={}",
+            target.knownRevision,
+            received?.storeRevision,
+            received?.changes?.size,
+            loop.now().ms - sentAt.ms,
+            loop.now().ms - readTime.ms,
+            target.state,
+        )
+    }
+
+    /** Whether reads have kept failing, though the service answers other requests, until the snapshot is too old to act on. */
+    private fun cannotCatchUp() =
+        consecutiveFailures >= MAX_FAILURES && loop.now() >= readTime + maxCatchUp && !store.isUnreachable()
+
+    /** See [Replica.catchUp]. */
+    fun catchUp(done: (CatchUpOutcome) -> Unit) {
+        if (target.state != ReplicaState.CURRENT || waiters.size >= maxOf(MAX_WAITERS, target.jobCount * MAX_WAITERS_PER_JOB)) {
+            done(CatchUpOutcome.Unavailable)
+            return
+        }
+        waiters += done
+        readIfRequested()
+    }
+
+    /** Sends a read beside the open watch. While the watch is closed, its next opening serves the waiters. */
+    fun readIfRequested() {
+        if (readInFlight || !watchOpen || waiters.isEmpty() || target.state != ReplicaState.CURRENT) return
+        readInFlight = true
+        val remainingMs = pause().inWholeMilliseconds - (loop.now().ms - lastRequestAt.ms)
+        if (remainingMs > 0) loop.after(remainingMs.milliseconds) { readNow() } else readNow()
+    }
+
+    /** The pause between requests: the longer the latest changes took to apply, the more the next read gathers. */
+    private fun pause(): Duration = maxOf(minInterval, minOf(applyDuration * PAUSE_PER_APPLY_DURATION, MAX_PAUSE))
+
+    private fun readNow() = read(takeWaiters(), Duration.ZERO) {
+        readInFlight = false
+        readIfRequested()
+    }
+
+    private companion object {
+        const val MAX_WAITERS = 2_000
+        const val MAX_WAITERS_PER_JOB = 2
+        const val MAX_FAILURES = 3
+        const val READ_SHARE = 0.5
+        const val PAUSE_PER_APPLY_DURATION = 8
+        val RETRY_INTERVAL = 250.milliseconds
+        val WATCH_TIMEOUT = 10.seconds
+        val MAX_PAUSE = 200.milliseconds
+        val MIN_INTERVAL = 50.milliseconds
+        val log = LoggerFactory.getLogger("replica")
+    }
+}
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -4,97 +4,70 @@
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Revision
-import kotlin.math.abs
-
-/** How far a job's dependencies are. Moves from [BLOCKED] to one of the others, and never back. */
-enum class DependencyState { BLOCKED, RELEASED, ABORTED }
-
-/** What a dependency has become, as far as the records known here tell. */
-enum class DependencyOutcome(val final: Boolean) {
-    /** Neither live nor known to be over: its end record has to be looked up. */
-    UNKNOWN(false),
-    OPEN(false),
-    DONE(true),
-    ABORTED(true),
-}
 
 /**
- * When a job is due: by its own deadline, or by that of a job that depends on it.
+ * Which jobs depend on which, and what follows from that: whether a job is blocked, released or aborted, and which priority and deadline
+ * it inherits from the jobs that depend on it.
  *
- * @property load the class of the job that the deadline was set for; its objectives say which multiples of it count.
- * @property submittedAtMs when that job was submitted.
- * @property leadS what is predicted to run between the end of this job and that deadline.
- */
-class Deadline(val load: String, private val submittedAtMs: Long, private val deadlineS: Double, private val leadS: Double = 0.0) {
-    /** Seconds from [fromMs] until the job is due, with the deadline taken [multiple] times. */
-    fun dueInS(multiple: Double, fromMs: Long): Double = (submittedAtMs - fromMs) / MS + multiple * deadlineS - leadS
-
-    /** The same deadline for a job that has to be over [runS] earlier. */
-    fun earlierBy(runS: Double) = Deadline(load, submittedAtMs, deadlineS, leadS + runS)
-
-    fun isCloseTo(other: Deadline): Boolean =
-        load == other.load && abs(dueInS(1.0, submittedAtMs) - other.dueInS(1.0, submittedAtMs)) < NEGLIGIBLE_S
-
-    private companion object {
-        const val MS = 1000.0
-        const val NEGLIGIBLE_S = 0.1
-    }
-}
-
-/**
- * Which jobs depend on which, and what follows from it: whether a job is blocked, released or aborted, and how urgent it
- * is for the sake of the jobs that depend on it.
+ * Everything is derived from durable records alone, so that every controller comes to the same result, and a crash between the
+ * cancellation of a job and the end records of its dependents leaves none of them out. A final outcome never changes: tasks recorded as
+ * done stay done, and nothing becomes done after a cancelled mark. A mark counts only if every change up to it is known: while it is known
+ * ahead of the watch, the job's last task may have been recorded before it.
  *
- * Everything is derived from durable records alone, so that every controller comes to the same result and no crash between
- * the cancellation of a job and the end records of its dependents can leave one of them out. A result that was once final
- * stays so: tasks recorded as done are never taken back, and nothing becomes done after a cancelled mark. A mark counts
- * only if every change up to it is known ([knownUpTo]): of a mark that was learned ahead of the watch it isn't known yet
- * whether the job's last task was recorded before it.
+ * A job can name only jobs accepted before it, so the graph has no cycles. The cost of an update is proportional to the jobs that changed
+ * and their neighbours in the graph.
  *
- * A job can name only jobs accepted before it, so the graph has no cycles. An update costs in proportion to the jobs that
- * changed and their neighbours in the graph.
+ * @param jobs the jobs as the replica has them.
+ * @param endOf the end record of a job, if it is known.
+ * @param knownRevision the revision up to which all changes are known.
+ * @param wallMillis the wall clock, in milliseconds.
+ * @param predictRunS how long a job's tasks are predicted to run, in seconds.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, Job>,
     private val endOf: (JobId) -> EndRecord?,
-    private val knownUpTo: () -> Revision,
+    private val knownRevision: () -> Revision,
     private val wallMillis: () -> Long,
     private val predictRunS: (JobSpec) -> Double,
 ) {
     private val dependenciesOf = HashMap<JobId, List<JobId>>()
     private val dependentsOf = HashMap<JobId, LinkedHashSet<JobId>>()
 
-    /** By awaited job, what its dependents were last derived from. A final outcome outlives the job's own records here. */
+    /**
+     * By dependency, the outcome from which its dependents' states were last derived. A final outcome is kept even after the dependency's
+     * own records are gone.
+     */
     private val outcomes = HashMap<JobId, DependencyOutcome>()
 
-    /** When jobs with dependencies were first seen to be released here, in wall-clock milliseconds. */
+    /** When jobs with dependencies were first found released by this controller, in wall-clock milliseconds. */
     private val releasedAtMs = HashMap<JobId, Long>()
 
+    /** Whether any job depends on [id]. */
     fun isAwaited(id: JobId): Boolean = id in dependentsOf
 
-    /** Awaited jobs whose end records have to be looked up. */
+    /** Dependencies whose end records have to be looked up. */
     fun unknownDependencies(): List<JobId> = outcomes.filterValues { it == DependencyOutcome.UNKNOWN }.keys.toList()
 
-    /** Whether the state of [id] hangs on a job, awaited directly or through others, that has not been looked up yet. */
+    /** Whether the state of [id] depends, directly or through other jobs, on one whose end record has not been looked up yet. */
     fun hasUnknownDependencies(id: JobId): Boolean {
-        val open = ArrayDeque(listOf(id))
+        val queue = ArrayDeque(listOf(id))
         val seen = HashSet<JobId>()
-        while (open.isNotEmpty()) {
-            for (dependency in dependenciesOf[open.removeFirst()].orEmpty()) {
+        while (queue.isNotEmpty()) {
+            for (dependency in dependenciesOf[queue.removeFirst()].orEmpty()) {
                 if (outcomes[dependency] == DependencyOutcome.UNKNOWN) return true
-                if (outcomes[dependency] == DependencyOutcome.OPEN && seen.add(dependency)) open += dependency
+                if (outcomes[dependency] == DependencyOutcome.OPEN && seen.add(dependency)) queue += dependency
             }
         }
         return false
     }
 
-    /** What [id] has become by the records known here. */
+    /** How [id] ended, according to the records known here. */
     fun outcomeOf(id: JobId): DependencyOutcome {
         outcomes[id]?.takeIf { it.final }?.let { return it }
         val job = jobs[id]?.takeIf { it.live != null } ?: return endedOutcome(id)
         return when {
             job.complete -> DependencyOutcome.DONE
-            isSurelyMarked(job) || job.abortedByDependency -> DependencyOutcome.ABORTED
+            isCancelledForCertain(job) || job.abortedByDependency -> DependencyOutcome.ABORTED
             else -> DependencyOutcome.OPEN
         }
     }
@@ -105,9 +78,9 @@
         else -> DependencyOutcome.ABORTED
     }
 
-    private fun isSurelyMarked(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownUpTo())
+    private fun isCancelledForCertain(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownRevision())
 
-    /** Takes in that the records of [changes] have changed; returns the jobs for which something else follows now. */
+    /** Applies that the records of [changes] have changed; returns the jobs whose state, priority or deadline has changed with them. */
     fun update(changes: Collection<JobId>): Set<JobId> {
         val relevant = changes.filter { it in dependentsOf || it in dependenciesOf || hasDependencies(it) }
         if (relevant.isEmpty()) return emptySet()
@@ -124,7 +97,7 @@
         return changed
     }
 
-    /** Starts anew from all jobs, after they were read again; what was final before stays known. */
+    /** Rebuilds the graph after all jobs were loaded again. Final outcomes are kept. */
     fun rebuild() {
         dependenciesOf.clear()
         dependentsOf.clear()
@@ -137,17 +110,17 @@
     private fun hasDependencies(id: JobId): Boolean = jobs[id]?.dependencies?.isNotEmpty() ?: false
 
     private fun register(id: JobId) {
-        val present = jobs[id]?.dependencies.orEmpty()
+        val current = jobs[id]?.dependencies.orEmpty()
         val before = dependenciesOf[id].orEmpty()
-        if (present == before) return
+        if (current == before) return
         before.forEach { removeEdge(id, it) }
-        if (present.isEmpty()) {
+        if (current.isEmpty()) {
             dependenciesOf.remove(id)
             releasedAtMs.remove(id)
             return
         }
-        dependenciesOf[id] = present
-        for (dependency in present) {
+        dependenciesOf[id] = current
+        for (dependency in current) {
             dependentsOf.getOrPut(dependency) { LinkedHashSet() } += id
             outcomes.getOrPut(dependency) { outcomeOf(dependency) }
         }
@@ -181,8 +154,8 @@
             dependencies.all { it == DependencyOutcome.DONE } -> DependencyState.RELEASED
             else -> return false
         }
-        val seenAtMs = if (next == DependencyState.RELEASED) releasedAtMs.getOrPut(job.id, wallMillis) else null
-        job.dependenciesEnded(next, seenAtMs)
+        val releasedAt = if (next == DependencyState.RELEASED) releasedAtMs.getOrPut(job.id, wallMillis) else null
+        job.setDependencyState(next, releasedAt)
         return true
     }
 
@@ -197,7 +170,7 @@
         }
     }
 
-    /** Gives [job] the highest priority and the tightest deadline that any of its unfinished dependents hands on. */
+    /** Sets the highest priority and the tightest deadline of [job] and its unfinished dependents; returns whether that changes anything. */
     private fun inheritUrgency(job: Job): Boolean {
         val submitted = job.live?.value?.spec ?: return false
         var priority = submitted.priority
@@ -205,14 +178,12 @@
         for (dependent in unfinishedDependents(job.id)) {
             val spec = dependent.spec ?: continue
             if (spec.priority < priority) priority = spec.priority
-            val handedOn = dependent.deadline?.earlierBy(predictRunS(spec)) ?: continue
-            if (deadline == null || isTighter(handedOn, deadline)) deadline = handedOn
+            val inherited = dependent.deadline?.earlierBy(predictRunS(spec)) ?: continue
+            if (deadline == null || inherited.isTighterThan(deadline)) deadline = inherited
         }
         return job.inherit(priority, deadline)
     }
 
     private fun unfinishedDependents(id: JobId): List<Job> =
         dependentsOf[id].orEmpty().mapNotNull { jobs[it] }.filter { it.live != null && !it.complete && !it.cancelled }
-
-    private fun isTighter(one: Deadline, other: Deadline): Boolean = one.dueInS(1.0, 0) < other.dueInS(1.0, 0)
 }
--- a/src/main/kotlin/copperglade/storage/EndedJobs.kt
+++ b/src/main/kotlin/copperglade/storage/EndedJobs.kt
@@ -1,109 +1,118 @@
 package copperglade.storage
 
-import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.JobId
 import copperglade.transport.EventLoop
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The ends of jobs that are over: the latest used of them are remembered, the others are looked up in the state service.
+ * The ends of jobs that are over: the most recently used of them are remembered, the others are looked up in the state service.
  *
- * @param interval between look-ups where the budget for readings is used up.
- * @param most so many are remembered.
- * @param learned called when an end that was not known before has been read.
+ * @param retryInterval the interval between attempts to look up while the budget for reads is used up.
+ * @param maxRemembered how many ends are remembered.
+ * @param onLearned called when an end has been read that was not remembered.
  */
-class EndedJobs(
+internal class EndedJobs(
     private val loop: EventLoop,
     private val store: StateClient,
-    private val interval: Duration,
-    private val most: Int,
-    private val learned: (JobId) -> Unit,
+    private val retryInterval: Duration,
+    private val maxRemembered: Int,
+    private val onLearned: (JobId) -> Unit,
 ) {
     private val remembered = object : LinkedHashMap<JobId, EndRecord>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
-        override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > most
+        override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > maxRemembered
     }
-    private val asked = LinkedHashMap<JobId, ArrayList<(ReadOutcome) -> Unit>>()
-    private var readingLater = false
-    private var loading = false
+
+    /** Look-ups that have not been sent, with their callers, in the order of asking. */
+    private val queued = LinkedHashMap<JobId, ArrayList<(ReadOutcome) -> Unit>>()
+    private var retryScheduled = false
+    private var loadStarted = false
 
     operator fun get(id: JobId): EndRecord? = remembered[id]
 
-    fun remember(id: JobId, value: JsonNode) {
-        remembered[id] = RecordCodec.decodeEnd(value) ?: return
+    /** Remembers an end record, unless it is malformed. */
+    fun remember(id: JobId, record: EncodedRecord) {
+        remembered[id] = record.ended() ?: return
     }
 
     /**
-     * Reads the end of a job from the service, in order of asking. What is found is remembered even where the asker has
-     * given up, so that its next question is answered at once: left to whoever asks in a lucky moment, some of the jobs
-     * asked for after a restart would get no answer for minutes. Beyond the queue, the answer is no answer, at once.
+     * Reads the end of a job from the service, in the order of asking. What is found is remembered even if the caller no longer waits,
+     * so that its next request is answered at once: otherwise some jobs would get no answer for minutes after a restart. Calls back with
+     * [ReadOutcome.Failed] at once where the queue is full.
      */
     fun read(id: JobId, done: (ReadOutcome) -> Unit) {
-        val waiting = asked[id]
+        val callers = queued[id]
         when {
-            waiting != null && waiting.size < MAX_ASKERS -> waiting += done
-            waiting != null || asked.size >= MAX_ASKED -> done(ReadOutcome.Failed)
+            callers != null && callers.size < MAX_CALLERS_PER_JOB -> callers += done
+            callers != null || queued.size >= MAX_QUEUED_JOBS -> done(ReadOutcome.Failed)
             else -> {
-                asked[id] = arrayListOf(done)
-                readNext()
+                queued[id] = arrayListOf(done)
+                sendQueued()
             }
         }
     }
 
-    private fun readNext() {
-        while (asked.isNotEmpty() && store.hasReadBudget()) {
-            val (id, waiting) = asked.entries.first()
-            // Whoever asks from now on is not served by this reading: it may be older than the question.
-            asked.remove(id)
-            store.read(Keys.ended(id)) { outcome ->
-                if (outcome is ReadOutcome.Present) {
-                    remember(id, outcome.value)
-                    learned(id)
-                }
-                waiting.forEach { it(outcome) }
-            }
+    private fun sendQueued() {
+        while (queued.isNotEmpty() && store.hasReadBudget()) {
+            val (id, callers) = queued.entries.first()
+            // Later callers aren't served by this read: its answer may be older than their question.
+            queued.remove(id)
+            store.read(Keys.ended(id)) { outcome -> received(id, outcome, callers) }
         }
-        if (asked.isEmpty() || readingLater) return
-        readingLater = true
-        loop.after(interval) {
-            readingLater = false
-            readNext()
+        if (queued.isEmpty() || retryScheduled) return
+        retryScheduled = true
+        loop.after(retryInterval) {
+            retryScheduled = false
+            sendQueued()
         }
     }
 
-    /** Once after the start, reads the ends that users may ask for: as many as are remembered, a page at a time. */
+    private fun received(id: JobId, outcome: ReadOutcome, callers: List<(ReadOutcome) -> Unit>) {
+        if (outcome is ReadOutcome.Present) {
+            remember(id, outcome.value)
+            onLearned(id)
+        }
+        callers.forEach { it(outcome) }
+    }
+
+    /** Loads the ends that users may ask for, once after the start: as many as are remembered, page by page. */
     fun loadOnce() {
-        if (loading) return
-        loading = true
-        loop.after(LOADING_INTERVAL) { load(null) }
+        if (loadStarted) return
+        loadStarted = true
+        loop.after(LOAD_INTERVAL) { load(from = null) }
     }
 
-    private fun load(from: String?) {
-        store.list(Keys.ENDED, from) { listing ->
-            listing?.entries?.forEach { entry ->
-                val id = (Keys.parse(entry.key) as? ParsedKey.Ended)?.job ?: return@forEach
-                remember(id, entry.value)
-                learned(id)
+    private fun load(from: String?): Unit = store.list(Keys.ENDED, from) { outcome ->
+        when (outcome) {
+            ListOutcome.Failed -> if (remembered.size < maxRemembered) loop.after(LOAD_INTERVAL) { load(from) }
+            is ListOutcome.Received -> {
+                outcome.records.forEach(::learn)
+                val next = outcome.records.lastOrNull()?.key
+                if (outcome.more && remembered.size < maxRemembered) loop.after(LOAD_INTERVAL) { load(next) }
             }
-            val next = if (listing == null) from else listing.entries.lastOrNull()?.key
-            if ((listing == null || listing.more) && remembered.size < most) loop.after(LOADING_INTERVAL) { load(next) }
         }
     }
 
+    private fun learn(listed: ListedRecord) {
+        val id = (Keys.parse(listed.key) as? ParsedKey.Ended)?.job ?: return
+        remember(id, listed.value)
+        onLearned(id)
+    }
+
     companion object {
         private const val INITIAL_CAPACITY = 64
         private const val LOAD_FACTOR = 0.75f
-        private const val MAX_ASKED = 500
-        private const val MAX_ASKERS = 8
-        private val LOADING_INTERVAL = 1.seconds
+        private const val MAX_QUEUED_JOBS = 500
+        private const val MAX_CALLERS_PER_JOB = 8
+        private val LOAD_INTERVAL = 1.seconds
 
-        /** About what a remembered end takes, with its id and its place among the others. */
-        private const val BYTES_AN_END = 200
-        private const val PART_OF_HEAP = 16
-        private const val MIN = 10_000
+        /** The approximate memory of a remembered end with its id. */
+        private const val BYTES_PER_END = 200
+        private const val HEAP_FRACTION = 16
+        const val MIN_REMEMBERED = 10_000
 
-        /** A sixteenth of the heap: 36,700 ends in 112 MB. */
+        /** How many ends fit into a sixteenth of a heap of [heapBytes]; at least [MIN_REMEMBERED]. */
         fun maxEndsFor(heapBytes: Long): Int =
-            (heapBytes / PART_OF_HEAP / BYTES_AN_END).coerceIn(MIN.toLong(), Int.MAX_VALUE.toLong()).toInt()
+            (heapBytes / HEAP_FRACTION / BYTES_PER_END).coerceIn(MIN_REMEMBERED.toLong(), Int.MAX_VALUE.toLong()).toInt()
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -1,30 +1,16 @@
 package copperglade.storage
 
-import copperglade.protocol.FencingToken
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Priority
 import copperglade.protocol.Revision
-import copperglade.protocol.ShardName
 import java.util.BitSet
 
-/** One task's standing assignment. */
-class Assignment(
-    val task: Int,
-    val shard: ShardName,
-    val fencingToken: FencingToken,
-    val generation: Int,
-    val preemptedForGuarantee: Boolean,
-)
-
-/** A part of a packed record, and which record that is. */
-class PackedEntry<T>(val value: T, val recordKey: String, encode: (T) -> ByteArray) {
-    /** Only the record's writer asks for it: worked out by every controller for every change, it cost as much as reading. */
-    val bytes: Int by lazy(LazyThreadSafetyMode.NONE) { encode(value).size }
-}
-
-/** Everything the state service holds of one job that is not over. */
+/**
+ * What the state service holds of one job that has not ended, and what follows from that. Also stands for a job that has ended, or whose
+ * live record isn't known yet, while packed records have entries of it: then [live] is null.
+ */
 class Job(val id: JobId) {
     var live: StoredRecord<LiveRecord>? = null
         set(record) {
@@ -36,60 +22,67 @@
     private var scheduledSpec: JobSpec? = null
     private var releasedAtMs: Long? = null
 
-    /** Kept by [DependencyGraph]; until that has looked at the job, one with dependencies is blocked. */
+    /** Set by [DependencyGraph]; until then a job with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
         private set
     private val assignmentEntries = HashMap<Int, PackedEntry<AssignmentRange>>()
     private val outcomeEntries = HashMap<ShardTaskRange, PackedEntry<OutcomeRecord>>()
 
-    /** What is assigned and neither done nor given back, as worked out last; null after a change. */
+    /** The result of [assignments], or null after a change. */
     private var assigned: List<Assignment>? = null
 
-    /** Tasks that are done. Only ever grows while the job is live. */
+    /** Tasks that are done; never shrinks. */
     val done = BitSet()
 
+    /** By index of the task range. */
     val assignmentRanges: Map<Int, PackedEntry<AssignmentRange>> get() = assignmentEntries
     val outcomes: Map<ShardTaskRange, PackedEntry<OutcomeRecord>> get() = outcomeEntries
 
     /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
     val spec: JobSpec? get() = scheduledSpec
+
+    /** Jobs that had to be done before it when it was accepted. */
     val dependencies: List<JobId> get() = live?.value?.dependencies.orEmpty()
 
-    /** Whether a dependency is not done yet: nothing of the job may be assigned, and it counts for nothing. */
+    /** Whether a dependency is not done yet: no task may be assigned, and the job doesn't count as demand. */
     val blocked: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.BLOCKED
 
-    /** The deadline that its user set. */
+    /** The deadline set by its user, if any. */
     val ownDeadline: Deadline?
         get() = live?.value?.let { record -> record.spec.deadlineS?.let { Deadline(record.spec.load, record.acceptedAtMs, it) } }
 
-    /** The tightest of its own deadline and those of its dependents. */
+    /** The tightest of its own deadline and those inherited from its dependents. */
     val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
 
-    /** Since when it could have been started, in wall-clock milliseconds: its acceptance, or the end of its last dependency. */
+    /** When it could first have been started, in wall-clock milliseconds: at its acceptance, or at the end of its last dependency. */
     val startableSinceMs: Long get() = releasedAtMs ?: live?.value?.acceptedAtMs ?: 0
 
-    /** Whether it fails wherever it runs, by what owners have recorded; a completed task has disproved that. */
+    /** Whether shard owners have recorded that it fails wherever it runs, and no task has been done since. */
     val failing: Boolean get() = done.isEmpty && outcomeEntries.values.any { it.value.failing }
 
-    /** How many of its tasks should be on machines now: all that are not done, or one on trial where it is [failing]. */
+    /** How many of its tasks should run now: all that are not done, or one as a trial where it is [failing]. */
     val wantedTasks: Int get() = spec?.let { if (failing) FAILING_JOB_TRIALS else it.tasks - done.cardinality() } ?: 0
+
+    /** Whether no record of it is left. */
     val empty: Boolean get() = live == null && assignmentRanges.isEmpty() && outcomes.isEmpty()
+
+    /** Whether all tasks are done. */
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
 
-    /** By its own mark, or because a dependency was cancelled. */
+    /** Whether it was cancelled itself, or a dependency was. */
     val cancelled: Boolean get() = live?.value?.cancelled ?: false || abortedByDependency
 
-    /** Whether a job that it needs was cancelled. */
+    /** Whether a dependency was cancelled. */
     val abortedByDependency: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.ABORTED
 
-    /** The end of waiting for dependencies. Only [DependencyGraph] says so. */
-    fun dependenciesEnded(next: DependencyState, releasedAtMs: Long?) {
-        dependencyState = next
+    /** Sets the state of its dependencies. Only [DependencyGraph] calls it. */
+    internal fun setDependencyState(state: DependencyState, releasedAtMs: Long?) {
+        dependencyState = state
         this.releasedAtMs = releasedAtMs
     }
 
-    /** Takes over what dependents hand on; returns whether that changes anything. Only [DependencyGraph] says so. */
-    fun inherit(priority: Priority, deadline: Deadline?): Boolean {
+    /** Sets what it inherits from its dependents; returns whether that changes anything. Only [DependencyGraph] calls it. */
+    internal fun inherit(priority: Priority, deadline: Deadline?): Boolean {
         val submitted = live?.value?.spec ?: return false
         val before = this.deadline
         val sameDeadline = if (deadline == null || before == null) deadline === before else deadline.isCloseTo(before)
@@ -100,21 +93,22 @@
         return true
     }
 
-    fun setAssignmentRange(rangeIndex: Int, record: PackedEntry<AssignmentRange>?) {
+    /** Sets or, with null, removes the assignments of a task range. */
+    fun setAssignmentRange(rangeIndex: Int, entry: PackedEntry<AssignmentRange>?) {
         assigned = null
-        if (record == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = record
+        if (entry == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = entry
     }
 
-    fun setOutcome(range: ShardTaskRange, record: PackedEntry<OutcomeRecord>?) {
+    /** Sets or, with null, removes the outcomes of a task range in a shard. Tasks that were done stay done. */
+    fun setOutcome(range: ShardTaskRange, entry: PackedEntry<OutcomeRecord>?) {
         assigned = null
-        if (record == null) outcomeEntries.remove(range) else outcomeEntries[range] = record
-        record?.let { done.or(it.value.done) }
+        if (entry == null) outcomeEntries.remove(range) else outcomeEntries[range] = entry
+        entry?.let { done.or(it.value.done) }
     }
 
     /**
-     * Done goes before cancelled: the mark of a cancellation changes the live record's revision, which every write of
-     * finished tasks has as a condition. So nothing can become done after the mark, and neither answer is ever taken
-     * back.
+     * The status that users see. Done takes precedence over cancelled: the cancelled mark changes the live record's revision, which is a
+     * condition of every write of done tasks. So nothing becomes done after the mark, and neither status is ever taken back.
      */
     fun status(): JobStatus = when {
         complete -> JobStatus.DONE
@@ -123,13 +117,10 @@
         else -> JobStatus.QUEUED
     }
 
-    /**
-     * What is assigned and neither done nor given back: all that may be on a machine. Kept until a record changes:
-     * with hundreds of live jobs, the leader's rounds would do little else than work it out again.
-     */
-    fun assignments(): List<Assignment> = assigned ?: workOut().also { assigned = it }
+    /** Assigned tasks that are neither done nor returned: all that may be on a machine. Cached until a record changes. */
+    fun assignments(): List<Assignment> = assigned ?: computeAssignments().also { assigned = it }
 
-    private fun workOut(): List<Assignment> {
+    private fun computeAssignments(): List<Assignment> {
         val found = ArrayList<Assignment>()
         for ((rangeIndex, entry) in assignmentEntries) {
             for (group in entry.value.groups) {
@@ -147,13 +138,15 @@
         return found
     }
 
+    /** Whether [task] has been restarted elsewhere as a straggler. */
     fun wasRestarted(task: Int): Boolean = outcomeEntries.any { (range, entry) ->
         range.index == task / Keys.TASKS_PER_RANGE && entry.value.restarted.get(task)
     }
 
-    /** Whether its cancelled mark is newer than [revision]. */
+    /** Whether it was cancelled with a newer revision than [revision]. */
     fun isCancelledAfter(revision: Revision): Boolean = live?.let { it.value.cancelled && it.revision > revision } ?: false
 
+    /** The revision of its live record, or [Revision.ABSENT]. */
     fun liveRevision(): Revision = live?.revision ?: Revision.ABSENT
 
     private companion object {
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -1,61 +1,44 @@
 package copperglade.storage
 
-import com.fasterxml.jackson.core.JsonGenerator
-import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.FencingToken
-import copperglade.protocol.ImageName
-import copperglade.protocol.Incarnation
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
-import copperglade.protocol.JobSpec
-import copperglade.protocol.JobSpecCodec
-import copperglade.protocol.JobStatus
-import copperglade.protocol.Json
-import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
-import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
-import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
-import java.io.IOException
-import java.util.BitSet
 
-/** The names of the records' keys. */
+/** The keys of the records in the state service. */
 object Keys {
     const val ROOT = "cg/"
 
-    /** All that a starting controller has to read. */
+    /** The prefix of all records that a starting controller has to load. */
     const val CURRENT = "cg/now/"
+
+    /** The prefix of the end records of jobs. */
     const val ENDED = "cg/over/"
     const val LEADER = "cg/now/lead"
 
-    /** Tasks a page: a page of the most scattered ranges stays far below the smallest value limit. */
+    /** The length of a [TaskRange]: an entry of the most scattered tasks stays far below the smallest value limit. */
     const val TASKS_PER_RANGE = 256
 
     fun live(job: JobId) = "${CURRENT}live/$job"
 
-    /** The leader's packed records: each holds the assignments of several jobs' pages. */
+    /** The prefix of the leader's packed records; each holds the assignments of several jobs' task ranges. */
     fun assignmentRecords(kind: JobKind) = "${CURRENT}task/${kind.name.lowercase()}/"
 
-    /** A shard's packed records: each holds what became of several jobs' pages in that shard. */
+    /** The prefix of a shard's packed records; each holds the outcomes of several jobs' task ranges in that shard. */
     fun outcomeRecords(shard: ShardName) = "${CURRENT}work/$shard/"
 
     fun shard(name: ShardName) = "${CURRENT}block/$name"
 
     fun member(id: MemberId) = "${CURRENT}member/$id"
 
-    /** What a member would tell the leader of its room, while it can't reach it. */
+    /** The peer status that a member hands to the leader through the state service while it can't reach it directly. */
     fun memberCapacity(id: MemberId) = "${CURRENT}room/$id"
 
     fun images(shard: ShardName) = "${CURRENT}images/$shard"
 
     fun ended(job: JobId) = "$ENDED$job"
 
+    /** What [key] names, or null for a kind that only a later version knows. May throw where the key is malformed. */
     fun parse(key: String): ParsedKey? {
         if (key == LEADER) return ParsedKey.Leader
         if (key.startsWith(ENDED)) return JobId.parse(key.substring(ENDED.length))?.let { ParsedKey.Ended(it) }
@@ -73,36 +56,3 @@
         }
     }
 }
-
-/** A page's tasks in a shard. */
-data class ShardTaskRange(val index: Int, val shard: ShardName)
-
-/** A page of a job, as a packed record names it: `job-000412/0`. */
-data class TaskRange(val job: JobId, val index: Int) {
-    override fun toString() = "$job/$index"
-
-    companion object {
-        // A page is named like a task: job and number.
-        fun parse(text: String): TaskRange? = TaskId.parse(text)?.let { TaskRange(it.job, it.index) }
-    }
-}
-
-sealed interface ParsedKey {
-    data object Leader : ParsedKey
-
-    class Live(val job: JobId) : ParsedKey
-
-    data object Assignments : ParsedKey
-
-    class Outcomes(val shard: ShardName) : ParsedKey
-
-    class Ended(val job: JobId) : ParsedKey
-
-    class Shard(val name: ShardName) : ParsedKey
-
-    class Member(val id: MemberId) : ParsedKey
-
-    class Images(val shard: ShardName) : ParsedKey
-
-    class MemberCapacity(val id: MemberId) : ParsedKey
-}
--- a/src/main/kotlin/copperglade/storage/PackedEntries.kt
+++ b/src/main/kotlin/copperglade/storage/PackedEntries.kt
@@ -1,31 +1,34 @@
 package copperglade.storage
 
-import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.ShardName
 
-/** How the parts of one sort of packed record are kept with their jobs. */
+/** Where the entries of one kind of packed record are kept in their jobs. */
 internal interface PackedEntries {
-    fun present(job: Job, rangeIndex: Int): PackedEntry<out Versioned>?
+    /** The entry of a task range as it is known, or null. */
+    fun find(job: Job, rangeIndex: Int): PackedEntry<out Versioned>?
 
-    fun set(job: Job, rangeIndex: Int, value: JsonNode, recordKey: String)
+    /** Decodes [entry] and stores it. Throws where it is malformed; then nothing is stored. */
+    fun set(job: Job, rangeIndex: Int, entry: EncodedEntry, recordKey: String)
 
     fun remove(job: Job, rangeIndex: Int)
 }
 
+/** The leader's assignments, by task range. */
 internal object AssignmentEntries : PackedEntries {
-    override fun present(job: Job, rangeIndex: Int) = job.assignmentRanges[rangeIndex]
+    override fun find(job: Job, rangeIndex: Int) = job.assignmentRanges[rangeIndex]
 
-    override fun set(job: Job, rangeIndex: Int, value: JsonNode, recordKey: String) =
-        job.setAssignmentRange(rangeIndex, PackedEntry(RecordCodec.decodeAssignmentRange(value), recordKey, RecordCodec::encode))
+    override fun set(job: Job, rangeIndex: Int, entry: EncodedEntry, recordKey: String) =
+        job.setAssignmentRange(rangeIndex, PackedEntry(entry.assignmentRange(), recordKey, RecordCodec::encode))
 
     override fun remove(job: Job, rangeIndex: Int) = job.setAssignmentRange(rangeIndex, null)
 }
 
+/** The outcomes of tasks in [shard], by task range. */
 internal class OutcomeEntries(private val shard: ShardName) : PackedEntries {
-    override fun present(job: Job, rangeIndex: Int) = job.outcomes[ShardTaskRange(rangeIndex, shard)]
+    override fun find(job: Job, rangeIndex: Int) = job.outcomes[ShardTaskRange(rangeIndex, shard)]
 
-    override fun set(job: Job, rangeIndex: Int, value: JsonNode, recordKey: String) =
-        job.setOutcome(ShardTaskRange(rangeIndex, shard), PackedEntry(RecordCodec.decodeOutcome(value), recordKey, RecordCodec::encode))
+    override fun set(job: Job, rangeIndex: Int, entry: EncodedEntry, recordKey: String) =
+        job.setOutcome(ShardTaskRange(rangeIndex, shard), PackedEntry(entry.outcome(), recordKey, RecordCodec::encode))
 
     override fun remove(job: Job, rangeIndex: Int) = job.setOutcome(ShardTaskRange(rangeIndex, shard), null)
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/storage/RecentRate.kt
@@ -0,0 +1,26 @@
+package copperglade.storage
+
+import copperglade.protocol.MonotonicTime
+import copperglade.protocol.secondsSince
+import kotlin.math.exp
+
+/** The rate of events per second, weighted exponentially over about [windowS] seconds. */
+internal class RecentRate(private val windowS: Double) {
+    private var weightedCount = 0.0
+    private var updatedAt = MonotonicTime.NEVER
+
+    fun add(count: Int, now: MonotonicTime) {
+        decay(now)
+        weightedCount += count
+    }
+
+    fun rate(now: MonotonicTime): Double {
+        decay(now)
+        return weightedCount / windowS
+    }
+
+    private fun decay(now: MonotonicTime) {
+        weightedCount *= exp(-now.secondsSince(updatedAt).coerceAtLeast(0.0) / windowS)
+        updatedAt = now
+    }
+}
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -6,17 +6,13 @@
 import copperglade.protocol.ImageName
 import copperglade.protocol.Incarnation
 import copperglade.protocol.JobId
-import copperglade.protocol.JobKind
-import copperglade.protocol.JobSpec
 import copperglade.protocol.JobSpecCodec
 import copperglade.protocol.JobStatus
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
 import copperglade.protocol.ParsedJob
-import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
-import copperglade.protocol.TaskId
 import copperglade.protocol.array
 import copperglade.protocol.flag
 import copperglade.protocol.long
@@ -25,7 +21,10 @@
 import java.io.IOException
 import java.util.BitSet
 
-/** Records as JSON values. Short names: small values, many of them. */
+/**
+ * Records as JSON values. The field names are short, since there are many small values. Decoding functions return null where a required
+ * field is missing, and those of packed records' entries throw.
+ */
 object RecordCodec {
     fun encode(record: LiveRecord): ByteArray = Json.write {
         obj {
@@ -33,7 +32,7 @@
             JobSpecCodec.write(this, record.spec)
             writeNumberField("at", record.acceptedAtMs)
             if (record.cancelled) writeBooleanField("cancelled", true)
-            // Left out where empty: earlier versions write and read records without it.
+            // Left out where empty, as earlier versions do.
             if (record.dependencies.isNotEmpty()) {
                 array(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
             }
@@ -84,7 +83,7 @@
                 obj("b") { record.returned.forEach { (generation, tasks) -> ranges(generation.toString(), tasks) } }
             }
             ranges("x", record.restarted)
-            // Left out where false: earlier versions write and read records without it.
+            // Left out where false, as earlier versions do.
             if (record.failing) writeBooleanField("m", true)
             version(record)
         }
@@ -93,13 +92,12 @@
     fun decodeOutcome(node: JsonNode): OutcomeRecord {
         val returned = HashMap<Int, BitSet>()
         node.get("b")?.properties()?.forEach { (generation, tasks) ->
-            returned[generation.toInt()] =
-                TaskIndexRanges.parse(tasks.asText())
+            returned[generation.toInt()] = TaskIndexRanges.parse(tasks.asText())
         }
         return OutcomeRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.flag("m") ?: false)
     }
 
-    /** A packed record: its parts under the pages' names, as they were encoded. */
+    /** A packed record: its encoded entries under the names of their task ranges. */
     fun encodePackedRecord(entries: Map<TaskRange, ByteArray>): ByteArray = Json.write {
         obj {
             for ((range, entry) in entries) {
@@ -109,6 +107,7 @@
         }
     }
 
+    /** The version of an entry of a packed record. */
     fun versionOf(node: JsonNode): Int = node.get("v").asInt()
 
     private fun JsonGenerator.version(record: Versioned) = writeNumberField("v", record.version)
@@ -125,14 +124,14 @@
         return EndRecord(status, (node.long("done") ?: 0).toInt())
     }
 
-    fun encode(record: ShardRecord): ByteArray = holder(record.member, record.incarnation)
+    fun encode(record: ShardRecord): ByteArray = memberAndIncarnation(record.member, record.incarnation)
 
     fun decodeShard(node: JsonNode): ShardRecord? {
         val member = MemberId(node.text("member") ?: return null)
         return ShardRecord(member, Incarnation(node.long("inc") ?: return null))
     }
 
-    fun encode(record: LeaderRecord): ByteArray = holder(record.member, record.incarnation)
+    fun encode(record: LeaderRecord): ByteArray = memberAndIncarnation(record.member, record.incarnation)
 
     fun decodeLeader(node: JsonNode): LeaderRecord? = decodeShard(node)?.let { LeaderRecord(it.member, it.incarnation) }
 
@@ -143,12 +142,7 @@
     }
 
     fun decodeImages(node: JsonNode): ImageRecord =
-        ImageRecord(
-            node.properties().associate { (machine, images) ->
-                MachineName(machine) to
-                    images.map { ImageName(it.asText()) }
-            },
-        )
+        ImageRecord(node.properties().associate { (machine, images) -> MachineName(machine) to images.map { ImageName(it.asText()) } })
 
     fun encode(record: MemberRecord): ByteArray = Json.write {
         obj { writeNumberField("inc", record.incarnation.number) }
@@ -156,7 +150,7 @@
 
     fun decodeMember(node: JsonNode): MemberRecord? = node.long("inc")?.let { MemberRecord(Incarnation(it)) }
 
-    /** A status message between controllers, as it would have been sent. */
+    /** A peer status that goes through the state service, with the same bytes as between controllers. */
     fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { obj { writeBinaryField("note", status) } }
 
     fun decodePeerStatus(node: JsonNode): ByteArray? = try {
@@ -165,7 +159,7 @@
         null
     }
 
-    private fun holder(member: MemberId, incarnation: Incarnation): ByteArray = Json.write {
+    private fun memberAndIncarnation(member: MemberId, incarnation: Incarnation): ByteArray = Json.write {
         obj {
             writeStringField("member", member.text)
             writeNumberField("inc", incarnation.number)
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -3,72 +3,68 @@
 import copperglade.protocol.Revision
 import org.slf4j.LoggerFactory
 
-/** The write of one packed record, its condition, and the pages that it changes. */
+/** The write of one packed record, its condition, and the task ranges whose entries it changes. */
 class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val ranges: Set<TaskRange>)
 
 /**
- * Packs changed pages into as few values as the service's limit allows. The budget counts keys, not bytes: with a record
- * for each page, its outcome in each shard and a deletion for each of them, the grown print shop's budget was spent on a
- * quarter of its jobs.
+ * Packs changed entries into as few values as the service's limit allows, because the write budget counts keys and not bytes.
  *
- * A changed page stays in its packed record as long as that has room. Otherwise it is written to another packed record,
- * like a page that is in none yet, and its former packed record is left alone: what that still says of the page has a
- * lower version, so every reader takes the page from the new packed record, in whatever order it meets the two. A page
- * may thus stand in two packed records, but never in none: a packed record is rewritten without a page only once the
- * page is known to stand in another. What is left of moved pages, and of jobs that are over, goes with the next
- * rewrite: nothing has to be deleted, and no move needs more than one write.
+ * A changed entry stays in its packed record while that has capacity. Otherwise it is written to another packed record, like an entry
+ * that is in none yet, and the former record isn't changed: the entry that is left there has a lower version, so every reader takes the
+ * new one, in whatever order it sees the two. An entry may thus be in two packed records but never in none, because a packed record is
+ * rewritten without an entry only once the entry is known to be in another. Entries left behind, and those of jobs that have ended, go
+ * with the next rewrite: nothing has to be deleted, and no move takes more than one write.
  *
- * A limit that was lowered leaves packed records behind that are larger than a value may be now. They stay readable,
- * and are not written as long as what still counts of them is above the limit: each of their pages moves when it
- * changes. So a packed record is written only if it fits both before and after the change, and [same] can always write
- * it as it was.
+ * After the limit was lowered, packed records may be larger than a value may be now. They stay readable, and aren't written while their
+ * current entries exceed the limit: each of these entries moves when it changes. So a packed record is written only if it fits both
+ * before and after the change, and [rewriteUnchanged] can always write it as it was.
  *
- * @param prefix of the packed records' keys; all of them are written by one writer at a time.
- * @param packed a page as the replica has it.
- * @param encode the bytes of that.
+ * @param prefix the prefix of the packed records' keys; all of them have the same single writer.
+ * @param entryOf an entry of a job as the replica has it, by index of the task range.
+ * @param encode the same entry encoded.
  */
 class RecordPacker(
     private val replica: Replica,
     limits: StateLimits,
     private val prefix: String,
-    private val packed: (Job, Int) -> PackedEntry<*>?,
+    private val entryOf: (Job, Int) -> PackedEntry<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val valueBytes = limits.valueBytes
-    private val fullBytes = minOf(valueBytes * FULL, LARGEST_BYTES).toInt()
-    private val busy = HashSet<String>()
+    private val fullBytes = minOf(valueBytes * FULL_LEVEL, MAX_RECORD_BYTES).toInt()
+    private val recordsInFlight = HashSet<String>()
 
     /**
-     * Pages on their way. A page that is in no packed record yet must not go into a second one meanwhile: on a grown day two
-     * writes of one page came to stand in two packed records, the older was taken for the page, and finished jobs ran again.
+     * Task ranges with a write in flight. An entry that is in no packed record yet must not go into a second one meanwhile: if both
+     * writes were applied, the older one could be taken for the entry, and finished tasks would run again.
      */
-    private val busyRanges = HashSet<TaskRange>()
+    private val rangesInFlight = HashSet<TaskRange>()
 
-    /** Pages that were logged as too large. */
-    private val tooLarge = HashSet<TaskRange>()
+    /** Task ranges whose entries were logged as too large. */
+    private val loggedTooLarge = HashSet<TaskRange>()
 
-    /** A packed record as it would be written: what counts of its present content, with changes. */
+    /** A packed record as it would be written: its current entries, with changes. */
     private inner class Draft(val key: String) {
         private val entries = LinkedHashMap<TaskRange, ByteArray>()
         val changed = HashSet<TaskRange>()
-        var bytes = BYTES_AROUND
+        var bytes = OVERHEAD_BYTES
             private set
 
         init {
             for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
                 val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
-                if (packed(job, range.index)?.recordKey == key) encode(job, range.index)?.let { put(range, it) }
+                if (entryOf(job, range.index)?.recordKey == key) encode(job, range.index)?.let { put(range, it) }
             }
         }
 
-        /** Whether the packed record may be written at all: its present content fits into a value. */
+        /** Whether the packed record may be written at all: its current entries fit into a value. */
         private val writable = bytes <= valueBytes
 
-        /** Whether the packed record, where [place] stands already, still fits into a value with [part] in its stead. */
-        fun holds(range: TaskRange, entry: ByteArray): Boolean {
+        /** Whether the packed record, which has an entry of [range], still fits into a value with [entry] in its place. */
+        fun fitsWith(range: TaskRange, entry: ByteArray): Boolean {
             val after = bytes - (entries[range]?.let { sizeOf(range, it.size) } ?: 0) + sizeOf(range, entry.size)
-            val alone = entries.keys.all { it == range }
-            return writable && after <= if (alone) valueBytes else fullBytes
+            val isOnlyEntry = entries.keys.all { it == range }
+            return writable && after <= if (isOnlyEntry) valueBytes else fullBytes
         }
 
         fun change(range: TaskRange, entry: ByteArray) {
@@ -88,27 +84,27 @@
         }
     }
 
-    /** Whether no write is under way that the page's own would have to wait for. */
+    /** Whether no write is in flight that a write of this entry would have to wait for. */
     fun ready(job: Job, rangeIndex: Int): Boolean =
-        TaskRange(job.id, rangeIndex) !in busyRanges && packed(job, rangeIndex)?.recordKey !in busy
+        TaskRange(job.id, rangeIndex) !in rangesInFlight && entryOf(job, rangeIndex)?.recordKey !in recordsInFlight
 
-    /** Whether a value can hold [part] at all. */
-    fun fitsValue(range: TaskRange, entry: ByteArray): Boolean = BYTES_AROUND + sizeOf(range, entry.size) <= valueBytes
+    /** Whether a value can hold [entry] at all. */
+    fun fitsValue(range: TaskRange, entry: ByteArray): Boolean = OVERHEAD_BYTES + sizeOf(range, entry.size) <= valueBytes
 
     /**
-     * The writes that bring about [changes], each with a higher version than the page has now; those of packed records
-     * under way are left out, and those that no value can hold. In order of the changes.
+     * The writes that bring about [changes], in their order; each changed entry must have a higher version than the present one.
+     * Left out are entries that have to wait for a write in flight, and those that no value can hold.
      */
     fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         for ((range, entry) in changes) {
-            val home = replica.jobs[range.job]?.let { packed(it, range.index)?.recordKey }
-            if (range in busyRanges || (home != null && home in busy)) continue
+            val recordKey = replica.jobs[range.job]?.let { entryOf(it, range.index)?.recordKey }
+            if (range in rangesInFlight || (recordKey != null && recordKey in recordsInFlight)) continue
             if (!fitsValue(range, entry)) {
-                if (tooLarge.add(range)) log.warn("page {} of {} bytes is too large for a value", range, entry.size)
+                if (loggedTooLarge.add(range)) log.warn("record_entry_too_large task_range={} bytes={}", range, entry.size)
                 continue
             }
-            val present = home?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.holds(range, entry) }
+            val present = recordKey?.let { drafts.getOrPut(it) { Draft(it) } }?.takeIf { it.fitsWith(range, entry) }
             val draft = present ?: draftWithCapacity(range, entry, drafts)
             draft.change(range, entry)
         }
@@ -116,65 +112,70 @@
     }
 
     /**
-     * Writes the packed record of [write] as it is, only to change its revision: a late copy of [write] dies of that. Its
-     * present content fits into a value, as it did when [write] was made: nobody else has written it since.
+     * Rewrites the packed record of [write] with its current entries, only to change its revision, so that no late copy of [write] can
+     * be applied. They fit into a value, as they did when [write] was made: nobody else has written the record since.
      */
     fun rewriteUnchanged(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
     private fun draftWithCapacity(range: TaskRange, entry: ByteArray, drafts: MutableMap<String, Draft>): Draft {
-        drafts.values.firstOrNull { fits(it.bytes, range, entry) }?.let { return it }
+        drafts.values.firstOrNull { hasCapacity(it.bytes, range, entry) }?.let { return it }
         val known = replica.packedRecords.keys.firstOrNull {
-            it.startsWith(prefix) && it !in busy && it !in drafts && fits(bytesOf(it), range, entry)
+            it.startsWith(prefix) && it !in recordsInFlight && it !in drafts && hasCapacity(bytesOf(it), range, entry)
         }
         val key = known ?: unusedKey(drafts.keys)
         return Draft(key).also { drafts[key] = it }
     }
 
-    private fun unusedKey(taken: Collection<String>): String {
+    private fun unusedKey(drafted: Collection<String>): String {
         var number = 0
-        while ("$prefix$number".let { it in replica.packedRecords || it in busy || it in taken }) number++
+        while ("$prefix$number".let { it in replica.packedRecords || it in recordsInFlight || it in drafted }) number++
         return "$prefix$number"
     }
 
-    private fun fits(bytes: Int, range: TaskRange, entry: ByteArray) = bytes + sizeOf(range, entry.size) <= fullBytes * ROOM_TO_GROW
+    private fun hasCapacity(bytes: Int, range: TaskRange, entry: ByteArray) =
+        bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_LEVEL
 
-    /** What of a packed record still counts. */
+    /** The size of a packed record's current entries. */
     private fun bytesOf(key: String): Int {
-        var sum = BYTES_AROUND
+        var sum = OVERHEAD_BYTES
         for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
             val job = replica.jobs[range.job]?.takeIf { it.live != null } ?: continue
-            packed(job, range.index)?.takeIf { it.recordKey == key }?.let { sum += sizeOf(range, it.bytes) }
+            entryOf(job, range.index)?.takeIf { it.recordKey == key }?.let { sum += sizeOf(range, it.bytes) }
         }
         return sum
     }
 
-    private fun sizeOf(range: TaskRange, bytes: Int) = range.job.text.length + bytes + BYTES_AROUND
+    private fun sizeOf(range: TaskRange, bytes: Int) = range.job.text.length + bytes + OVERHEAD_BYTES
 
+    /** [write] is about to be sent: nothing that depends on its outcome is packed until [clearInFlight]. */
     fun markInFlight(write: PackedWrite) {
-        busy += write.write.key
-        busyRanges += write.ranges
+        recordsInFlight += write.write.key
+        rangesInFlight += write.ranges
     }
 
-    /** [write] is not on its way any more. */
+    /** The outcome of [write] is known, and what it changed is in the replica. */
     fun clearInFlight(write: PackedWrite) {
-        busy -= write.write.key
-        busyRanges -= write.ranges
+        recordsInFlight -= write.write.key
+        rangesInFlight -= write.ranges
     }
 
+    /** No earlier write can be applied any more. */
     fun clearAllInFlight() {
-        busy.clear()
-        busyRanges.clear()
-        tooLarge.clear()
+        recordsInFlight.clear()
+        rangesInFlight.clear()
+        loggedTooLarge.clear()
     }
 
     private companion object {
-        /** Packed records are read and written whole: much larger ones would cost more processor than they save writes. */
-        const val LARGEST_BYTES = 8 * 1024.0
-        const val FULL = 0.9
-
-        /** Pages grow after they were placed. */
-        const val ROOM_TO_GROW = 0.75
-        const val BYTES_AROUND = 16
-        val log = LoggerFactory.getLogger("sheets")
+        /** Packed records are read and written whole: larger ones would cost more processor time than they save writes. */
+        const val MAX_RECORD_BYTES = 8 * 1024.0
+        const val FULL_LEVEL = 0.9
+
+        /** Entries grow after they were packed, so a packed record gets new entries only up to this part of its full size. */
+        const val NEW_ENTRY_LEVEL = 0.75
+
+        /** An upper bound on the bytes around a record and around each of its entries. */
+        const val OVERHEAD_BYTES = 16
+        val log = LoggerFactory.getLogger("storage")
     }
 }
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -1,30 +1,21 @@
 package copperglade.storage
 
-import com.fasterxml.jackson.databind.JsonNode
 import copperglade.protocol.Endpoint
-import copperglade.protocol.Json
 import copperglade.protocol.LeaseId
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
 import copperglade.transport.HttpStatus
-import copperglade.transport.Method
 import copperglade.transport.Reply
 import copperglade.transport.Request
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
-import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The state service as this controller may use it: within its share of the budgets that all controllers have together.
- * Transactions wait for write budget in order of urgency; whoever comes when the queue is full is refused at once.
+ * The state service's client, which stays within this controller's share of the budgets that all controllers have together. All
+ * callbacks run on the event loop; those of requests that can't be sent run before the call returns.
  */
 class StateClient(
     private val loop: EventLoop,
@@ -33,296 +24,126 @@
     val limits: StateLimits,
     firstShare: Double = 1.0,
 ) {
-    private class Queued(val transaction: Transaction, val done: (TransactionOutcome) -> Unit)
-
-    private val queues = WritePriority.entries.associateWith { ArrayDeque<Queued>() }
     private val requests = TokenBucket(limits.requestsPerS * firstShare, BURST_S, loop.now())
-    private val writes = TokenBucket(limits.writesPerS * firstShare, BURST_S, loop.now())
-    private val demand = RecentRate(DEMAND_S)
-    private var inFlight = 0
-    private var draining = false
-    private var malformed = 0
-    private var malformedReportedAt = MonotonicTime.NEVER
+    private val writes = WriteQueue(loop, limits, firstShare, BURST_S, ::sendTransaction)
+    private var malformedCount = 0
+    private var malformedLoggedAt = MonotonicTime.NEVER
 
-    /** When the service last answered as it should. */
+    /** When the service last answered with anything but "unavailable". */
     var lastAnswerAt: MonotonicTime = MonotonicTime.NEVER
         private set
 
     /** Whether the service has not answered lately. */
-    fun isUnreachable(): Boolean = loop.now() >= lastAnswerAt + SILENCE
+    fun isUnreachable(): Boolean = loop.now() >= lastAnswerAt + UNREACHABLE_AFTER
 
-    /** Sets this controller's parts of the budgets. */
+    /** Sets this controller's shares of the budgets, each from 0 to 1. */
     fun setShares(ofRequests: Double, ofWrites: Double) {
         requests.setRate(limits.requestsPerS * ofRequests, loop.now())
-        writes.setRate(limits.writesPerS * ofWrites, loop.now())
+        writes.setShare(ofWrites)
     }
 
-    /** Changes a second that there have been to make lately, those still waiting included. */
-    val writeDemandPerS: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
+    /** Writes per second that this controller has wanted to make lately, those still queued included. */
+    val writeDemandPerS: Double get() = writes.demandPerS
 
-    /** How much of the write budget is left, from 0 to 1: batches widen as it shrinks. */
-    fun writeBudgetLevel(): Double = writes.level(loop.now())
+    /** How full the write budget is, from 0 to 1: batches widen as it shrinks. */
+    fun writeBudgetLevel(): Double = writes.budgetLevel()
 
-    /**
-     * Assignments that could be written at once. What is less urgent doesn't count: on a quiet bench day a queue of
-     * clearing up kept this below 0, nothing was assigned any more, and 28 machines stood idle.
-     */
-    fun affordableAssignments(): Int {
-        val ahead = queues.filterKeys { it <= WritePriority.ASSIGNMENT }.values.sumOf { queue ->
-            queue.sumOf { it.transaction.writes.size }
-        }
-        return writes.available(loop.now()) - ahead
-    }
+    /** Assignments that could be written at once. Queued writes of lower priority don't count: they would stop all assignments. */
+    fun affordableAssignments(): Int = writes.affordableAssignments()
 
-    /** So much of the budget less urgent assignments leave to urgent ones. */
-    val urgentReserve: Int get() = (writes.capacity * KEPT_FOR_URGENT).toInt()
+    /** Writes of the budget that less urgent assignments leave to urgent ones. */
+    val urgentReserve: Int get() = writes.urgentReserve
 
-    /** Takes note of changes that would have been made, had there been budget. */
-    fun recordUnmetDemand(changes: Int) = demand.add(changes, loop.now())
-
-    /** Whether a further transaction of a user would have to wait for long. */
-    fun isUserQueueFull(): Boolean = queues.getValue(WritePriority.USER).size >= MAX_QUEUED
-
-    fun commit(urgency: WritePriority, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
-        val queue = queues.getValue(urgency)
-        if (urgency != WritePriority.LEASE && queue.size >= MAX_QUEUED) {
-            done(TransactionOutcome.Refused)
-            return
-        }
-        demand.add(transaction.writes.size, loop.now())
-        queue.addLast(Queued(transaction, done))
-        drain()
-    }
+    /** Counts [changes] as wanted that were not committed for want of budget. */
+    fun recordUnmetDemand(changes: Int) = writes.recordUnmetDemand(changes)
 
-    private fun drain() {
-        for ((urgency, queue) in queues) {
-            while (queue.isNotEmpty()) {
-                val next = queue.first()
-                if (urgency == WritePriority.LEASE) {
-                    writes.take(next.transaction.writes.size, loop.now())
-                } else if (inFlight >= MAX_IN_FLIGHT ||
-                    !writes.tryTake(next.transaction.writes.size, loop.now(), reserveFor(urgency, next.transaction))
-                ) {
-                    drainLater()
-                    return
-                }
-                queue.removeFirst()
-                send(next)
-            }
-        }
-    }
+    /** Whether [commit] would refuse a user's transaction. */
+    fun isUserQueueFull(): Boolean = writes.isFull(WritePriority.USER)
 
     /**
-     * What doesn't come from a user leaves one change to the next user. With a small share of a small budget the urgency's own
-     * reserve is less than that: on a quiet simulated day with 21 changes a second for three controllers, outcomes took every change as
-     * soon as it was to be had, and 8% of the submissions waited for longer than 300 ms.
+     * Commits a transaction once there is write budget, in order of priority; refuses it at once where the priority's queue is full.
+     * Lease writes are sent at once.
      */
-    private fun reserveFor(urgency: WritePriority, transaction: Transaction): Double {
-        if (urgency <= WritePriority.ASSIGNMENT) return urgency.reserve
-        val withOneMore = (transaction.writes.size + 1) / writes.capacity
-        return maxOf(urgency.reserve, minOf(withOneMore, MAX_RESERVED))
-    }
+    fun commit(priority: WritePriority, transaction: Transaction, done: (TransactionOutcome) -> Unit) =
+        writes.commit(priority, transaction, done)
 
-    private fun drainLater() {
-        if (draining) return
-        draining = true
-        loop.after(DRAIN_PAUSE) {
-            draining = false
-            drain()
-        }
-    }
-
-    private fun send(queued: Queued) {
-        inFlight++
-        val body = encode(queued.transaction)
-        request(Request(Method.POST, "/multi", body), TIMEOUT) { reply ->
-            inFlight--
-            queued.done(outcomeOf(reply))
-            drain()
-        }
-    }
+    private fun sendTransaction(transaction: Transaction, done: (TransactionOutcome) -> Unit) =
+        request(StateServiceCodec.transaction(transaction), TIMEOUT) { reply -> done(outcomeOf(reply)) }
 
     private fun outcomeOf(reply: Reply?): TransactionOutcome = when (reply?.status) {
         null -> TransactionOutcome.Unknown
-        HttpStatus.OK -> Json.read(reply.body)?.long("ledger")?.let { TransactionOutcome.Applied(Revision(it)) }
+        HttpStatus.OK -> StateServiceCodec.decodeAppliedRevision(reply.body)?.let { TransactionOutcome.Applied(it) }
             ?: TransactionOutcome.Unknown
-        HttpStatus.CONFLICT -> TransactionOutcome.Conflict(
-            Json
-                .read(reply.body)
-                ?.get("failed")
-                ?.map { it.asText() }
-                .orEmpty(),
-        )
-        HttpStatus.BAD_REQUEST -> {
-            val problem = Json.read(reply.body)?.text("error").orEmpty()
-            if (problem.contains(NO_SUCH_LEASE, ignoreCase = true)) {
-                TransactionOutcome.NoSuchLease
-            } else {
-                reportMalformed(problem)
-                TransactionOutcome.Refused
-            }
-        }
+        HttpStatus.CONFLICT -> TransactionOutcome.Conflict(StateServiceCodec.decodeConflict(reply.body))
+        HttpStatus.BAD_REQUEST -> rejected(StateServiceCodec.decodeError(reply.body))
         HttpStatus.TOO_MANY, HttpStatus.UNAVAILABLE -> TransactionOutcome.Refused
         else -> {
-            log.warn("unexpected status {} for a transaction", reply.status)
+            log.warn("transaction_unexpected_status status={}", reply.status)
             TransactionOutcome.Unknown
         }
     }
 
-    /** Transactions that don't fit the service's limits are tried again and again: one line now and then tells of them. */
-    private fun reportMalformed(problem: String) {
-        malformed++
-        if (loop.now() < malformedReportedAt + MALFORMED_REPORT_INTERVAL) return
-        log.error("the state service calls a transaction malformed ({} so far): {}", malformed, problem)
-        malformedReportedAt = loop.now()
+    private fun rejected(error: String): TransactionOutcome {
+        if (StateServiceCodec.saysNoSuchLease(error)) return TransactionOutcome.NoSuchLease
+        logMalformed(error)
+        return TransactionOutcome.Refused
+    }
+
+    /** Logs at intervals, because a transaction that exceeds the service's limits is usually tried again. */
+    private fun logMalformed(error: String) {
+        malformedCount++
+        if (loop.now() < malformedLoggedAt + MALFORMED_LOG_INTERVAL) return
+        log.error("transaction_malformed count={} error=\"{}\"", malformedCount, error)
+        malformedLoggedAt = loop.now()
     }
 
-    /** Whether the budget has room for a reading that nothing else waits for. */
+    /** Whether the request budget allows a [read] now. */
     fun hasReadBudget(): Boolean = requests.available(loop.now()) >= 1
 
+    /** Reads one key; fails at once where there is no request budget. */
     fun read(key: String, done: (ReadOutcome) -> Unit) {
         if (!requests.tryTake(1, loop.now())) {
             done(ReadOutcome.Failed)
             return
         }
-        request(Request(Method.GET, "/kv/$key"), TIMEOUT, counted = true) { reply ->
-            val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
-            val value = node?.get("data")
-            val revision = node?.long("stamp")
-            done(
-                when {
-                    value != null && revision != null -> ReadOutcome.Present(value, Revision(revision))
-                    reply?.status == HttpStatus.NOT_FOUND -> ReadOutcome.Absent
-                    else -> ReadOutcome.Failed
-                },
-            )
-        }
+        call(StateServiceCodec.read(key), TIMEOUT) { reply -> done(StateServiceCodec.decodeRead(reply)) }
     }
 
-    fun list(prefix: String, from: String?, done: (Listing?) -> Unit) {
-        val after = if (from == null) "" else "&from=$from"
-        request(Request(Method.GET, "/kv?starts=$prefix$after&limit=$LIST_LIMIT"), LIST_TIMEOUT) { reply ->
-            val node = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
-            val storeRevision = node?.long("ledger")
-            val entries = node?.get("entries")?.mapNotNull { entry ->
-                val key = entry.text("k")
-                val value = entry.get("data")
-                val revision = entry.long("stamp")
-                if (key == null || value == null || revision == null) null else Entry(key, value, Revision(revision))
-            }
-            done(
-                if (storeRevision == null ||
-                    entries == null
-                ) {
-                    null
-                } else {
-                    Listing(entries, node.flag("truncated") ?: false, Revision(storeRevision))
-                },
-            )
-        }
-    }
-
-    /** Changes since [from]; waits up to [wait] for the first one. */
-    fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) {
-        val path = "/changes?starts=$prefix&from=$from&waitMs=${wait.inWholeMilliseconds}"
-        request(Request(Method.GET, path), TIMEOUT + wait) { reply ->
-            done(
-                when (reply?.status) {
-                    HttpStatus.OK -> decodeChanges(Json.read(reply.body))
-                    HttpStatus.GONE -> ChangesOutcome.TooOld
-                    else -> ChangesOutcome.Failed
-                },
-            )
-        }
-    }
+    /** Lists a page of the records whose keys begin with [prefix], after the key [from] or from the first one on. */
+    fun list(prefix: String, from: String?, done: (ListOutcome) -> Unit) =
+        request(StateServiceCodec.list(prefix, from), LIST_TIMEOUT) { reply -> done(StateServiceCodec.decodeList(reply)) }
 
-    private fun decodeChanges(node: JsonNode?): ChangesOutcome {
-        val storeRevision = node?.long("ledger") ?: return ChangesOutcome.Failed
-        val changes = node.get("events")?.mapNotNull { event ->
-            val revision = Revision(event.long("stamp") ?: return@mapNotNull null)
-            val dropped = event.text("drop")
-            if (dropped != null) return@mapNotNull Change.Deleted(dropped, revision)
-            val key = event.text("set") ?: return@mapNotNull null
-            Change.Set(key, event.get("data") ?: return@mapNotNull null, revision)
-        }
-        return ChangesOutcome.Received(Revision(storeRevision), changes.orEmpty())
-    }
+    /** Reads the changes after the revision [from]; waits up to [wait] for the first one. */
+    fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) =
+        request(StateServiceCodec.changes(prefix, from, wait), TIMEOUT + wait) { reply -> done(StateServiceCodec.decodeChanges(reply)) }
 
-    fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) {
-        val body = Json.write { obj { writeNumberField("ttlMs", length.inWholeMilliseconds) } }
-        request(Request(Method.POST, "/holds", body), TIMEOUT) { reply ->
-            val leaseId = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.long("permit") }
-            done(if (leaseId == null) LeaseOutcome.Failed else LeaseOutcome.Granted(LeaseId(leaseId)))
-        }
-    }
+    fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) =
+        request(StateServiceCodec.openLease(length), TIMEOUT) { reply -> done(StateServiceCodec.decodeOpenedLease(reply)) }
 
-    fun extendLease(leaseId: LeaseId, done: (LeaseOutcome) -> Unit) {
-        request(Request(Method.POST, "/holds/$leaseId/extend"), TIMEOUT) { reply ->
-            done(
-                when (reply?.status) {
-                    HttpStatus.OK -> LeaseOutcome.Extended
-                    HttpStatus.NOT_FOUND -> LeaseOutcome.Gone
-                    else -> LeaseOutcome.Failed
-                },
-            )
-        }
-    }
+    fun extendLease(leaseId: LeaseId, done: (LeaseOutcome) -> Unit) =
+        request(StateServiceCodec.extendLease(leaseId), TIMEOUT) { reply -> done(StateServiceCodec.decodeExtendedLease(reply)) }
 
-    fun endLease(leaseId: LeaseId) = request(Request(Method.DELETE, "/holds/$leaseId"), TIMEOUT) {}
+    /** Ends a lease without waiting for the answer: the service ends it anyway once it is no longer extended. */
+    fun endLease(leaseId: LeaseId) = request(StateServiceCodec.endLease(leaseId), TIMEOUT) {}
 
-    private fun request(request: Request, timeout: Duration, counted: Boolean = false, done: (Reply?) -> Unit) {
-        if (!counted) requests.take(1, loop.now())
-        http.call(endpoint, request, timeout) { reply ->
-            if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastAnswerAt = loop.now()
-            if (reply?.status == HttpStatus.TOO_MANY) log.info("over the state service's budget")
-            done(reply)
-        }
+    /** Sends a request that doesn't wait for request budget: later ones pay for it. */
+    private fun request(request: Request, timeout: Duration, done: (Reply?) -> Unit) {
+        requests.take(1, loop.now())
+        call(request, timeout, done)
     }
 
-    private fun encode(transaction: Transaction): ByteArray = Json.write {
-        obj {
-            array("if") {
-                for (condition in transaction.conditions) {
-                    obj {
-                        writeStringField("k", condition.key)
-                        writeNumberField("stamp", condition.revision.number)
-                    }
-                }
-            }
-            array("writes") {
-                for (write in transaction.writes) {
-                    obj {
-                        when (write) {
-                            is Write.Delete -> writeStringField("drop", write.key)
-                            is Write.Set -> {
-                                writeStringField("set", write.key)
-                                writeFieldName("data")
-                                writeRawValue(write.value.decodeToString())
-                                write.leaseId?.let { writeNumberField("permit", it.number) }
-                            }
-                        }
-                    }
-                }
-            }
-        }
+    private fun call(request: Request, timeout: Duration, done: (Reply?) -> Unit) = http.call(endpoint, request, timeout) { reply ->
+        if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastAnswerAt = loop.now()
+        if (reply?.status == HttpStatus.TOO_MANY) log.info("state_service_over_budget")
+        done(reply)
     }
 
-    companion object {
-        private const val NO_SUCH_LEASE = "no such lease"
-        private val MALFORMED_REPORT_INTERVAL = 10.seconds
-        private const val BURST_S = 0.8
-        private const val DEMAND_S = 2.0
-        private const val KEPT_FOR_URGENT = 0.2
-
-        /** However small a budget is, what is less urgent gets its turn when so much of the bucket is full. */
-        private const val MAX_RESERVED = 0.8
-        private const val LIST_LIMIT = 1000
-        private const val MAX_QUEUED = 400
-        private const val MAX_IN_FLIGHT = 12
-        private val SILENCE = 1.seconds
-        private val TIMEOUT = 2.seconds
-        private val LIST_TIMEOUT = 5.seconds
-        private val DRAIN_PAUSE = 20.milliseconds
-        private val log = LoggerFactory.getLogger("state")
+    private companion object {
+        const val BURST_S = 0.8
+        val MALFORMED_LOG_INTERVAL = 10.seconds
+        val UNREACHABLE_AFTER = 1.seconds
+        val TIMEOUT = 2.seconds
+        val LIST_TIMEOUT = 5.seconds
+        val log = LoggerFactory.getLogger("storage")
     }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
@@ -0,0 +1,139 @@
+package copperglade.storage
+
+import com.fasterxml.jackson.core.JsonGenerator
+import com.fasterxml.jackson.databind.JsonNode
+import copperglade.protocol.Json
+import copperglade.protocol.LeaseId
+import copperglade.protocol.Revision
+import copperglade.protocol.array
+import copperglade.protocol.flag
+import copperglade.protocol.long
+import copperglade.protocol.obj
+import copperglade.protocol.text
+import copperglade.transport.HttpStatus
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import kotlin.time.Duration
+
+/** Requests to the state service and its answers. A missing answer (null) and an unreadable one are decoded alike, as failures. */
+internal object StateServiceCodec {
+    private const val NO_SUCH_LEASE = "no such lease"
+    private const val LIST_LIMIT = 1000
+
+    fun transaction(transaction: Transaction) = Request(Method.POST, "/multi", encode(transaction))
+
+    fun read(key: String) = Request(Method.GET, "/kv/$key")
+
+    fun list(prefix: String, from: String?): Request {
+        val start = if (from == null) "" else "&from=$from"
+        return Request(Method.GET, "/kv?starts=$prefix$start&limit=$LIST_LIMIT")
+    }
+
+    fun changes(prefix: String, from: Revision, wait: Duration) =
+        Request(Method.GET, "/changes?starts=$prefix&from=$from&waitMs=${wait.inWholeMilliseconds}")
+
+    fun openLease(length: Duration) =
+        Request(Method.POST, "/holds", Json.write { obj { writeNumberField("ttlMs", length.inWholeMilliseconds) } })
+
+    fun extendLease(leaseId: LeaseId) = Request(Method.POST, "/holds/$leaseId/extend")
+
+    fun endLease(leaseId: LeaseId) = Request(Method.DELETE, "/holds/$leaseId")
+
+    private fun encode(transaction: Transaction): ByteArray = Json.write {
+        obj {
+            array("if") { transaction.conditions.forEach { condition(it) } }
+            array("writes") { transaction.writes.forEach { write(it) } }
+        }
+    }
+
+    private fun JsonGenerator.condition(condition: Condition) = obj {
+        writeStringField("k", condition.key)
+        writeNumberField("stamp", condition.revision.number)
+    }
+
+    private fun JsonGenerator.write(write: Write) = obj {
+        when (write) {
+            is Write.Delete -> writeStringField("drop", write.key)
+            is Write.Set -> {
+                writeStringField("set", write.key)
+                writeFieldName("data")
+                writeRawValue(write.value.decodeToString())
+                write.leaseId?.let { writeNumberField("permit", it.number) }
+            }
+        }
+    }
+
+    /** The revision of an applied transaction, or null where the answer doesn't say it. */
+    fun decodeAppliedRevision(body: ByteArray): Revision? = Json.read(body)?.long("ledger")?.let(::Revision)
+
+    /** The keys whose conditions didn't hold. */
+    fun decodeConflict(body: ByteArray): List<String> {
+        val failed = Json.read(body)?.get("failed")
+        return failed?.map { it.asText() }.orEmpty()
+    }
+
+    /** The error text of a transaction that was answered as malformed. */
+    fun decodeError(body: ByteArray): String = Json.read(body)?.text("error").orEmpty()
+
+    /** Whether an error text means that the lease has ended, and not that the transaction is malformed. */
+    fun saysNoSuchLease(error: String): Boolean = error.contains(NO_SUCH_LEASE, ignoreCase = true)
+
+    fun decodeRead(reply: Reply?): ReadOutcome {
+        val node = treeOf(reply)
+        val value = node?.get("data")
+        val revision = node?.long("stamp")
+        return when {
+            value != null && revision != null -> ReadOutcome.Present(EncodedRecord(value), Revision(revision))
+            reply?.status == HttpStatus.NOT_FOUND -> ReadOutcome.Absent
+            else -> ReadOutcome.Failed
+        }
+    }
+
+    fun decodeList(reply: Reply?): ListOutcome {
+        val node = treeOf(reply)
+        val storeRevision = node?.long("ledger") ?: return ListOutcome.Failed
+        val records = node.get("entries")?.mapNotNull(::decodeListed) ?: return ListOutcome.Failed
+        return ListOutcome.Received(records, node.flag("truncated") ?: false, Revision(storeRevision))
+    }
+
+    private fun decodeListed(node: JsonNode): ListedRecord? {
+        val key = node.text("k")
+        val value = node.get("data")
+        val revision = node.long("stamp")
+        return if (key == null || value == null || revision == null) null else ListedRecord(key, EncodedRecord(value), Revision(revision))
+    }
+
+    fun decodeChanges(reply: Reply?): ChangesOutcome = when (reply?.status) {
+        HttpStatus.OK -> decodeReceivedChanges(Json.read(reply.body))
+        HttpStatus.GONE -> ChangesOutcome.TooOld
+        else -> ChangesOutcome.Failed
+    }
+
+    private fun decodeReceivedChanges(node: JsonNode?): ChangesOutcome {
+        val storeRevision = node?.long("ledger") ?: return ChangesOutcome.Failed
+        return ChangesOutcome.Received(Revision(storeRevision), node.get("events")?.mapNotNull(::decodeChange).orEmpty())
+    }
+
+    private fun decodeChange(node: JsonNode): Change? {
+        val revision = Revision(node.long("stamp") ?: return null)
+        val deleted = node.text("drop")
+        if (deleted != null) return Change.Deleted(deleted, revision)
+        val key = node.text("set") ?: return null
+        val value = node.get("data") ?: return null
+        return Change.Set(key, EncodedRecord(value), revision)
+    }
+
+    fun decodeOpenedLease(reply: Reply?): LeaseOutcome {
+        val leaseId = treeOf(reply)?.long("permit")
+        return if (leaseId == null) LeaseOutcome.Failed else LeaseOutcome.Granted(LeaseId(leaseId))
+    }
+
+    fun decodeExtendedLease(reply: Reply?): LeaseOutcome = when (reply?.status) {
+        HttpStatus.OK -> LeaseOutcome.Extended
+        HttpStatus.NOT_FOUND -> LeaseOutcome.Gone
+        else -> LeaseOutcome.Failed
+    }
+
+    private fun treeOf(reply: Reply?): JsonNode? = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body) }
+}
--- a/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
+++ b/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
@@ -1,31 +1,8 @@
 package copperglade.storage
 
-import com.fasterxml.jackson.core.JsonGenerator
-import com.fasterxml.jackson.databind.JsonNode
-import copperglade.protocol.FencingToken
-import copperglade.protocol.ImageName
-import copperglade.protocol.Incarnation
-import copperglade.protocol.JobId
-import copperglade.protocol.JobKind
-import copperglade.protocol.JobSpec
-import copperglade.protocol.JobSpecCodec
-import copperglade.protocol.JobStatus
-import copperglade.protocol.Json
-import copperglade.protocol.MachineName
-import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
-import copperglade.protocol.Revision
-import copperglade.protocol.ShardName
-import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
-import java.io.IOException
 import java.util.BitSet
 
-/** Sets of task numbers as text, such as `0-3,7`. */
+/** Sets of task indices as text, such as `0-3,7`. */
 object TaskIndexRanges {
     fun format(set: BitSet): String = buildString {
         var start = set.nextSetBit(0)
@@ -38,20 +15,16 @@
         }
     }
 
+    /** The set that [text] describes. Throws [NumberFormatException] or [IndexOutOfBoundsException] where it is malformed. */
     fun parse(text: String): BitSet {
         val set = BitSet()
         if (text.isEmpty()) return set
-        for (part in text.split(',')) {
-            val dash = part.indexOf('-')
-            if (dash <
-                0
-            ) {
-                set.set(part.toInt())
+        for (range in text.split(',')) {
+            val dash = range.indexOf('-')
+            if (dash < 0) {
+                set.set(range.toInt())
             } else {
-                set.set(
-                    part.substring(0, dash).toInt(),
-                    part.substring(dash + 1).toInt() + 1,
-                )
+                set.set(range.substring(0, dash).toInt(), range.substring(dash + 1).toInt() + 1)
             }
         }
         return set
--- a/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
+++ b/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
@@ -5,50 +5,71 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Resolves writes of unknown outcome. Such a write may be applied at any later time, as long as its packed record is
- * what it was: after newer ones too, if those went to other packed records. One page then stood in two packed records,
- * and whoever loaded them took the older for the page, so that tasks told as done were to be run again. No reading
- * shows what is still on its way. So its packed record stays busy until it has changed, by that write or by being
- * written anew as it is.
+ * Resolves writes of packed records whose outcome is unknown. Such a write may be applied at any later time while its packed record has
+ * the same revision, even after newer writes of the same task range to other packed records. Readers would then find the range twice and
+ * might take the older entry. No read shows whether a write is still on its way, so its packed record stays in flight until its revision
+ * has changed, by that write or by a rewrite with unchanged content.
+ *
+ * @param ownerCondition the condition under which this controller may write the packed records.
  */
 class UnresolvedWrites(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
-    private val urgency: WritePriority,
-    /** What makes the packed record ours to write. */
-    private val condition: () -> Condition,
+    private val priority: WritePriority,
+    private val ownerCondition: () -> Condition,
 ) {
-    /** Calls [resolved] once no copy of [packedWrite] can be applied any more, unless [ours] has come to be false before. */
-    fun resolve(packedWrite: PackedWrite, ours: () -> Boolean, resolved: () -> Unit) {
-        val again = { loop.after(PAUSE) { resolve(packedWrite, ours, resolved) } }
-        replica.catchUp { caughtUp ->
-            if (!ours()) return@catchUp
-            when (caughtUp) {
-                CatchUpOutcome.Unavailable -> return@catchUp again()
-                CatchUpOutcome.Current -> {}
+    /** Calls [resolved] once no copy of [packedWrite] can be applied any more; never where [isOwner] turns false before. */
+    fun resolve(packedWrite: PackedWrite, isOwner: () -> Boolean, resolved: () -> Unit) {
+        val attempt = Attempt(packedWrite, isOwner, resolved)
+        attempt.start()
+    }
+
+    private inner class Attempt(
+        private val packedWrite: PackedWrite,
+        private val isOwner: () -> Boolean,
+        private val resolved: () -> Unit,
+    ) {
+        fun start() = replica.catchUp(::caughtUp)
+
+        private fun caughtUp(outcome: CatchUpOutcome) {
+            if (!isOwner()) return
+            when (outcome) {
+                CatchUpOutcome.Unavailable -> retry()
+                CatchUpOutcome.Current -> if (hasChanged(packedWrite.condition)) resolved() else rewrite()
             }
-            if (changed(packedWrite.condition)) return@catchUp resolved()
-            val same = packedWrite.packer.rewriteUnchanged(packedWrite)
-            val transaction = Transaction(listOf(condition(), same.condition), listOf(same.write))
-            store.commit(urgency, transaction) { outcome ->
-                if (!ours()) return@commit
-                if (outcome is TransactionOutcome.Applied) {
+        }
+
+        private fun rewrite() {
+            val unchanged = packedWrite.packer.rewriteUnchanged(packedWrite)
+            val transaction = Transaction(listOf(ownerCondition(), unchanged.condition), listOf(unchanged.write))
+            store.commit(priority, transaction) { outcome -> rewritten(transaction, outcome) }
+        }
+
+        private fun rewritten(transaction: Transaction, outcome: TransactionOutcome) {
+            if (!isOwner()) return
+            when (outcome) {
+                is TransactionOutcome.Applied -> {
                     replica.applyCommitted(transaction, outcome.revision)
                     resolved()
-                } else {
-                    again()
                 }
+                is TransactionOutcome.Conflict,
+                TransactionOutcome.NoSuchLease,
+                TransactionOutcome.Refused,
+                TransactionOutcome.Unknown,
+                -> retry()
             }
         }
+
+        private fun retry() = loop.after(RETRY_INTERVAL, ::start)
     }
 
-    private fun changed(before: Condition): Boolean {
+    private fun hasChanged(before: Condition): Boolean {
         val present = replica.packedRecords[before.key]
         return if (present == null) before.revision != Revision.ABSENT else present.revision != before.revision
     }
 
     private companion object {
-        val PAUSE = 200.milliseconds
+        val RETRY_INTERVAL = 200.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -110,7 +110,7 @@
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(AFTER_REFUSAL, again)
-                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, isOwner = { shard.open }, again)
                 else -> replica.catchUp { loop.after(AFTER_CONFLICT, again) }
             }
         }
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -122,7 +122,7 @@
                         replica.applyCommitted(transaction, outcome.revision)
                     }
                     if (outcome == TransactionOutcome.Unknown && settles) {
-                        unresolvedWrites.resolve(packedWrite, ours = { true }) {
+                        unresolvedWrites.resolve(packedWrite, isOwner = { true }) {
                             packedWrite.ranges.forEach(::adopt)
                             packer.clearInFlight(packedWrite)
                         }
