--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 import java.util.Random
 
-/** The dependency graph against [PipelineModel], and what a plain model has no notion of: marks learned early, lost end records. */
+/** The dependency graph against [PipelineModel], and what the model doesn't cover: marks known early, lost end records. */
 class DependencyGraphTest {
     /** Jobs as a replica would hold them, and the records they are made from. */
     private class Records(private val runS: Double = 0.0) {
@@ -25,7 +25,8 @@
 
         fun accept(job: PipelineJob) {
             val spec = specOf(job)
-            jobs.getOrPut(job.id) { Job(job.id) }.live = StoredRecord(LiveRecord(spec, 0, cancelled = false, job.awaits.toList()), next())
+            jobs.getOrPut(job.id) { Job(job.id) }.live =
+                StoredRecord(LiveRecord(spec, 0, cancelled = false, job.dependencies.toList()), next())
             graph.update(listOf(job.id))
         }
 
@@ -41,20 +42,20 @@
             graph.update(listOf(id))
         }
 
-        /** Catches up with everything written so far; the watch brings the mark of [id] again. */
+        /** Everything written so far becomes known; the watch delivers the mark of [id] again. */
         fun catchUp(id: JobId) {
             next()
             graph.update(listOf(id))
         }
 
-        /** The job's end record takes the place of its live one, as the leader's closing transaction has it. */
+        /** Replaces the job's live record by its end record, as the leader's transaction does. */
         fun end(id: JobId) {
             val job = jobs.remove(id) ?: return
             ends[id] = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             graph.update(listOf(id))
         }
 
-        /** All live records are read anew, into new objects. */
+        /** Loads all live records again, into new objects. */
         fun reload() {
             val before = HashMap(jobs)
             jobs.clear()
@@ -85,8 +86,8 @@
 
     private fun id(number: Int) = JobId("job-$number")
 
-    private fun job(number: Int, vararg awaits: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
-        PipelineJob(id(number), awaits.map(::id).toSet(), priority, dueAtS)
+    private fun job(number: Int, vararg dependencies: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
+        PipelineJob(id(number), dependencies.map(::id).toSet(), priority, dueAtS)
 
     private fun statusByModel(model: PipelineModel, id: JobId): JobStatus = when {
         model.isDone(id) -> JobStatus.DONE
@@ -121,8 +122,8 @@
                 is RandomPipelines.Step.Cancel -> records.mark(step.id)
             }
             if (random.nextInt(4) == 0) {
-                val over = model.ids.filter { it in records.jobs && (model.isDone(it) || model.isAborted(it)) }
-                over.filter { random.nextInt(2) == 0 }.shuffled(random).forEach {
+                val finished = model.ids.filter { it in records.jobs && (model.isDone(it) || model.isAborted(it)) }
+                finished.filter { random.nextInt(2) == 0 }.shuffled(random).forEach {
                     records.end(it)
                     ended++
                 }
--- a/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test
 import java.util.Random
 
-/** The model by which the real class is judged. */
+/** The model with which [DependencyGraph] is compared. */
 class PipelineModelTest {
     private fun id(number: Int) = JobId("job-$number")
 
@@ -56,26 +56,26 @@
         assertEquals(80.0, model.tightestDueS(id(1)))
     }
 
-    /** One day of 30 jobs; tells how many of them were done. */
-    private fun checkedDay(seed: Long): Int {
-        val over = HashMap<JobId, Boolean>()
+    /** Checks one history of 30 jobs; returns how many of them were done. */
+    private fun checkedHistory(seed: Long): Int {
+        val ended = HashMap<JobId, Boolean>()
         val model = RandomPipelines(Random(seed)).play(jobs = 30) { _, now ->
             for (id in now.ids) {
                 val states = listOf(now.isBlocked(id), now.isReleased(id), now.isDone(id), now.isAborted(id))
                 assertEquals(1, states.count { it }, "$id: $states")
-                if (now.isDone(id) || now.isAborted(id)) assertEquals(now.isDone(id), over.getOrPut(id) { now.isDone(id) }, "$id")
+                if (now.isDone(id) || now.isAborted(id)) assertEquals(now.isDone(id), ended.getOrPut(id) { now.isDone(id) }, "$id")
                 if (now.isDone(id) || now.isReleased(id)) assertTrue(now.predecessors(id).all(now::isDone), "$id")
             }
-            assertTrue(over.keys.all { now.isDone(it) || now.isAborted(it) })
+            assertTrue(ended.keys.all { now.isDone(it) || now.isAborted(it) })
         }
-        assertEquals(30, over.size, "all come to an end")
-        assertTrue(model.ids.any { model.predecessors(it).size > model.awaits(it).size }, "nothing is needed through another")
+        assertEquals(30, ended.size, "all come to an end")
+        assertTrue(model.ids.any { model.predecessors(it).size > model.dependencies(it).size }, "nothing is needed through another")
         return model.ids.count(model::isDone)
     }
 
     @Test
     fun `each job is in one state, what is over stays so, and many end either way`() {
-        val done = (1L..40L).map(::checkedDay)
+        val done = (1L..40L).map(::checkedHistory)
         assertTrue(done.count { it in 5..25 } >= 10, "jobs done of 30, by seed: $done")
     }
 }
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -21,13 +21,18 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Packed records against a plain map of pages, with many writes under way at a time and some of them applied twice over. */
+/** Packed records against a plain map of entries, with many writes in flight at a time and some of them applied late. */
 class RecordPackerTest {
-    /** With [lateOneIn], one write in so many has no answer and is applied seconds later; [settles]: the writer sees to its end. */
-    private class Bench(
+    /**
+     * One writer of packed records, the service that it writes to, and a plain map of what it has written.
+     *
+     * @param lateWriteOneIn one write in this many has no answer and is applied seconds later; with 0, none.
+     * @param resolvesUnknownOutcomes whether the writer resolves writes without an answer before it goes on.
+     */
+    private class PackerFixture(
         seed: Long,
-        private val lateOneIn: Int = 0,
-        private val settles: Boolean = true,
+        private val lateWriteOneIn: Int = 0,
+        private val resolvesUnknownOutcomes: Boolean = true,
         private var limits: StateLimits = StateLimits(1e6, 1e6, 4.0, 12),
         private val jobs: Int = JOBS,
     ) {
@@ -41,26 +46,26 @@
         private val unresolvedWrites =
             UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { Condition("cg/now/none", Revision.ABSENT) }
         val model = HashMap<TaskRange, String>()
-        val late get() = network.lateWrites
+        val lateWrites get() = network.lateWrites
 
         init {
             network.listen(AT, "state", loop, service)
             sim.run(500.0)
             repeat(jobs) { put(Keys.live(JobId("job-$it")), RecordCodec.encode(LiveRecord(SimSite.job(it, tasks = 300), 0, false))) }
             sim.run(500.0)
-            network.lateWriteOneIn = lateOneIn
+            network.lateWriteOneIn = lateWriteOneIn
         }
 
         private fun packer() = RecordPacker(
             replica,
             limits,
             Keys.assignmentRecords(JobKind.ARRAY),
-            { job, page -> job.assignmentRanges[page] },
-            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
+            { job, rangeIndex -> job.assignmentRanges[rangeIndex] },
+            { job, rangeIndex -> job.assignmentRanges[rangeIndex]?.let { RecordCodec.encode(it.value) } },
         )
 
-        /** The writer is replaced by one that is told lower limits, and the service enforces them from now on. */
-        fun lower(valueKb: Double, transactionWrites: Int) {
+        /** Replaces the writer by one with lower limits, which the service enforces from now on. */
+        fun lowerLimits(valueKb: Double, transactionWrites: Int) {
             limits = StateLimits(1e6, 1e6, valueKb, transactionWrites)
             service.limits = ServiceLimits(limits.valueBytes, transactionWrites, 1e6)
             packer = packer()
@@ -81,20 +86,20 @@
             replica,
             StateLimits(1e6, 1e6, 8.0, 12),
             Keys.assignmentRecords(JobKind.ARRAY),
-            { job, page -> job.assignmentRanges[page] },
-            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
+            { job, rangeIndex -> job.assignmentRanges[rangeIndex] },
+            { job, rangeIndex -> job.assignmentRanges[rangeIndex]?.let { RecordCodec.encode(it.value) } },
         )
 
-        /** A round of the former version; nothing of another writer may be under way. */
+        /** A round of the former version; no write of another writer may be in flight. */
         fun formerStep() {
             service.limits = null
-            val pages = changedPages { job, page -> former.ready(job, page) }
-            for (packedWrite in former.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
+            val changes = randomChanges { job, rangeIndex -> former.ready(job, rangeIndex) }
+            for (packedWrite in former.pack(changes.mapValues { RecordCodec.encode(it.value) })) {
                 val transaction = Transaction(packedWrite.conditions, packedWrite.writes)
                 former.markInFlight(packedWrite)
                 store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(changes.getValue(it)).decodeToString() }
                         replica.applyCommitted(transaction, outcome.revision)
                     }
                     loop.after(sim.random.nextInt(40).milliseconds) { former.clearInFlight(packedWrite) }
@@ -106,8 +111,8 @@
         fun pack(changes: Map<TaskRange, ByteArray>) = packer.pack(changes)
 
         fun step() {
-            val pages = changedPages(packer::ready)
-            for (packedWrite in packer.pack(pages.mapValues { RecordCodec.encode(it.value) })) {
+            val changes = randomChanges(packer::ready)
+            for (packedWrite in packer.pack(changes.mapValues { RecordCodec.encode(it.value) })) {
                 assertTrue(packedWrite.write.value.size <= limits.valueBytes)
                 assertTrue(
                     packer
@@ -118,25 +123,25 @@
                 packer.markInFlight(packedWrite)
                 store.commit(WritePriority.ASSIGNMENT, transaction) { outcome ->
                     if (outcome is TransactionOutcome.Applied) {
-                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(pages.getValue(it)).decodeToString() }
+                        packedWrite.ranges.forEach { model[it] = RecordCodec.encode(changes.getValue(it)).decodeToString() }
                         replica.applyCommitted(transaction, outcome.revision)
                     }
-                    if (outcome == TransactionOutcome.Unknown && settles) {
+                    if (outcome == TransactionOutcome.Unknown && resolvesUnknownOutcomes) {
                         unresolvedWrites.resolve(packedWrite, isOwner = { true }) {
-                            packedWrite.ranges.forEach(::adopt)
+                            packedWrite.ranges.forEach(::recordAsWritten)
                             packer.clearInFlight(packedWrite)
                         }
                         return@commit
                     }
-                    // Its end is known a little later than its effect, as after a conflict.
+                    // The outcome is processed a little later than it takes effect, as after a conflict.
                     loop.after(sim.random.nextInt(40).milliseconds) { packer.clearInFlight(packedWrite) }
                 }
             }
             sim.run(sim.random.nextInt(12).toDouble())
         }
 
-        private fun changedPages(ready: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
-            val pages = LinkedHashMap<TaskRange, AssignmentRange>()
+        private fun randomChanges(ready: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
+            val changes = LinkedHashMap<TaskRange, AssignmentRange>()
             repeat(1 + sim.random.nextInt(6)) {
                 val range = TaskRange(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
                 val job = replica.jobs.getValue(range.job)
@@ -144,29 +149,28 @@
                 val present = job.assignmentRanges[range.index]?.value ?: AssignmentRange.EMPTY
                 val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
                 val group = AssignmentGroup(ShardName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
-                val page = AssignmentRange(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
-                pages[range] = page
+                changes[range] = AssignmentRange(listOf(group), BitSet(), present.lastGeneration + 1, 256, present.version + 1)
             }
-            return pages
+            return changes
         }
 
-        /** What has become of a page whose write had no answer. */
-        private fun adopt(range: TaskRange) {
+        /** Adds the entry of [range] to the model, after a write without an answer, as the replica has it now. */
+        private fun recordAsWritten(range: TaskRange) {
             replica.jobs[range.job]
                 ?.assignmentRanges
                 ?.get(range.index)
                 ?.let { model[range] = RecordCodec.encode(it.value).decodeToString() }
         }
 
-        fun reread(): Map<TaskRange, String> {
-            sim.run(if (lateOneIn > 0) 16_000.0 else 2000.0)
+        fun readAllEntries(): Map<TaskRange, String> {
+            sim.run(if (lateWriteOneIn > 0) 16_000.0 else 2000.0)
             val reader = Replica(loop, StateClient(loop, network.callerOf("reader", loop), AT, limits)).also { it.start() }
             sim.run(2000.0)
             return reader.jobs.values
                 .flatMap { job ->
-                    job.assignmentRanges.map { (page, packed) ->
-                        TaskRange(job.id, page) to
-                            RecordCodec.encode(packed.value).decodeToString()
+                    job.assignmentRanges.map { (rangeIndex, entry) ->
+                        TaskRange(job.id, rangeIndex) to
+                            RecordCodec.encode(entry.value).decodeToString()
                     }
                 }.toMap()
         }
@@ -174,33 +178,33 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a new reader finds every page as it was written last`(seed: Long) {
-        val bench = Bench(seed)
+    fun `a new reader finds every entry as it was written last`(seed: Long) {
+        val fixture = PackerFixture(seed)
         repeat(40) {
-            repeat(12) { bench.step() }
-            assertEquals(bench.model, bench.reread())
+            repeat(12) { fixture.step() }
+            assertEquals(fixture.model, fixture.readAllEntries())
         }
-        assertTrue(bench.model.size > 50)
+        assertTrue(fixture.model.size > 50)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [5, 6, 7, 8])
-    fun `a write that is carried out late leaves every page in one packed record, as it was written last`(seed: Long) {
-        val bench = Bench(seed, lateOneIn = 6)
+    fun `a write that is carried out late leaves every entry in one packed record, as it was written last`(seed: Long) {
+        val fixture = PackerFixture(seed, lateWriteOneIn = 6)
         repeat(12) {
-            repeat(12) { bench.step() }
-            assertEquals(bench.model, bench.reread())
+            repeat(12) { fixture.step() }
+            assertEquals(fixture.model, fixture.readAllEntries())
         }
-        assertTrue(bench.late > 20, "${bench.late} writes were late")
+        assertTrue(fixture.lateWrites > 20, "${fixture.lateWrites} writes were late")
     }
 
     @Test
     fun `a writer that does not see to the end of such writes is caught`() {
         val failing = (5L..8L).any { seed ->
-            val bench = Bench(seed, lateOneIn = 6, settles = false)
+            val fixture = PackerFixture(seed, lateWriteOneIn = 6, resolvesUnknownOutcomes = false)
             (1..12).any {
-                repeat(12) { bench.step() }
-                bench.model != bench.reread()
+                repeat(12) { fixture.step() }
+                fixture.model != fixture.readAllEntries()
             }
         }
         assertTrue(failing)
@@ -208,47 +212,47 @@
 
     @ParameterizedTest
     @CsvSource("11, 0", "12, 0", "13, 0", "14, 6", "15, 6", "16, 6", "17, 6")
-    fun `after the limits were lowered no page is lost, and nothing is written above them`(seed: Long, lateOneIn: Int) {
-        val bench = Bench(seed, lateOneIn, limits = StateLimits(1e6, 1e6, 8.0, 12), jobs = 3 * JOBS)
-        repeat(200) { bench.step() }
-        assertEquals(bench.model, bench.reread())
-        assertTrue(bench.packedRecordSizes().max() > LOWERED_BYTES, "${bench.packedRecordSizes()}")
-        bench.lower(2.0, 4)
+    fun `after the limits were lowered no entry is lost, and nothing is written above them`(seed: Long, lateWriteOneIn: Int) {
+        val fixture = PackerFixture(seed, lateWriteOneIn, limits = StateLimits(1e6, 1e6, 8.0, 12), jobs = 3 * JOBS)
+        repeat(200) { fixture.step() }
+        assertEquals(fixture.model, fixture.readAllEntries())
+        assertTrue(fixture.packedRecordSizes().max() > LOWERED_BYTES, "${fixture.packedRecordSizes()}")
+        fixture.lowerLimits(2.0, 4)
         repeat(20) {
-            repeat(12) { bench.step() }
-            assertEquals(bench.model, bench.reread())
+            repeat(12) { fixture.step() }
+            assertEquals(fixture.model, fixture.readAllEntries())
         }
-        assertEquals(0, bench.service.limitRefusals.malformed, "${bench.service.limitRefusals}")
-        // Every page has moved by now, or nearly: what was left in the large packed records has made room for rewrites.
-        assertTrue(bench.packedRecordSizes().max() <= LOWERED_BYTES, "${bench.packedRecordSizes()}")
+        assertEquals(0, fixture.service.limitRefusals.malformed, "${fixture.service.limitRefusals}")
+        // Nearly every entry has moved by now, so that the large packed records could be rewritten.
+        assertTrue(fixture.packedRecordSizes().max() <= LOWERED_BYTES, "${fixture.packedRecordSizes()}")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `the former version and this one write the same packed records in turn, and no page is lost`(seed: Long) {
-        val bench = Bench(seed, jobs = 3 * JOBS)
+    fun `the former version and this one write the same packed records in turn, and no entry is lost`(seed: Long) {
+        val fixture = PackerFixture(seed, jobs = 3 * JOBS)
         repeat(6) { turn ->
             repeat(3) {
-                repeat(25) { bench.formerStep() }
-                assertEquals(bench.model, bench.reread())
+                repeat(25) { fixture.formerStep() }
+                assertEquals(fixture.model, fixture.readAllEntries())
             }
-            if (turn == 0) assertTrue(bench.packedRecordSizes().max() > LOWERED_BYTES, "${bench.packedRecordSizes()}")
-            bench.lower(2.0, 4)
+            if (turn == 0) assertTrue(fixture.packedRecordSizes().max() > LOWERED_BYTES, "${fixture.packedRecordSizes()}")
+            fixture.lowerLimits(2.0, 4)
             repeat(3) {
-                repeat(25) { bench.step() }
-                assertEquals(bench.model, bench.reread())
+                repeat(25) { fixture.step() }
+                assertEquals(fixture.model, fixture.readAllEntries())
             }
-            assertEquals(0, bench.service.limitRefusals.malformed, "${bench.service.limitRefusals}")
+            assertEquals(0, fixture.service.limitRefusals.malformed, "${fixture.service.limitRefusals}")
         }
     }
 
     @Test
-    fun `a page that is too large for a value is left out, the others are written`() {
-        val bench = Bench(1)
-        bench.lower(0.25, 4)
+    fun `an entry that is too large for a value is left out, the others are written`() {
+        val fixture = PackerFixture(1)
+        fixture.lowerLimits(0.25, 4)
         val small = "{\"v\":1}".toByteArray()
         val large = ByteArray(256) { '1'.code.toByte() }
-        val writes = bench.pack(mapOf(TaskRange(JobId("job-1"), 0) to large, TaskRange(JobId("job-2"), 0) to small))
+        val writes = fixture.pack(mapOf(TaskRange(JobId("job-1"), 0) to large, TaskRange(JobId("job-2"), 0) to small))
         assertEquals(listOf(setOf(TaskRange(JobId("job-2"), 0))), writes.map { it.ranges })
     }
 
