--- a/src/main/kotlin/copperglade/storage/Deadline.kt
+++ b/src/main/kotlin/copperglade/storage/Deadline.kt
@@ -7,20 +7,20 @@
  *
  * @property load the load class of the job that the deadline was set for; its objectives say which multiples of the deadline count.
  * @param submittedAtMs when that job was submitted, in wall-clock milliseconds.
- * @param deadlineS the deadline, in seconds from then.
+ * @param deadlineSeconds the deadline, in seconds from then.
  * @param downstreamRunS the predicted run time, in seconds, of the jobs between this one and that deadline.
  */
 class Deadline(
     val load: String,
     private val submittedAtMs: Long,
-    private val deadlineS: Double,
+    private val deadlineSeconds: Double,
     private val downstreamRunS: Double = 0.0,
 ) {
     /** Seconds from [fromMs] until the job has to be done, with the deadline multiplied by [multiple]. */
-    fun dueInS(multiple: Double, fromMs: Long): Double = (submittedAtMs - fromMs) / MS_PER_S + multiple * deadlineS - downstreamRunS
+    fun dueInS(multiple: Double, fromMs: Long): Double = (submittedAtMs - fromMs) / MS_PER_S + multiple * deadlineSeconds - downstreamRunS
 
     /** The same deadline for a job that has to be done [runS] seconds earlier. */
-    fun earlierBy(runS: Double) = Deadline(load, submittedAtMs, deadlineS, downstreamRunS + runS)
+    fun earlierBy(runS: Double) = Deadline(load, submittedAtMs, deadlineSeconds, downstreamRunS + runS)
 
     /** Whether the difference to [other] is too small to schedule jobs differently. */
     fun isCloseTo(other: Deadline): Boolean =
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -31,7 +31,7 @@
     idleRefreshInterval: Duration = IDLE_REFRESH_INTERVAL,
     maxCatchUp: Duration = MAX_CATCH_UP,
     maxEndedJobs: Int = EndedJobs.MIN_REMEMBERED,
-    predictRunS: (JobSpec) -> Double = { it.estimateS },
+    predictRunS: (JobSpec) -> Double = { it.estimatedSeconds },
 ) {
     private val table = RecordTable(::rememberEnd)
     private val reader = ChangeReader(loop, store, Target(), readers, idleRefreshInterval, maxCatchUp)
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Revision
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -19,7 +19,7 @@
  */
 class StateClient(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val endpoint: Endpoint,
     val limits: StateLimits,
     firstShare: Double = 1.0,
@@ -43,7 +43,7 @@
     }
 
     /** Writes per second that this controller has wanted to make lately, those still queued included. */
-    val writeDemandPerS: Double get() = writes.demandPerS
+    val desiredWritesPerSecond: Double get() = writes.desiredPerSecond
 
     /** How full the write budget is, from 0 to 1: batches widen as it shrinks. */
     fun writeBudgetLevel(): Double = writes.budgetLevel()
@@ -76,7 +76,7 @@
             ?: TransactionOutcome.Unknown
         HttpStatus.CONFLICT -> TransactionOutcome.Conflict(StateServiceCodec.decodeConflict(reply.body))
         HttpStatus.BAD_REQUEST -> rejected(StateServiceCodec.decodeError(reply.body))
-        HttpStatus.TOO_MANY, HttpStatus.UNAVAILABLE -> TransactionOutcome.Refused
+        HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE -> TransactionOutcome.Refused
         else -> {
             log.warn("transaction_unexpected_status status={}", reply.status)
             TransactionOutcome.Unknown
@@ -133,8 +133,8 @@
     }
 
     private fun call(request: Request, timeout: Duration, done: (Reply?) -> Unit) = http.call(endpoint, request, timeout) { reply ->
-        if (reply != null && reply.status != HttpStatus.UNAVAILABLE) lastAnswerAt = loop.now()
-        if (reply?.status == HttpStatus.TOO_MANY) log.info("state_service_over_budget")
+        if (reply != null && reply.status != HttpStatus.SERVICE_UNAVAILABLE) lastAnswerAt = loop.now()
+        if (reply?.status == HttpStatus.TOO_MANY_REQUESTS) log.info("state_service_over_budget")
         done(reply)
     }
 
--- a/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
+++ b/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
@@ -5,11 +5,11 @@
 import copperglade.protocol.Json
 import copperglade.protocol.LeaseId
 import copperglade.protocol.Revision
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Reply
@@ -34,25 +34,25 @@
         Request(Method.GET, "/changes?starts=$prefix&from=$from&waitMs=${wait.inWholeMilliseconds}")
 
     fun openLease(length: Duration) =
-        Request(Method.POST, "/holds", Json.write { obj { writeNumberField("ttlMs", length.inWholeMilliseconds) } })
+        Request(Method.POST, "/holds", Json.write { writeJsonObject { writeNumberField("ttlMs", length.inWholeMilliseconds) } })
 
     fun extendLease(leaseId: LeaseId) = Request(Method.POST, "/holds/$leaseId/extend")
 
     fun endLease(leaseId: LeaseId) = Request(Method.DELETE, "/holds/$leaseId")
 
     private fun encode(transaction: Transaction): ByteArray = Json.write {
-        obj {
-            array("if") { transaction.conditions.forEach { condition(it) } }
-            array("writes") { transaction.writes.forEach { write(it) } }
+        writeJsonObject {
+            writeJsonArray("if") { transaction.conditions.forEach { condition(it) } }
+            writeJsonArray("writes") { transaction.writes.forEach { write(it) } }
         }
     }
 
-    private fun JsonGenerator.condition(condition: Condition) = obj {
+    private fun JsonGenerator.condition(condition: Condition) = writeJsonObject {
         writeStringField("k", condition.key)
         writeNumberField("stamp", condition.revision.number)
     }
 
-    private fun JsonGenerator.write(write: Write) = obj {
+    private fun JsonGenerator.write(write: Write) = writeJsonObject {
         when (write) {
             is Write.Delete -> writeStringField("drop", write.key)
             is Write.Set -> {
@@ -65,7 +65,7 @@
     }
 
     /** The revision of an applied transaction, or null where the answer doesn't say it. */
-    fun decodeAppliedRevision(body: ByteArray): Revision? = Json.read(body)?.long("ledger")?.let(::Revision)
+    fun decodeAppliedRevision(body: ByteArray): Revision? = Json.read(body)?.longOrNull("ledger")?.let(::Revision)
 
     /** The keys whose conditions didn't hold. */
     fun decodeConflict(body: ByteArray): List<String> {
@@ -74,7 +74,7 @@
     }
 
     /** The error text of a transaction that was answered as malformed. */
-    fun decodeError(body: ByteArray): String = Json.read(body)?.text("error").orEmpty()
+    fun decodeError(body: ByteArray): String = Json.read(body)?.stringOrNull("error").orEmpty()
 
     /** Whether an error text means that the lease has ended, and not that the transaction is malformed. */
     fun saysNoSuchLease(error: String): Boolean = error.contains(NO_SUCH_LEASE, ignoreCase = true)
@@ -82,7 +82,7 @@
     fun decodeRead(reply: Reply?): ReadOutcome {
         val node = treeOf(reply)
         val value = node?.get("data")
-        val revision = node?.long("stamp")
+        val revision = node?.longOrNull("stamp")
         return when {
             value != null && revision != null -> ReadOutcome.Present(EncodedRecord(value), Revision(revision))
             reply?.status == HttpStatus.NOT_FOUND -> ReadOutcome.Absent
@@ -92,15 +92,15 @@
 
     fun decodeList(reply: Reply?): ListOutcome {
         val node = treeOf(reply)
-        val storeRevision = node?.long("ledger") ?: return ListOutcome.Failed
+        val storeRevision = node?.longOrNull("ledger") ?: return ListOutcome.Failed
         val records = node.get("entries")?.mapNotNull(::decodeListed) ?: return ListOutcome.Failed
-        return ListOutcome.Received(records, node.flag("truncated") ?: false, Revision(storeRevision))
+        return ListOutcome.Received(records, node.booleanOrNull("truncated") ?: false, Revision(storeRevision))
     }
 
     private fun decodeListed(node: JsonNode): ListedRecord? {
-        val key = node.text("k")
+        val key = node.stringOrNull("k")
         val value = node.get("data")
-        val revision = node.long("stamp")
+        val revision = node.longOrNull("stamp")
         return if (key == null || value == null || revision == null) null else ListedRecord(key, EncodedRecord(value), Revision(revision))
     }
 
@@ -111,21 +111,21 @@
     }
 
     private fun decodeReceivedChanges(node: JsonNode?): ChangesOutcome {
-        val storeRevision = node?.long("ledger") ?: return ChangesOutcome.Failed
+        val storeRevision = node?.longOrNull("ledger") ?: return ChangesOutcome.Failed
         return ChangesOutcome.Received(Revision(storeRevision), node.get("events")?.mapNotNull(::decodeChange).orEmpty())
     }
 
     private fun decodeChange(node: JsonNode): Change? {
-        val revision = Revision(node.long("stamp") ?: return null)
-        val deleted = node.text("drop")
+        val revision = Revision(node.longOrNull("stamp") ?: return null)
+        val deleted = node.stringOrNull("drop")
         if (deleted != null) return Change.Deleted(deleted, revision)
-        val key = node.text("set") ?: return null
+        val key = node.stringOrNull("set") ?: return null
         val value = node.get("data") ?: return null
         return Change.Set(key, EncodedRecord(value), revision)
     }
 
     fun decodeOpenedLease(reply: Reply?): LeaseOutcome {
-        val leaseId = treeOf(reply)?.long("permit")
+        val leaseId = treeOf(reply)?.longOrNull("permit")
         return if (leaseId == null) LeaseOutcome.Failed else LeaseOutcome.Granted(LeaseId(leaseId))
     }
 
--- a/src/main/kotlin/copperglade/storage/WriteQueue.kt
+++ b/src/main/kotlin/copperglade/storage/WriteQueue.kt
@@ -27,8 +27,8 @@
 
     fun setShare(share: Double) = budget.setRate(limits.writesPerS * share, loop.now())
 
-    /** See [StateClient.writeDemandPerS]. */
-    val demandPerS: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_WINDOW_S
+    /** See [StateClient.desiredWritesPerSecond]. */
+    val desiredPerSecond: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_WINDOW_S
 
     /** See [StateClient.writeBudgetLevel]. */
     fun budgetLevel(): Double = budget.level(loop.now())
