--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -61,7 +61,7 @@
         when (parsed) {
             is ParsedSubmission.Invalid -> refuse(id, badRequest(parsed.why), responder)
             is ParsedSubmission.Valid -> {
-                if (!types.known || replica.state != ReplicaState.CURRENT || store.isUserQueueFull()) return responder.send(later())
+                if (!types.isLoaded || replica.state != ReplicaState.CURRENT || store.isUserQueueFull()) return responder.send(later())
                 val refusal = impossible(parsed.spec)?.let(::unprocessable) ?: if (fits(recordOf(parsed.spec))) null else tooLarge("body")
                 if (refusal != null) refuse(id, refusal, responder) else acceptAfter(parsed.dependencies, parsed.spec, responder)
             }
