--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -43,7 +43,7 @@
         for (assignment in job.assignments()) {
             if (assignment.shard != state.name) continue
             assigned += assignment.task
-            val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
+            val run = runFor(job, spec, live.value.acceptedAtMillis, assignment)
             run.updateSpec(spec)
             if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -242,7 +242,7 @@
     /** Whether a task of [job] has found no machine for a while, though there is as much room on all of them together. */
     private fun isFragmented(job: Job, capacities: Collection<MachineAvailability>): Boolean {
         val spec = job.spec ?: return false
-        if (loop.wallMillis() < job.startableSinceMs + FRAGMENTED_AFTER_MS) return false
+        if (loop.wallMillis() < job.startableSinceMillis + FRAGMENTED_AFTER_MS) return false
         val allowed = capacities.filter { it.usable && spec.allows(it.type, it.zone, it.spot) }
         return allowed.none { spec.request.fitsIn(it.free) } && allowed.sumOf { it.free.cpus } >= spec.request.cpus
     }
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -46,7 +46,7 @@
         var ordinary = 0.0
         var flexible = 0.0
         var largestTrial = Demand(0.0, 0.0)
-        for (job in jobs.filter { it.live != null }.sortedBy { it.live!!.value.acceptedAtMs }) {
+        for (job in jobs.filter { it.live != null }.sortedBy { it.live!!.value.acceptedAtMillis }) {
             val spec = job.spec ?: continue
             if (job.cancelled || job.complete || job.blocked) continue
             if (job.failing) {
@@ -87,8 +87,8 @@
      */
     fun atOnce(job: Job, spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 1.0
-        val dueInS = job.deadline?.dueInS(1.0, job.startableSinceMs)
-        val time = (dueInS ?: (spec.estimatedSeconds * 2)) * SHARE_OF_DEADLINE
+        val dueInSeconds = job.deadline?.dueInSeconds(1.0, job.startableSinceMillis)
+        val time = (dueInSeconds ?: (spec.estimatedSeconds * 2)) * SHARE_OF_DEADLINE
         return if (time <= spec.estimatedSeconds) 1.0 else spec.estimatedSeconds / time
     }
 }
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -172,7 +172,7 @@
      */
     private fun cancelledRecord(live: LiveRecord): LiveRecord {
         if (fits(live)) return live.withCancelledMark()
-        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMs, cancelled = true, live.dependencies)
+        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMillis, cancelled = true, live.dependencies)
     }
 
     /** Calls back with the job's present state, or null where no such job was ever accepted; else answers 503. */
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -60,7 +60,7 @@
             .thenByDescending {
                 it.job.live
                     ?.value
-                    ?.acceptedAtMs ?: 0L
+                    ?.acceptedAtMillis ?: 0L
             }
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -26,7 +26,7 @@
     }
 
     /** How long the job could have been running already. */
-    fun waitedSeconds(job: SchedulableJob): Double = (loop.wallMillis() - job.job.startableSinceMs) / MILLIS_PER_SECOND
+    fun waitedSeconds(job: SchedulableJob): Double = (loop.wallMillis() - job.job.startableSinceMillis) / MILLIS_PER_SECOND
 
     private fun byPriority(waiting: List<SchedulableJob>, poolCpus: Double): List<SchedulableJob> {
         val (withDeadline, withoutDeadline) = waiting.partition { it.deadline != null }
@@ -77,7 +77,7 @@
     private fun dueInSeconds(job: SchedulableJob): List<Double> {
         val deadline = job.deadline ?: return emptyList()
         val nowMillis = loop.wallMillis()
-        return (objectives.deadlineMultiples[deadline.load] ?: DEADLINE_ONLY).map { deadline.dueInS(it, nowMillis) }
+        return (objectives.deadlineMultiples[deadline.load] ?: DEADLINE_ONLY).map { deadline.dueInSeconds(it, nowMillis) }
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/scheduling/Scheduler.kt
+++ b/src/main/kotlin/copperglade/scheduling/Scheduler.kt
@@ -87,7 +87,7 @@
         val schedulable = ArrayList<SchedulableJob>()
         val accepted = replica.jobs.values
             .filter { it.live != null }
-            .sortedBy { it.live?.value?.acceptedAtMs }
+            .sortedBy { it.live?.value?.acceptedAtMillis }
         for (job in accepted) {
             val record = job.live?.value ?: continue
             val spec = job.spec ?: continue
@@ -97,7 +97,7 @@
             usage.use(spec.request * (assigned.size + writer.unresolvedTasks(job.id)))
             val isActive = !job.complete && !job.cancelled
             val isGuaranteed = isActive && usage.request(spec.request * job.wantedTasks) && !job.failing
-            schedulable += SchedulableJob(job, spec, record.acceptedAtMs, assigned, isGuaranteed)
+            schedulable += SchedulableJob(job, spec, record.acceptedAtMillis, assigned, isGuaranteed)
         }
         return schedulable
     }
--- a/src/main/kotlin/copperglade/storage/BudgetShare.kt
+++ b/src/main/kotlin/copperglade/storage/BudgetShare.kt
@@ -8,12 +8,12 @@
     /**
      * This controller's share, from 0 to 1.
      *
-     * @param demandPerS this controller's own demand.
-     * @param othersPerS the other controllers' demands; null for an unknown one, which may be as high as this controller's.
+     * @param demandPerSecond this controller's own demand.
+     * @param othersPerSecond the other controllers' demands; null for an unknown one, which may be as high as this controller's.
      */
-    fun of(demandPerS: Double, othersPerS: List<Double?>, budgetPerS: Double): Double {
-        val minimum = budgetPerS * EQUAL_PART / (othersPerS.size + 1)
-        val sum = demandPerS + minimum + othersPerS.sumOf { (it ?: demandPerS) + minimum }
-        return (demandPerS + minimum) / sum
+    fun of(demandPerSecond: Double, othersPerSecond: List<Double?>, budgetPerSecond: Double): Double {
+        val minimum = budgetPerSecond * EQUAL_PART / (othersPerSecond.size + 1)
+        val sum = demandPerSecond + minimum + othersPerSecond.sumOf { (it ?: demandPerSecond) + minimum }
+        return (demandPerSecond + minimum) / sum
     }
 }
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -39,7 +39,7 @@
     private val maxCatchUp: Duration,
 ) {
     /** The interval between requests at which all readers together use half of the service's requests. */
-    val minInterval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerS * READ_SHARE)).seconds)
+    val minInterval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
     private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
     private var readInFlight = false
     private var watchOpen = false
@@ -149,8 +149,8 @@
     fun readIfRequested() {
         if (readInFlight || !watchOpen || waiters.isEmpty() || target.state != ReplicaState.CURRENT) return
         readInFlight = true
-        val remainingMs = pause().inWholeMilliseconds - (loop.now().ms - lastRequestAt.ms)
-        if (remainingMs > 0) loop.after(remainingMs.milliseconds) { readNow() } else readNow()
+        val remainingMillis = pause().inWholeMilliseconds - (loop.now().ms - lastRequestAt.ms)
+        if (remainingMillis > 0) loop.after(remainingMillis.milliseconds) { readNow() } else readNow()
     }
 
     /** The pause between requests: the longer the latest changes took to apply, the more the next read gathers. */
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -21,14 +21,14 @@
  * @param endOf the end record of a job, if it is known.
  * @param knownRevision the revision up to which all changes are known.
  * @param wallMillis the wall clock, in milliseconds.
- * @param predictRunS how long a job's tasks are predicted to run, in seconds.
+ * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, Job>,
     private val endOf: (JobId) -> EndRecord?,
     private val knownRevision: () -> Revision,
     private val wallMillis: () -> Long,
-    private val predictRunS: (JobSpec) -> Double,
+    private val predictRunSeconds: (JobSpec) -> Double,
 ) {
     private val dependenciesOf = HashMap<JobId, List<JobId>>()
     private val dependentsOf = HashMap<JobId, LinkedHashSet<JobId>>()
@@ -40,7 +40,7 @@
     private val outcomes = HashMap<JobId, DependencyOutcome>()
 
     /** When jobs with dependencies were first found released by this controller, in wall-clock milliseconds. */
-    private val releasedAtMs = HashMap<JobId, Long>()
+    private val releasedAtMillis = HashMap<JobId, Long>()
 
     /** Whether any job depends on [id]. */
     fun isAwaited(id: JobId): Boolean = id in dependentsOf
@@ -104,7 +104,7 @@
         outcomes.values.removeIf { !it.final }
         update(jobs.keys.toList())
         outcomes.keys.retainAll(dependentsOf.keys)
-        releasedAtMs.keys.retainAll(dependenciesOf.keys)
+        releasedAtMillis.keys.retainAll(dependenciesOf.keys)
     }
 
     private fun hasDependencies(id: JobId): Boolean = jobs[id]?.dependencies?.isNotEmpty() ?: false
@@ -116,7 +116,7 @@
         before.forEach { removeEdge(id, it) }
         if (current.isEmpty()) {
             dependenciesOf.remove(id)
-            releasedAtMs.remove(id)
+            releasedAtMillis.remove(id)
             return
         }
         dependenciesOf[id] = current
@@ -154,7 +154,7 @@
             dependencies.all { it == DependencyOutcome.DONE } -> DependencyState.RELEASED
             else -> return false
         }
-        val releasedAt = if (next == DependencyState.RELEASED) releasedAtMs.getOrPut(job.id, wallMillis) else null
+        val releasedAt = if (next == DependencyState.RELEASED) releasedAtMillis.getOrPut(job.id, wallMillis) else null
         job.setDependencyState(next, releasedAt)
         return true
     }
@@ -178,7 +178,7 @@
         for (dependent in unfinishedDependents(job.id)) {
             val spec = dependent.spec ?: continue
             if (spec.priority < priority) priority = spec.priority
-            val inherited = dependent.deadline?.earlierBy(predictRunS(spec)) ?: continue
+            val inherited = dependent.deadline?.earlierBy(predictRunSeconds(spec)) ?: continue
             if (deadline == null || inherited.isTighterThan(deadline)) deadline = inherited
         }
         return job.inherit(priority, deadline)
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -20,7 +20,7 @@
     private var inheritedPriority: Priority? = null
     private var inheritedDeadline: Deadline? = null
     private var scheduledSpec: JobSpec? = null
-    private var releasedAtMs: Long? = null
+    private var releasedAtMillis: Long? = null
 
     /** Set by [DependencyGraph]; until then a job with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
@@ -49,13 +49,13 @@
 
     /** The deadline set by its user, if any. */
     val ownDeadline: Deadline?
-        get() = live?.value?.let { record -> record.spec.deadlineSeconds?.let { Deadline(record.spec.load, record.acceptedAtMs, it) } }
+        get() = live?.value?.let { record -> record.spec.deadlineSeconds?.let { Deadline(record.spec.load, record.acceptedAtMillis, it) } }
 
     /** The tightest of its own deadline and those inherited from its dependents. */
     val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
 
     /** When it could first have been started, in wall-clock milliseconds: at its acceptance, or at the end of its last dependency. */
-    val startableSinceMs: Long get() = releasedAtMs ?: live?.value?.acceptedAtMs ?: 0
+    val startableSinceMillis: Long get() = releasedAtMillis ?: live?.value?.acceptedAtMillis ?: 0
 
     /** Whether shard owners have recorded that it fails wherever it runs, and no task has been done since. */
     val failing: Boolean get() = done.isEmpty && outcomeEntries.values.any { it.value.failing }
@@ -76,9 +76,9 @@
     val abortedByDependency: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.ABORTED
 
     /** Sets the state of its dependencies. Only [DependencyGraph] calls it. */
-    internal fun setDependencyState(state: DependencyState, releasedAtMs: Long?) {
+    internal fun setDependencyState(state: DependencyState, releasedAtMillis: Long?) {
         dependencyState = state
-        this.releasedAtMs = releasedAtMs
+        this.releasedAtMillis = releasedAtMillis
     }
 
     /** Sets what it inherits from its dependents; returns whether that changes anything. Only [DependencyGraph] calls it. */
--- a/src/main/kotlin/copperglade/storage/RecentRate.kt
+++ b/src/main/kotlin/copperglade/storage/RecentRate.kt
@@ -4,8 +4,8 @@
 import copperglade.protocol.secondsSince
 import kotlin.math.exp
 
-/** The rate of events per second, weighted exponentially over about [windowS] seconds. */
-internal class RecentRate(private val windowS: Double) {
+/** The rate of events per second, weighted exponentially over about [windowSeconds] seconds. */
+internal class RecentRate(private val windowSeconds: Double) {
     private var weightedCount = 0.0
     private var updatedAt = MonotonicTime.NEVER
 
@@ -16,11 +16,11 @@
 
     fun rate(now: MonotonicTime): Double {
         decay(now)
-        return weightedCount / windowS
+        return weightedCount / windowSeconds
     }
 
     private fun decay(now: MonotonicTime) {
-        weightedCount *= exp(-now.secondsSince(updatedAt).coerceAtLeast(0.0) / windowS)
+        weightedCount *= exp(-now.secondsSince(updatedAt).coerceAtLeast(0.0) / windowSeconds)
         updatedAt = now
     }
 }
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -30,7 +30,7 @@
         writeJsonObject {
             writeFieldName("spec")
             JobSpecCodec.write(this, record.spec)
-            writeNumberField("at", record.acceptedAtMs)
+            writeNumberField("at", record.acceptedAtMillis)
             if (record.cancelled) writeBooleanField("cancelled", true)
             // Left out where empty, as earlier versions do.
             if (record.dependencies.isNotEmpty()) {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -22,7 +22,7 @@
  * @param idleRefreshInterval the age of the snapshot at which it is refreshed though nobody has asked for that.
  * @param maxCatchUp the age of the snapshot at which failing reads lead to a reload.
  * @param maxEndedJobs how many ends of jobs are remembered; the others are looked up in the state service.
- * @param predictRunS how long a job's tasks are predicted to run, in seconds.
+ * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
  */
 class Replica(
     private val loop: EventLoop,
@@ -31,7 +31,7 @@
     idleRefreshInterval: Duration = IDLE_REFRESH_INTERVAL,
     maxCatchUp: Duration = MAX_CATCH_UP,
     maxEndedJobs: Int = EndedJobs.MIN_REMEMBERED,
-    predictRunS: (JobSpec) -> Double = { it.estimatedSeconds },
+    predictRunSeconds: (JobSpec) -> Double = { it.estimatedSeconds },
 ) {
     private val table = RecordTable(::rememberEnd)
     private val reader = ChangeReader(loop, store, Target(), readers, idleRefreshInterval, maxCatchUp)
@@ -40,7 +40,7 @@
     }
 
     /** Which of [jobs] depend on others, and what follows from that. */
-    val dependencies = DependencyGraph(jobs, ::endOf, { knownRevision }, loop::wallMillis, predictRunS)
+    val dependencies = DependencyGraph(jobs, ::endOf, { knownRevision }, loop::wallMillis, predictRunSeconds)
     private val listeners = ArrayList<ReplicaListener>()
 
     val jobs: Map<JobId, Job> get() = table.jobs.byId
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -24,8 +24,8 @@
     val limits: StateLimits,
     firstShare: Double = 1.0,
 ) {
-    private val requests = TokenBucket(limits.requestsPerS * firstShare, BURST_S, loop.now())
-    private val writes = WriteQueue(loop, limits, firstShare, BURST_S, ::sendTransaction)
+    private val requests = TokenBucket(limits.requestsPerSecond * firstShare, BURST_SECONDS, loop.now())
+    private val writes = WriteQueue(loop, limits, firstShare, BURST_SECONDS, ::sendTransaction)
     private var malformedCount = 0
     private var malformedLoggedAt = MonotonicTime.NEVER
 
@@ -38,7 +38,7 @@
 
     /** Sets this controller's shares of the budgets, each from 0 to 1. */
     fun setShares(ofRequests: Double, ofWrites: Double) {
-        requests.setRate(limits.requestsPerS * ofRequests, loop.now())
+        requests.setRate(limits.requestsPerSecond * ofRequests, loop.now())
         writes.setShare(ofWrites)
     }
 
@@ -139,7 +139,7 @@
     }
 
     private companion object {
-        const val BURST_S = 0.8
+        const val BURST_SECONDS = 0.8
         val MALFORMED_LOG_INTERVAL = 10.seconds
         val UNREACHABLE_AFTER = 1.seconds
         val TIMEOUT = 2.seconds
--- a/src/main/kotlin/copperglade/storage/StateLimits.kt
+++ b/src/main/kotlin/copperglade/storage/StateLimits.kt
@@ -1,7 +1,7 @@
 package copperglade.storage
 
 /** Limits of the state service, as the platform's settings give them. The rates are shared by all controllers. */
-class StateLimits(val requestsPerS: Double, val writesPerS: Double, val valueKb: Double, val transactionWrites: Int) {
+class StateLimits(val requestsPerSecond: Double, val writesPerSecond: Double, val valueKb: Double, val transactionWrites: Int) {
     /** The number of conditions that a transaction may have: the protocol allows four for each write. */
     val transactionConditions get() = transactionWrites * CONDITIONS_PER_WRITE
 
--- a/src/main/kotlin/copperglade/storage/TokenBucket.kt
+++ b/src/main/kotlin/copperglade/storage/TokenBucket.kt
@@ -5,19 +5,19 @@
 import kotlin.math.max
 import kotlin.math.min
 
-/** A budget that refills at [perSecond] and holds at most what [burstS] seconds refill. It starts full at [updatedAt]. */
-class TokenBucket(perSecond: Double, private val burstS: Double, private var updatedAt: MonotonicTime) {
+/** A budget that refills at [perSecond] and holds at most what [burstSeconds] seconds refill. It starts full at [updatedAt]. */
+class TokenBucket(perSecond: Double, private val burstSeconds: Double, private var updatedAt: MonotonicTime) {
     var perSecond = perSecond
         private set
-    private var tokens = perSecond * burstS
+    private var tokens = perSecond * burstSeconds
 
     /** The most tokens that the bucket holds. */
-    val capacity: Double get() = perSecond * burstS
+    val capacity: Double get() = perSecond * burstSeconds
 
     fun setRate(rate: Double, now: MonotonicTime) {
         refill(now)
         perSecond = rate
-        tokens = min(tokens, rate * burstS)
+        tokens = min(tokens, rate * burstSeconds)
     }
 
     /**
@@ -48,11 +48,11 @@
     /** How full the bucket is, from 0 to 1. */
     fun level(now: MonotonicTime): Double {
         refill(now)
-        return (tokens / (perSecond * burstS)).coerceIn(0.0, 1.0)
+        return (tokens / (perSecond * burstSeconds)).coerceIn(0.0, 1.0)
     }
 
     private fun refill(now: MonotonicTime) {
-        tokens = min(perSecond * burstS, tokens + perSecond * now.secondsSince(updatedAt).coerceAtLeast(0.0))
+        tokens = min(perSecond * burstSeconds, tokens + perSecond * now.secondsSince(updatedAt).coerceAtLeast(0.0))
         updatedAt = now
     }
 
--- a/src/main/kotlin/copperglade/storage/WriteQueue.kt
+++ b/src/main/kotlin/copperglade/storage/WriteQueue.kt
@@ -12,7 +12,7 @@
     private val loop: EventLoop,
     private val limits: StateLimits,
     initialShare: Double,
-    burstS: Double,
+    burstSeconds: Double,
     private val send: (Transaction, (TransactionOutcome) -> Unit) -> Unit,
 ) {
     private class Queued(val transaction: Transaction, val done: (TransactionOutcome) -> Unit) {
@@ -20,15 +20,15 @@
     }
 
     private val queues = WritePriority.entries.associateWith { ArrayDeque<Queued>() }
-    private val budget = TokenBucket(limits.writesPerS * initialShare, burstS, loop.now())
-    private val demand = RecentRate(DEMAND_WINDOW_S)
+    private val budget = TokenBucket(limits.writesPerSecond * initialShare, burstSeconds, loop.now())
+    private val demand = RecentRate(DEMAND_WINDOW_SECONDS)
     private var inFlight = 0
     private var drainScheduled = false
 
-    fun setShare(share: Double) = budget.setRate(limits.writesPerS * share, loop.now())
+    fun setShare(share: Double) = budget.setRate(limits.writesPerSecond * share, loop.now())
 
     /** See [StateClient.desiredWritesPerSecond]. */
-    val desiredPerSecond: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_WINDOW_S
+    val desiredPerSecond: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_WINDOW_SECONDS
 
     /** See [StateClient.writeBudgetLevel]. */
     fun budgetLevel(): Double = budget.level(loop.now())
@@ -110,7 +110,7 @@
     }
 
     private companion object {
-        const val DEMAND_WINDOW_S = 2.0
+        const val DEMAND_WINDOW_SECONDS = 2.0
         const val URGENT_SHARE = 0.2
 
         /** Below 1, so that a transaction of low priority is sent however small the budget is. */
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -105,7 +105,7 @@
     @Test
     fun `a live array with all optional fields`() {
         val live = live("cg/now/live/job-604")
-        assertEquals(1_001_007, live.acceptedAtMs)
+        assertEquals(1_001_007, live.acceptedAtMillis)
         assertFalse(live.cancelled)
         with(live.spec) {
             assertEquals(listOf("job-604", "batch", "team", "img-3"), listOf(id.text, load, team.text, image.name.text))
@@ -156,14 +156,14 @@
         assertEquals(old.dropLast(1) + ""","cancelled":true}""", RecordCodec.encode(cancelled(live("cg/now/live/job-2"))).decodeToString())
     }
 
-    private fun cancelled(live: LiveRecord) = LiveRecord(live.spec, live.acceptedAtMs, cancelled = true)
+    private fun cancelled(live: LiveRecord) = LiveRecord(live.spec, live.acceptedAtMillis, cancelled = true)
 
     @Test
     fun `a live record with awaited jobs is read with all its other fields`() {
         val sample = ProductionFiles.inSnapshot("cg/now/live/job-602")
         val live = RecordCodec.decodeLive(sample.with("awaits", Json.read("""["job-1","job-2"]""".toByteArray())!!))!!
         assertEquals(JobId("job-602"), live.spec.id)
-        assertEquals(1_001_008, live.acceptedAtMs)
+        assertEquals(1_001_008, live.acceptedAtMillis)
         assertTrue(live.cancelled)
         assertTrue(live.spec.spread)
     }
@@ -392,7 +392,7 @@
         val state = StandInState(loop)
         ProductionFiles.snapshot.forEach { state.put(it.key, it.text.toByteArray()) }
         network.listen(endpoint, "state", loop, state)
-        val limits = StateLimits(requestsPerS = 200.0, writesPerS = 50.0, valueKb = 4.0, transactionWrites = 12)
+        val limits = StateLimits(requestsPerSecond = 200.0, writesPerSecond = 50.0, valueKb = 4.0, transactionWrites = 12)
         val replica = Replica(loop, StateClient(loop, network.callerOf("lorry-0", loop), endpoint, limits))
         replica.start()
         simulation.run(forMs = 5_000.0)
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -61,7 +61,7 @@
 
     @Test
     fun `a room record holds as many machines as fit into a value`() {
-        service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerS)
+        service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerSecond)
         val caller = network.callerOf("member", loop)
         PeerStatusExchange(
             loop,
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -57,7 +57,7 @@
      * large packed records are assigned again.
      */
     private fun SimSite.lowerLimits() {
-        state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerS)
+        state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerSecond)
         killMachine(sim.random.nextInt(workerCount()))
         run(30.0)
         crash(leader() ?: 0, 1500.0)
@@ -106,7 +106,7 @@
     fun `large jobs end where values are tiny and transactions have two writes`(seed: Long) {
         val scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, valueKb = 0.6, transactionWrites = 2)
         val site = SimSite(Simulation(seed), scale = scale, nodes = 5)
-        site.state.limits = with(scale.stateLimits) { ServiceLimits(valueBytes, transactionWrites, writesPerS) }
+        site.state.limits = with(scale.stateLimits) { ServiceLimits(valueBytes, transactionWrites, writesPerSecond) }
         val random = site.sim.random
         repeat(4) { number ->
             val work = HashMap<Int, Double>()
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -17,11 +17,11 @@
 /** The dependency graph against [PipelineModel], and what the model doesn't cover: marks known early, lost end records. */
 class DependencyGraphTest {
     /** Jobs as a replica would hold them, and the records they are made from. */
-    private class Records(private val runS: Double = 0.0) {
+    private class Records(private val runSeconds: Double = 0.0) {
         val jobs = HashMap<JobId, Job>()
         val ends = HashMap<JobId, EndRecord>()
         var knownRevision = Revision(1)
-        val graph = DependencyGraph(jobs, ends::get, { knownRevision }, { 0L }) { runS }
+        val graph = DependencyGraph(jobs, ends::get, { knownRevision }, { 0L }) { runSeconds }
 
         fun accept(job: PipelineJob) {
             val spec = specOf(job)
@@ -104,7 +104,7 @@
             assertEquals(model.isBlocked(id), job.blocked && !job.cancelled, "$id blocked")
             model.effectivePriority(id)?.let { assertEquals(it, job.spec?.priority, "$id priority") }
             if (!model.isDone(id) && !model.isAborted(id)) {
-                assertEquals(model.tightestDueS(id), job.deadline?.dueInS(1.0, 0), "$id due")
+                assertEquals(model.tightestDueS(id), job.deadline?.dueInSeconds(1.0, 0), "$id due")
             }
         }
     }
@@ -187,12 +187,12 @@
 
     @Test
     fun `what lies between a job and a deadline makes it due earlier`() {
-        val records = Records(runS = 10.0)
+        val records = Records(runSeconds = 10.0)
         records.accept(job(1, dueAtS = 500.0))
         records.accept(job(2, 1))
         records.accept(job(3, 2, priority = Priority.HIGH, dueAtS = 100.0))
         val jobs = (1..3).map { records.jobs.getValue(id(it)) }
-        assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInS(1.0, 0) })
+        assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInSeconds(1.0, 0) })
         assertEquals(listOf(Priority.HIGH, Priority.HIGH, Priority.HIGH), jobs.map { it.spec?.priority })
         assertEquals(
             Priority.NORMAL,
@@ -203,7 +203,7 @@
                 ?.priority,
         )
         records.mark(id(3))
-        assertEquals(500.0, jobs[0].deadline?.dueInS(1.0, 0))
+        assertEquals(500.0, jobs[0].deadline?.dueInSeconds(1.0, 0))
         assertEquals(Priority.NORMAL, jobs[0].spec?.priority)
     }
 
