--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -13,66 +13,104 @@
 import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
 
-/** Finds machines of a shard for its waiting runs, and says what lower work has to make room. */
-class Placer(
+/** What a [Placer] asks of its shard, and what it has done there. */
+internal interface PlacementActions {
+    /** Whether tasks of lower priority may be preempted for [run]. */
+    fun mayPreemptFor(run: Run): Boolean
+
+    /** Whether the run's job is kept from [machine] because it has just failed there. */
+    fun isSeparated(run: Run, machine: Machine): Boolean
+
+    fun start(run: Run, machine: Machine)
+
+    fun preempt(victim: Run)
+
+    /** Gives [run] back to the leader, which may assign it to another shard. */
+    fun giveBack(run: Run)
+}
+
+/**
+ * Places the waiting runs of a shard on its machines: filters and scores the machines for each run, binds it to the best,
+ * and preempts tasks of lower priority where none has the capacity.
+ */
+internal class Placer(
     private val types: MachineTypeCatalog,
     private val requestOf: (TaskId) -> Resources?,
-    private val start: (Run, Machine) -> Unit,
-    private val stop: (Run) -> Unit,
-    private val giveBack: (Run) -> Unit,
-    /** Whether lower work may be stopped for a run. */
-    private val mayPreempt: (Run) -> Boolean,
-    /** Whether the run's job has just failed on the machine. */
-    private val separated: (Run, Machine) -> Boolean,
+    private val actions: PlacementActions,
 ) {
+    /** A usable machine, and its free capacity less what this round has placed there. */
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
-        /** What stopping array tasks would free, by their priority; worked out once a round, for machines that are asked for it. */
+        /** Built on demand: most machines are never considered for preemption. */
         private val preemptible by lazy(LazyThreadSafetyMode.NONE) { machine.runs.filter { !it.isPledged }.preemptibleCapacity() }
 
-        /** Whether a task of [spec] would fit once all lower work on the machine is stopped. */
+        /** Whether a task of [spec] fits after preempting all tasks of lower priority. */
         fun fitsWithPreemption(spec: JobSpec): Boolean = preemptible.fitsWithPreemption(spec, free)
     }
 
+    private class ScoredCandidate(val candidate: Candidate, val cost: Double)
+
+    private class PreemptionPlan(val cost: Double, val victims: List<Run>)
+
+    /** One pass over the waiting runs. Free capacity only shrinks in it. */
+    private class Round(val candidates: List<Candidate>, val now: MonotonicTime) {
+        /** Jobs of which a task was found to fit nowhere; then none of its other tasks fits either. */
+        val unplaceableJobs = HashSet<JobId>()
+
+        /** Jobs for which a machine has been reserved. */
+        val jobsWithReservation = HashSet<JobId>()
+    }
+
+    /** Starts those of the [waiting] runs that fit on [usable] machines; preempts for, or gives back, the others. */
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
         val candidates = usable.mapNotNull { machine ->
             types[machine.typeName]?.let { Candidate(machine, it, machine.free(it, now, requestOf)) }
         }
-        val hopeless = HashSet<JobId>()
-        val keptFor = HashSet<JobId>()
-        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMs }, { it.task.index }))) {
-            // Nothing makes room in a round, so what holds for one task of a job holds for the next. Weighing every machine again for
-            // hundreds of tasks that wait took half of a controller's processor on a recorded day.
-            if (run.task.job in hopeless) {
-                if (now >= run.since + PATIENCE) giveBack(run)
-                continue
-            }
-            val chosen = choose(run, candidates)
-            if (chosen != null) {
-                chosen.free -= run.spec.request
-                run.target = null
-                start(run, chosen.machine)
-                continue
-            }
-            // What was stopped for it is on its way out, which takes a while where that is saved.
-            if (run.awaitsVictims) continue
-            if (mayPreempt(run) && preemptFor(run, candidates)) continue
-            // Room gathers for it on one machine, or smaller tasks would take every piece that comes free.
-            if (keptFor.add(run.task.job)) {
-                candidates.filter { allowed(run.spec, it.machine) }.maxByOrNull { it.free.cpus }?.free = Resources.ZERO
-            }
-            // Others may be kept from fewer machines than a task that has failed somewhere.
-            if (run.avoid.isEmpty()) hopeless += run.task.job
-            if (now >= run.since + PATIENCE) giveBack(run)
-        }
+        val round = Round(candidates, now)
+        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMs }, { it.task.index }))) place(run, round)
     }
 
-    private fun allowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
+    private fun place(run: Run, round: Round) {
+        if (run.task.job in round.unplaceableJobs) return giveBackIfExpired(run, round)
+        val selected = select(run, round.candidates)
+        if (selected != null) return bind(run, selected)
+        // Victims that write a checkpoint take a while to stop.
+        if (run.awaitsVictims) return
+        if (actions.mayPreemptFor(run) && preemptFor(run, round.candidates)) return
+        leaveUnplaced(run, round)
+    }
 
-    /** The cheapest place, then the fullest: what is empty can be returned. */
-    private fun choose(run: Run, candidates: List<Candidate>): Candidate? = candidates
+    private fun bind(run: Run, candidate: Candidate) {
+        candidate.free -= run.spec.request
+        run.target = null
+        actions.start(run, candidate.machine)
+    }
+
+    private fun leaveUnplaced(run: Run, round: Round) {
+        if (round.jobsWithReservation.add(run.task.job)) reserveLargestMachine(run, round)
+        // A run that avoids machines where it has failed says nothing about the other runs of its job.
+        if (run.avoid.isEmpty()) round.unplaceableJobs += run.task.job
+        giveBackIfExpired(run, round)
+    }
+
+    /** Keeps the allowed machine with the most free CPUs from smaller tasks, which would take all capacity that is freed. */
+    private fun reserveLargestMachine(run: Run, round: Round) {
+        round.candidates
+            .filter { isAllowed(run.spec, it.machine) }
+            .maxByOrNull { it.free.cpus }
+            ?.free = Resources.ZERO
+    }
+
+    private fun giveBackIfExpired(run: Run, round: Round) {
+        if (round.now >= run.since + MAX_WAIT_FOR_CAPACITY) actions.giveBack(run)
+    }
+
+    private fun isAllowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
+
+    /** The machine to which the run is to be moved if it has one, else the cheapest, then the fullest, so that others become idle. */
+    private fun select(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
-            run.spec.request.fitsIn(it.free) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
-                !separated(run, it.machine) && it.machine.reportedTasks.none { reportedTask -> reportedTask.task == run.task }
+            run.spec.request.fitsIn(it.free) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
+                !actions.isSeparated(run, it.machine) && it.machine.reportedTasks.none { reported -> reported.task == run.task }
         }.minWithOrNull(
             compareBy<Candidate> { if (it.machine.name == run.target) 0 else 1 }
                 .thenBy { cost(run.spec, it, preempts = false) }
@@ -80,52 +118,53 @@
         )
 
     private fun cost(spec: JobSpec, candidate: Candidate, preempts: Boolean): Double {
-        val there = candidate.machine.hasImage(spec.image) || candidate.machine.fetching(spec.image)
-        return PlacementCost.of(spec, candidate.type, candidate.machine.spot, there, preempts)
+        val imageCached = candidate.machine.hasImage(spec.image) || candidate.machine.fetching(spec.image)
+        return PlacementCost.of(spec, candidate.type, candidate.machine.spot, imageCached, preempts)
     }
 
     /**
-     * Stops work of lower priority for [run]; true while such work is on its way out. Only of the cheapest machines is it worked
-     * out what would have to be stopped: sorting the runs of every machine for every waiting task, seven times a second, was
-     * two thirds of the handlers' time on a recorded day of some 540 machines.
+     * Preempts tasks of lower priority for [run], on the cheapest machine and there as few as possible. Returns whether any
+     * were; the run can start once they have left the machine. Victims are chosen on the cheapest machines only, since that
+     * means sorting a machine's runs.
      */
     private fun preemptFor(run: Run, candidates: List<Candidate>): Boolean {
-        val costs = candidates
-            .filter { it.fitsWithPreemption(run.spec) && allowed(run.spec, it.machine) && it.machine.name !in run.avoid }
-            .map { it to cost(run.spec, it, preempts = true) }
-            .sortedBy { it.second }
-        val plan = costs
-            .take(MAX_PLANS)
-            .mapNotNull { (candidate, cost) -> victims(run, candidate)?.let { Plan(cost, it) } }
+        val plan = candidates
+            .filter { it.fitsWithPreemption(run.spec) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoid }
+            .map { ScoredCandidate(it, cost(run.spec, it, preempts = true)) }
+            .sortedBy { it.cost }
+            .take(MAX_PREEMPTION_PLANS)
+            .mapNotNull { scored -> victims(run, scored.candidate)?.let { PreemptionPlan(scored.cost, it) } }
             .minWithOrNull(compareBy({ it.cost }, { it.victims.size })) ?: return false
         run.preempts(plan.victims)
-        plan.victims.forEach(stop)
+        plan.victims.forEach(actions::preempt)
         return true
     }
 
-    private class Plan(val cost: Double, val victims: List<Run>)
-
-    /** The runs to stop so that [run] fits; those already stopping come first, at no further cost. */
+    /**
+     * The runs to preempt so that [run] fits: those that are stopping already, then the lowest priorities, then the latest
+     * starts. Null where preemption can't make it fit.
+     */
     private fun victims(run: Run, candidate: Candidate): List<Run>? {
         var free = candidate.free
-        val chosen = ArrayList<Run>()
-        val candidates = candidate.machine.runs
+        val victims = ArrayList<Run>()
+        val preemptible = candidate.machine.runs
             .filter { it.isPreemptible && !it.isPledged && it.spec.priority > run.spec.priority }
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
                     .thenByDescending { it.runningSince?.ms ?: Long.MAX_VALUE },
             )
-        for (victim in candidates) {
+        for (victim in preemptible) {
             if (run.spec.request.fitsIn(free)) break
             free += victim.spec.request
-            chosen += victim
+            victims += victim
         }
-        return chosen.takeIf { it.isNotEmpty() && run.spec.request.fitsIn(free) }
+        return victims.takeIf { it.isNotEmpty() && run.spec.request.fitsIn(free) }
     }
 
     private companion object {
-        val PATIENCE = 2.seconds
-        const val MAX_PLANS = 16
+        /** A run that finds no capacity here for this long may find some in another shard. */
+        val MAX_WAIT_FOR_CAPACITY = 2.seconds
+        const val MAX_PREEMPTION_PLANS = 16
     }
 }
--- a/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
+++ b/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
@@ -6,10 +6,10 @@
 import copperglade.scheduling.PreemptibleCapacity
 import copperglade.tasks.Run
 
-/** Whether this run may be stopped for work of higher priority. */
+/** Whether this run may be preempted by tasks of higher priority. */
 internal val Run.isPreemptible: Boolean get() = onMachine && spec.kind == JobKind.ARRAY
 
-/** What those of these runs take that may be stopped, by priority. */
+/** What preempting these runs would free, as far as they are preemptible. */
 internal fun Collection<Run>.preemptibleCapacity(): PreemptibleCapacity {
     val byPriority = Array(Priority.entries.size) { Resources.ZERO }
     for (run in this) if (run.isPreemptible) byPriority[run.spec.priority.ordinal] += run.spec.request
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -14,7 +14,7 @@
 import copperglade.tasks.StopReason
 
 /**
- * Places a shard's waiting runs on its machines and stops preempted work for them.
+ * Decides which of a shard's waiting runs may be placed now, and has a [Placer] place them.
  *
  * Invariant: nothing is placed unless [Membership.mayStart], which needs newer knowledge than keeping what runs. Guards
  * against starting tasks of a job that was cancelled meanwhile.
@@ -28,18 +28,10 @@
     private val backoff: RetryBackoff,
 ) {
     private val failingJobs = state.context.failingJobs
-    private val placedOn = LinkedHashSet<Machine>()
-    private val placer = Placer(
-        state.context.types,
-        state::requestOf,
-        start = ::start,
-        stop = { stopper.stop(it, StopReason.PREEMPTED) },
-        giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
-        mayPreempt = { it.task.job !in failingJobs },
-        separated = ::isSeparated,
-    )
+    private val machinesWithStarts = LinkedHashSet<Machine>()
+    private val placer = Placer(state.context.types, state::requestOf, Actions())
 
-    /** Starts what waits and fits. Runs that find no room for too long are given back to the leader. */
+    /** Starts waiting runs that fit. Runs that have found no capacity for too long are given back to the leader. */
     fun place(now: MonotonicTime) {
         if (!state.context.membership.mayStart) return
         giveBackAllButOneTrial()
@@ -47,8 +39,8 @@
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        placedOn.forEach(commands::settle)
-        placedOn.clear()
+        machinesWithStarts.forEach(commands::settle)
+        machinesWithStarts.clear()
     }
 
     private fun mayStart(run: Run, now: MonotonicTime): Boolean {
@@ -57,7 +49,7 @@
         return job !in failingJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
     }
 
-    /** The leader that assigned it may have known less than we do, or may be of a version that knows no dependencies. */
+    /** Guards against a leader that assigned the task with older knowledge, or that runs a version without dependencies. */
     private fun isRefused(run: Run): Boolean {
         val refusal = state.context.guard.refusalByRecords(run.task)
         if (refusal != null && refusal != run.lastRefusal) state.context.audit.refused(run.task, refusal)
@@ -65,26 +57,34 @@
         return refusal != null
     }
 
-    /** Of a failing job one task waits here to be tried; the others would only hold room and their team's limit. */
+    /** One task of a failing job waits here for its trial; the others would only use up capacity and their team's quota. */
     private fun giveBackAllButOneTrial() {
         val failing = state.runs.waiting.filter { it.task.job in failingJobs }
         for ((job, runs) in failing.groupBy { it.task.job }) {
             val trialRuns = state.runs.of(job).any { it.onMachine }
-            runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "its job fails everywhere") }
+            runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "job_failing") }
         }
     }
 
-    /** A job that has completed tasks is kept from no machine: each of its failing tasks looks for another by itself. */
-    private fun isSeparated(run: Run, machine: Machine): Boolean {
-        val neverCompleted = state.context.replica.jobs[run.task.job]
-            ?.done
-            ?.isEmpty ?: false
-        return neverCompleted && state.context.failureEvidence.separates(run.task.job, machine.name, state.context.loop.now())
-    }
+    private inner class Actions : PlacementActions {
+        override fun mayPreemptFor(run: Run): Boolean = run.task.job !in failingJobs
+
+        /** A job that has completed tasks is kept from no machine; its failing tasks avoid machines one by one ([Run.avoid]). */
+        override fun isSeparated(run: Run, machine: Machine): Boolean {
+            val neverCompleted = state.context.replica.jobs[run.task.job]
+                ?.done
+                ?.isEmpty ?: false
+            return neverCompleted && state.context.failureEvidence.separates(run.task.job, machine.name, state.context.loop.now())
+        }
+
+        override fun start(run: Run, machine: Machine) {
+            run.bind(machine, state.nextAttempt())
+            run.moveTo(RunState.STARTING, "placed", state.context.loop.now())
+            machinesWithStarts += machine
+        }
+
+        override fun preempt(victim: Run) = stopper.stop(victim, StopReason.PREEMPTED)
 
-    private fun start(run: Run, machine: Machine) {
-        run.bind(machine, state.nextAttempt())
-        run.moveTo(RunState.STARTING, "placed", state.context.loop.now())
-        placedOn += machine
+        override fun giveBack(run: Run) = lifecycle.finish(run, RunState.GONE, "no_capacity")
     }
 }
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -23,18 +23,23 @@
      */
     fun capacity(): ShardCapacity {
         val now = context.loop.now()
-        val waiting = state.runs.waiting
+        val waitingRequests = state.runs.waiting
             .filter { now >= it.notBefore && it.task.job !in context.failingJobs }
             .mapTo(ArrayList()) { it.spec.request }
-        val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
-            context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
+        val machines = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
+            context.types[machine.typeName]?.let { availabilityOf(machine, it, waitingRequests, now) }
         }
-        return ShardCapacity(state.name, state.token, rooms)
+        return ShardCapacity(state.name, state.token, machines)
     }
 
-    private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: MonotonicTime): MachineAvailability {
-        val free = freeBeside(waiting, machine.free(type, now, state::requestOf))
-        val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
+    private fun availabilityOf(
+        machine: Machine,
+        type: MachineType,
+        waitingRequests: MutableList<Resources>,
+        now: MonotonicTime,
+    ): MachineAvailability {
+        val free = freeAfterWaiting(waitingRequests, machine.free(type, now, state::requestOf))
+        val isEmpty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineAvailability(
             name = machine.name,
             type = machine.typeName,
@@ -42,41 +47,41 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (empty) now.ms - machine.emptySince.ms else 0,
+            idleMs = if (isEmpty) now.ms - machine.emptySince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
         )
     }
 
-    /** What of [free] is left for new tasks: those waiting here take their room first, and are taken off [waiting]. */
-    private fun freeBeside(waiting: MutableList<Resources>, free: Resources): Resources {
-        var left = free
-        val next = waiting.iterator()
-        while (next.hasNext()) {
-            val request = next.next()
-            if (!request.fitsIn(left)) continue
-            left -= request
-            next.remove()
+    /** What is left of [free] for new tasks once the waiting ones that fit are placed; removes these from [waitingRequests]. */
+    private fun freeAfterWaiting(waitingRequests: MutableList<Resources>, free: Resources): Resources {
+        var remaining = free
+        val requests = waitingRequests.iterator()
+        while (requests.hasNext()) {
+            val request = requests.next()
+            if (!request.fitsIn(remaining)) continue
+            remaining -= request
+            requests.remove()
         }
-        return left
+        return remaining
     }
 
-    /** The images of the shard's machines, as many as fit into a value of [limitBytes]. */
+    /** The cached images of the shard's machines, as many as fit into a value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord {
-        var left = limitBytes
-        val known = state.machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
-            val images = machine.cachedImages.takeLast(IMAGES_REMEMBERED)
-            left -= machine.name.text.length + BYTES_AROUND + images.sumOf { it.text.length + BYTES_AROUND }
-            if (images.isEmpty() || left < 0) null else machine.name to images
+        var remainingBytes = limitBytes
+        val imagesByMachine = state.machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
+            val images = machine.cachedImages.takeLast(MAX_IMAGES_PER_MACHINE)
+            remainingBytes -= machine.name.text.length + DELIMITER_BYTES + images.sumOf { it.text.length + DELIMITER_BYTES }
+            if (images.isEmpty() || remainingBytes < 0) null else machine.name to images
         }
-        return ImageRecord(known.toMap())
+        return ImageRecord(imagesByMachine.toMap())
     }
 
     private companion object {
-        const val IMAGES_REMEMBERED = 12
+        const val MAX_IMAGES_PER_MACHINE = 12
 
         /** Quotes, commas and brackets around a name in the record. */
-        const val BYTES_AROUND = 6
+        const val DELIMITER_BYTES = 6
     }
 }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -3,6 +3,7 @@
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
+import copperglade.prediction.SimilarTask
 import copperglade.prediction.TaskFactors
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
@@ -17,110 +18,156 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-class RestartDecision(val run: Run, val target: MachineName)
+/** A straggler that should be stopped and run again on [target]. */
+internal class StragglerRestart(val run: Run, val target: MachineName)
 
-/** Looks for stragglers in one shard and weighs restarting them on another of its machines (section 6 and DESIGN). */
-class StragglerDetector(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
-    private var nextLook = MonotonicTime.NEVER
-    private var turns = 0
+/**
+ * Finds the stragglers of one shard, and assesses the risk of restarting them on another of its machines (section 6 of the
+ * paper and DESIGN).
+ */
+internal class StragglerDetector(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
+    /**
+     * How far a straggler is.
+     *
+     * @property jobAverageSeconds the average run time of its job's tasks.
+     * @property remainingSeconds the run time that is predicted to remain on its present machine.
+     */
+    private class Progress(val elapsedSeconds: Double, val jobAverageSeconds: Double, val remainingSeconds: Double)
 
-    fun look(machines: Collection<Machine>, now: MonotonicTime): List<RestartDecision> {
-        if (now < nextLook) return emptyList()
-        nextLook = now + INTERVAL
+    private val profiles = context.profiles
+    private var nextCheckAt = MonotonicTime.NEVER
+    private var rotation = 0
+
+    /**
+     * Assesses a few of the stragglers on [machines] and returns those that are worth restarting. With hundreds of stragglers
+     * each takes its turn in a later check. Empty between checks.
+     */
+    fun findRestarts(machines: Collection<Machine>, now: MonotonicTime): List<StragglerRestart> {
+        if (now < nextCheckAt) return emptyList()
+        nextCheckAt = now + CHECK_INTERVAL
+        val free = freeCapacity(machines, now)
+        if (free.values.none { it.cpus > 0.0 }) return emptyList()
+        val stragglers = machines.flatMap { it.runs }.filter { isEligible(it) && isStraggler(it, now) }
+        if (stragglers.isEmpty()) return emptyList()
+        return nextInRotation(stragglers).mapNotNull { run ->
+            assess(run, machines, free, now)?.also { free.merge(it.target, run.spec.request) { a, b -> a - b } }
+        }
+    }
+
+    /** The free capacity of the machines that may be the target of a restart. */
+    private fun freeCapacity(machines: Collection<Machine>, now: MonotonicTime): MutableMap<MachineName, Resources> {
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.heardAt + (context.heartbeatIntervalS * 2).seconds
-            if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
-                silent
-            ) {
-                continue
-            }
-            free[machine.name] = machine.free(type, now, requestOf)
-        }
-        if (free.values.none { it.cpus > 0.0 }) return emptyList()
-        // Hundreds of tasks may be late at a time. A few are weighed at each look, all in turn.
-        val late = machines.flatMap { it.runs }.filter { eligible(it) && isLate(it, now) }
-        if (late.isEmpty()) return emptyList()
-        val turn = turns % late.size
-        turns += MAX_WEIGHED
-        return (late.drop(turn) + late.take(turn)).take(MAX_WEIGHED).mapNotNull { run ->
-            decide(run, machines, free, now)?.also { free.merge(it.target, run.spec.request) { a, b -> a - b } }
+            if (isPossibleTarget(machine, now)) free[machine.name] = machine.free(type, now, requestOf)
         }
+        return free
+    }
+
+    private fun isPossibleTarget(machine: Machine, now: MonotonicTime): Boolean =
+        !machine.draining && !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) &&
+            now < machine.heardAt + context.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
+
+    private fun nextInRotation(stragglers: List<Run>): List<Run> {
+        val first = rotation % stragglers.size
+        rotation += MAX_ASSESSED_PER_CHECK
+        return (stragglers.drop(first) + stragglers.take(first)).take(MAX_ASSESSED_PER_CHECK)
     }
 
-    /** Past its job's average run time. */
-    private fun isLate(run: Run, now: MonotonicTime): Boolean {
-        val elapsed = now.secondsSince(run.runningSince ?: return false)
-        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * context.operatorSettings.stragglerMargin
+    /** Services never finish, gangs run together or not at all, and any task is restarted once at most. */
+    private fun isEligible(run: Run) = run.state == RunState.RUNNING && run.spec.kind == JobKind.ARRAY && !run.restarted
+
+    /** Whether it has run for longer than its job's tasks do on average (section 6.1). */
+    private fun isStraggler(run: Run, now: MonotonicTime): Boolean {
+        val elapsedSeconds = now.secondsSince(run.runningSince ?: return false)
+        val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
+        return elapsedSeconds > averageSeconds * context.operatorSettings.stragglerMargin
     }
 
-    /** Services never finish, gangs run together or not at all, and once is enough for any task. */
-    private fun eligible(run: Run) = run.state == RunState.RUNNING && run.spec.kind == JobKind.ARRAY && !run.restarted
-
-    private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
-        val home = run.machine ?: return null
-        val elapsed = now.secondsSince(run.runningSince ?: return null)
-        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
-        // A slow machine has done less of the task than the time says.
-        val done = elapsed * context.profiles.speedOf(home.name)
-        val similar = context.profiles.similar(run.spec.load, done)
-        val here = context.profiles.predict(home.name, factorsOn(home, run, home.runs.size), similar) ?: return null
-        val remaining = here.average - elapsed
-        val fitting = machines.filter { machine ->
+    private fun assess(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): StragglerRestart? {
+        val source = run.machine ?: return null
+        val elapsedSeconds = now.secondsSince(run.runningSince ?: return null)
+        val jobAverageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
+        // On a slow machine less of the task is done than the elapsed time says.
+        val doneSeconds = elapsedSeconds * profiles.speedOf(source.name)
+        val similarTasks = profiles.similarTasks(run.spec.load, doneSeconds)
+        val prediction = profiles.predict(source.name, factors(source, run, source.runs.size), similarTasks) ?: return null
+        val progress = Progress(elapsedSeconds, jobAverageSeconds, prediction.averageSeconds - elapsedSeconds)
+        val options = possibleTargets(run, source, machines, free).mapNotNull { restartOption(run, it, similarTasks) }
+        val verdict = RiskAssessment.assess(options, progress.remainingSeconds)
+        logVerdict(verdict, run, source, progress, options.size)
+        return when (verdict) {
+            is RestartVerdict.Restart -> StragglerRestart(run, verdict.option.target)
+            is RestartVerdict.TooRisky, is RestartVerdict.NoProfit -> null
+        }
+    }
+
+    /** The machines on which [run] fits, those with the most free CPUs first. */
+    private fun possibleTargets(
+        run: Run,
+        source: Machine,
+        machines: Collection<Machine>,
+        free: Map<MachineName, Resources>,
+    ): List<Machine> = machines
+        .filter { machine ->
             val freeCapacity = free[machine.name]
-            freeCapacity != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
+            freeCapacity != null && machine !== source && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
-        }
-        val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
-            val type = context.types[machine.typeName] ?: return@mapNotNull null
-            val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
-            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
-            prediction?.let { RestartOption(machine.name, it, fetchS) }
-        }
-        return when (val verdict = RiskAssessment.weigh(options, remaining)) {
-            is RestartVerdict.Restart -> {
-                log.info(
-                    "straggler {} on {}: ran {} s, average {} s, needs {} s more; restart on {} expects {} s, worst {} s, profit {} s",
-                    run.task,
-                    home.name,
-                    round(elapsed),
-                    round(average),
-                    round(remaining),
-                    verdict.option.place,
-                    round(verdict.option.prediction.average),
-                    round(verdict.option.prediction.worst + verdict.option.fetchS),
-                    round(verdict.profit),
-                )
-                RestartDecision(run, verdict.option.place)
-            }
-            is RestartVerdict.TooRisky -> {
-                log.debug("straggler {} stays: profit {} s, but worst {} s of {} s", run.task, verdict.profit, verdict.worstS, remaining)
-                null
-            }
-            is RestartVerdict.NoProfit -> {
-                log.debug("straggler {} stays: best profit {} s of {} options", run.task, verdict.best, options.size)
-                null
-            }
-        }
+        }.sortedByDescending { free.getValue(it.name).cpus }
+        .take(MAX_OPTIONS)
+
+    /** Null where too few similar tasks are known, or the machine's type is not. */
+    private fun restartOption(run: Run, machine: Machine, similarTasks: List<SimilarTask>): RestartOption<MachineName>? {
+        val type = context.types[machine.typeName] ?: return null
+        val prediction = profiles.predict(machine.name, factors(machine, run, machine.runs.size + 1), similarTasks)
+        val fetchSeconds =
+            if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+        return prediction?.let { RestartOption(machine.name, it, fetchSeconds) }
     }
 
-    private fun factorsOn(machine: Machine, run: Run, neighbours: Int) =
+    private fun factors(machine: Machine, run: Run, neighbours: Int) =
         TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
 
-    private fun round(seconds: Double) = Math.round(seconds * 10) / 10.0
+    private fun logVerdict(verdict: RestartVerdict<MachineName>, run: Run, source: Machine, progress: Progress, options: Int) =
+        when (verdict) {
+            is RestartVerdict.Restart -> log.info(
+                "straggler_restart task={} from={} to={} elapsed_seconds={} job_average_seconds={} " +
+                    "remaining_seconds={} expected_seconds={} worst_seconds={} profit_seconds={}",
+                run.task,
+                source.name,
+                verdict.option.target,
+                tenths(progress.elapsedSeconds),
+                tenths(progress.jobAverageSeconds),
+                tenths(progress.remainingSeconds),
+                tenths(verdict.option.prediction.averageSeconds),
+                tenths(verdict.option.worstSeconds),
+                tenths(verdict.profitSeconds),
+            )
+            is RestartVerdict.TooRisky -> log.debug(
+                "straggler_restart_too_risky task={} profit_seconds={} worst_seconds={} remaining_seconds={}",
+                run.task,
+                verdict.profitSeconds,
+                verdict.worstSeconds,
+                progress.remainingSeconds,
+            )
+            is RestartVerdict.NoProfit -> log.debug(
+                "straggler_restart_unprofitable task={} best_profit_seconds={} options={}",
+                run.task,
+                verdict.bestProfitSeconds,
+                options,
+            )
+        }
+
+    private fun tenths(seconds: Double) = Math.round(seconds * 10) / 10.0
 
     private companion object {
-        const val TINY = 1e-6
-        const val MAX_WEIGHED = 4
+        const val MIN_FETCH_GB_PER_SECOND = 1e-6
+        const val MAX_ASSESSED_PER_CHECK = 4
 
-        /**
-         * Weighing hundreds of machines for each straggler was a quarter of the processor on a grown day, and sixteen, every
-         * second, still an eighth on a fleet day.
-         */
+        /** Predictions for each straggler on all machines would take a large part of the processor. */
         const val MAX_OPTIONS = 8
-        val INTERVAL = 2.seconds
-        val log = LoggerFactory.getLogger("risk")
+        const val MAX_HEARTBEAT_INTERVALS = 2.0
+        val CHECK_INTERVAL = 2.seconds
+        val log = LoggerFactory.getLogger("placement")
     }
 }
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -12,14 +12,14 @@
  * recorded with its outcome, so that a later owner does not restart it again.
  */
 class StragglerRestarts(private val state: ShardState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
-    private val watch = StragglerDetector(state.context, state::requestOf)
+    private val detector = StragglerDetector(state.context, state::requestOf)
 
-    /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
-    fun restartWorthwhile(now: MonotonicTime) = watch.look(state.machines.values, now).forEach(::restart)
+    /** Assesses a few stragglers and stops those worth restarting; each starts on its target once its worker confirms the stop. */
+    fun restartWorthwhile(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
 
-    private fun restart(decision: RestartDecision) {
-        val run = decision.run
-        run.target = decision.target
+    private fun restart(restart: StragglerRestart) {
+        val run = restart.run
+        run.target = restart.target
         run.restarted = true
         run.straggledS = run.runningSince?.let {
             state.context.loop
--- /dev/null
+++ b/src/main/kotlin/copperglade/prediction/RunTimeAverages.kt
@@ -0,0 +1,51 @@
+package copperglade.prediction
+
+import copperglade.protocol.JobId
+
+/** The average run times of profiled tasks by job and by load, kept as running sums. */
+internal class RunTimeAverages {
+    private class RunTimeSum {
+        var count = 0
+            private set
+        private var sumSeconds = 0.0
+
+        /** Null where too few tasks have finished to tell. */
+        val averageSeconds: Double? get() = if (count >= MIN_TASKS) sumSeconds / count else null
+
+        fun add(runSeconds: Double) {
+            count++
+            sumSeconds += runSeconds
+        }
+
+        fun remove(runSeconds: Double) {
+            count--
+            sumSeconds -= runSeconds
+        }
+    }
+
+    private val byJob = HashMap<JobId, RunTimeSum>()
+    private val byLoad = HashMap<String, RunTimeSum>()
+
+    fun add(profile: TaskProfile) {
+        byLoad.getOrPut(profile.factors.load) { RunTimeSum() }.add(profile.runSeconds)
+        byJob.getOrPut(profile.factors.job) { RunTimeSum() }.add(profile.runSeconds)
+    }
+
+    /** Removes a [profile] that was added before. */
+    fun remove(profile: TaskProfile) {
+        byLoad[profile.factors.load]?.remove(profile.runSeconds)
+        val ofJob = byJob[profile.factors.job] ?: return
+        ofJob.remove(profile.runSeconds)
+        if (ofJob.count == 0) byJob.remove(profile.factors.job)
+    }
+
+    /** Null where too few of the job's tasks have finished. */
+    fun ofJob(job: JobId): Double? = byJob[job]?.averageSeconds
+
+    /** Null where too few tasks of the load have finished. */
+    fun ofLoad(load: String): Double? = byLoad[load]?.averageSeconds
+
+    private companion object {
+        const val MIN_TASKS = 3
+    }
+}
