--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -1,6 +1,6 @@
 package copperglade.ownership
 
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Heartbeat
@@ -10,8 +10,9 @@
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardCapacity
 import copperglade.protocol.ShardName
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.shards.ShardMap
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Condition
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -57,7 +58,7 @@
         loop.again({ GIVE_UP_INTERVAL }, ::releaseIfWorkersUnreachable)
         // At leisure: image records spare fetches after a takeover, and nothing depends on them.
         loop.again({ REMEMBER_INTERVAL }) {
-            if (membership.mayAct && store.writeLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
+            if (membership.mayAct && store.writeBudgetLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
         }
     }
 
@@ -73,7 +74,7 @@
         unreachableCheckedAt = now
         val shards = owned.values.filter { it.open }
         val machines = shards.sumOf { it.machines.size }
-        val unreachable = machines >= MIN_TO_TELL && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isSilent()
+        val unreachable = machines >= MIN_TO_TELL && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isUnreachable()
         unreachableTimes = if (unreachable && onTime) unreachableTimes + 1 else 0
         if (unreachableTimes < TIMES_TO_TELL) return
         unreachableTimes = 0
@@ -99,7 +100,7 @@
             listOf(Write.Set(key, value)),
         )
         store.commit(WritePriority.CLEANUP, transaction) { outcome ->
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
@@ -142,9 +143,12 @@
 
     /** Outcomes that the former owner wrote must be known before anything is started. */
     private fun openOnceFresh(shard: ShardOwner) {
-        replica.readFresh { known ->
-            if (owned[shard.name] !== shard) return@readFresh
-            if (known) shard.open() else loop.after(RETRY) { openOnceFresh(shard) }
+        replica.catchUp { outcome ->
+            if (owned[shard.name] !== shard) return@catchUp
+            when (outcome) {
+                CatchUpOutcome.Current -> shard.open()
+                CatchUpOutcome.Unavailable -> loop.after(RETRY) { openOnceFresh(shard) }
+            }
         }
     }
 
@@ -181,7 +185,7 @@
             if (!shard.open || !keyInFlight.add(name)) continue
             close(shard)
             val key = Keys.shard(name)
-            val write = if (unreachable) Write.Set(key, RecordCodec.encode(ShardRecord.givenUpBy(membership.self))) else Write.Delete(key)
+            val write = if (unreachable) Write.Set(key, RecordCodec.encode(ShardRecord.releasedBy(membership.self))) else Write.Delete(key)
             rewrite(name, shard.fencingToken, write) { outcome ->
                 if (outcome is TransactionOutcome.Applied) settleKey(name) else takeBack(name, shard.fencingToken)
             }
@@ -202,11 +206,11 @@
         val transaction = Transaction(listOf(Condition(Keys.shard(name), Revision(fencingToken.number))), listOf(write))
         store.commit(WritePriority.LEASE, transaction) { outcome ->
             done(outcome)
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
-    private fun settleKey(name: ShardName) = replica.readFresh {
+    private fun settleKey(name: ShardName) = replica.catchUp {
         keyInFlight -= name
         reconcile()
     }
@@ -215,14 +219,14 @@
         val name = shardMap.of(heartbeat.machine, heartbeat.zone)
         val shard = owned[name]
         if (shard != null && membership.mayAct) {
-            return shard.handleHeartbeat(heartbeat)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.UNAVAILABLE)
+            return shard.handleHeartbeat(heartbeat)?.let { Reply(HttpStatus.OK, it) } ?: Reply(HttpStatus.SERVICE_UNAVAILABLE)
         }
         if (shard != null && membership.mayExtendWorkerLeases &&
             !peersReachStateService()
         ) {
             shard.extendWorkerLease(heartbeat)?.let { return Reply(HttpStatus.OK, it) }
         }
-        return Reply(HttpStatus.MISDIRECTED, WorkerWire.sendOn(ownerElsewhere(name)))
+        return Reply(HttpStatus.MISDIRECTED_REQUEST, WorkerMessageCodec.encodeRedirect(ownerElsewhere(name)))
     }
 
     private fun ownerElsewhere(name: ShardName): MemberId? {
@@ -249,14 +253,14 @@
             }.filter { (_, machine) ->
                 // A question may be under way to it, but no start: that would have bound a run.
                 machine.runs.isEmpty() && machine.reportedTasks.isEmpty() && !machine.deleting
-            }.take(CloudWire.MAX_DELETED)
+            }.take(CloudApiCodec.MAX_MACHINES_PER_DELETION)
         if (empty.isEmpty() || !cloudBudget.tryTake(1, loop.now())) return
         empty.forEach { (_, machine) ->
             machine.deleting = true
             // For good: a deletion whose answer is lost may still be carried out.
             machine.draining = true
         }
-        val body = CloudWire.deletion(empty.map { it.second.name })
+        val body = CloudApiCodec.encodeDeletion(empty.map { it.second.name })
         context.http.call(cloud, Request(Method.POST, "/machines/delete", body), DELETE_TIMEOUT) { reply ->
             val deleted = reply?.status == HttpStatus.OK
             for ((shard, machine) in empty) {
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -41,7 +41,9 @@
     /** A usable machine, and its free capacity less what this round has placed there. */
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
         /** Built on demand: most machines are never considered for preemption. */
-        private val preemptible by lazy(LazyThreadSafetyMode.NONE) { machine.runs.filter { !it.isPledged }.preemptibleCapacity() }
+        private val preemptible by lazy(
+            LazyThreadSafetyMode.NONE,
+        ) { machine.runs.filter { !it.isPreemptedForWaitingRun }.preemptibleCapacity() }
 
         /** Whether a task of [spec] fits after preempting all tasks of lower priority. */
         fun fitsWithPreemption(spec: JobSpec): Boolean = preemptible.fitsWithPreemption(spec, free)
@@ -63,7 +65,7 @@
     /** Starts those of the [waiting] runs that fit on [usable] machines; preempts for, or gives back, the others. */
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
         val candidates = usable.mapNotNull { machine ->
-            types[machine.typeName]?.let { Candidate(machine, it, machine.free(it, now, requestOf)) }
+            types[machine.typeName]?.let { Candidate(machine, it, machine.freeCapacity(it, now, requestOf)) }
         }
         val round = Round(candidates, now)
         for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMs }, { it.task.index }))) place(run, round)
@@ -74,21 +76,21 @@
         val selected = select(run, round.candidates)
         if (selected != null) return bind(run, selected)
         // Victims that write a checkpoint take a while to stop.
-        if (run.awaitsVictims) return
+        if (run.awaitsPreemption) return
         if (actions.mayPreemptFor(run) && preemptFor(run, round.candidates)) return
         leaveUnplaced(run, round)
     }
 
     private fun bind(run: Run, candidate: Candidate) {
         candidate.free -= run.spec.request
-        run.target = null
+        run.restartTarget = null
         actions.start(run, candidate.machine)
     }
 
     private fun leaveUnplaced(run: Run, round: Round) {
         if (round.jobsWithReservation.add(run.task.job)) reserveLargestMachine(run, round)
         // A run that avoids machines where it has failed says nothing about the other runs of its job.
-        if (run.avoid.isEmpty()) round.unplaceableJobs += run.task.job
+        if (run.avoidedMachines.isEmpty()) round.unplaceableJobs += run.task.job
         giveBackIfExpired(run, round)
     }
 
@@ -101,7 +103,7 @@
     }
 
     private fun giveBackIfExpired(run: Run, round: Round) {
-        if (round.now >= run.since + MAX_WAIT_FOR_CAPACITY) actions.giveBack(run)
+        if (round.now >= run.stateSince + MAX_WAIT_FOR_CAPACITY) actions.giveBack(run)
     }
 
     private fun isAllowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
@@ -109,16 +111,16 @@
     /** The machine to which the run is to be moved if it has one, else the cheapest, then the fullest, so that others become idle. */
     private fun select(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
-            run.spec.request.fitsIn(it.free) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoid &&
+            run.spec.request.fitsIn(it.free) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines &&
                 !actions.isSeparated(run, it.machine) && it.machine.reportedTasks.none { reported -> reported.task == run.task }
         }.minWithOrNull(
-            compareBy<Candidate> { if (it.machine.name == run.target) 0 else 1 }
+            compareBy<Candidate> { if (it.machine.name == run.restartTarget) 0 else 1 }
                 .thenBy { cost(run.spec, it, preempts = false) }
                 .thenBy { it.free.cpus },
         )
 
     private fun cost(spec: JobSpec, candidate: Candidate, preempts: Boolean): Double {
-        val imageCached = candidate.machine.hasImage(spec.image) || candidate.machine.fetching(spec.image)
+        val imageCached = candidate.machine.hasImage(spec.image) || candidate.machine.isFetching(spec.image)
         return PlacementCost.of(spec, candidate.type, candidate.machine.spot, imageCached, preempts)
     }
 
@@ -129,7 +131,7 @@
      */
     private fun preemptFor(run: Run, candidates: List<Candidate>): Boolean {
         val plan = candidates
-            .filter { it.fitsWithPreemption(run.spec) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoid }
+            .filter { it.fitsWithPreemption(run.spec) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines }
             .map { ScoredCandidate(it, cost(run.spec, it, preempts = true)) }
             .sortedBy { it.cost }
             .take(MAX_PREEMPTION_PLANS)
@@ -148,7 +150,7 @@
         var free = candidate.free
         val victims = ArrayList<Run>()
         val preemptible = candidate.machine.runs
-            .filter { it.isPreemptible && !it.isPledged && it.spec.priority > run.spec.priority }
+            .filter { it.isPreemptible && !it.isPreemptedForWaitingRun && it.spec.priority > run.spec.priority }
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
--- a/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
+++ b/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
@@ -7,7 +7,7 @@
 import copperglade.tasks.Run
 
 /** Whether this run may be preempted by tasks of higher priority. */
-internal val Run.isPreemptible: Boolean get() = onMachine && spec.kind == JobKind.ARRAY
+internal val Run.isPreemptible: Boolean get() = occupiesMachine && spec.kind == JobKind.ARRAY
 
 /** What preempting these runs would free, as far as they are preemptible. */
 internal fun Collection<Run>.preemptibleCapacity(): PreemptibleCapacity {
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -39,14 +39,14 @@
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        machinesWithStarts.forEach(commands::settle)
+        machinesWithStarts.forEach(commands::sendDue)
         machinesWithStarts.clear()
     }
 
     private fun mayStart(run: Run, now: MonotonicTime): Boolean {
         val job = run.task.job
-        if (now < run.notBefore || isRefused(run)) return false
-        return job !in failingJobs || (backoff.mayTry(job, now) && state.runs.of(job).none { it.onMachine })
+        if (now < run.earliestStartAt || isRefused(run)) return false
+        return job !in failingJobs || (backoff.mayRetry(job, now) && state.runs.of(job).none { it.occupiesMachine })
     }
 
     /** Guards against a leader that assigned the task with older knowledge, or that runs a version without dependencies. */
@@ -61,7 +61,7 @@
     private fun giveBackAllButOneTrial() {
         val failing = state.runs.waiting.filter { it.task.job in failingJobs }
         for ((job, runs) in failing.groupBy { it.task.job }) {
-            val trialRuns = state.runs.of(job).any { it.onMachine }
+            val trialRuns = state.runs.of(job).any { it.occupiesMachine }
             runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "job_failing") }
         }
     }
@@ -69,17 +69,17 @@
     private inner class Actions : PlacementActions {
         override fun mayPreemptFor(run: Run): Boolean = run.task.job !in failingJobs
 
-        /** A job that has completed tasks is kept from no machine; its failing tasks avoid machines one by one ([Run.avoid]). */
+        /** A job that has completed tasks is kept from no machine; its failing tasks avoid machines one by one ([Run.avoidedMachines]). */
         override fun isSeparated(run: Run, machine: Machine): Boolean {
             val neverCompleted = state.context.replica.jobs[run.task.job]
                 ?.done
                 ?.isEmpty ?: false
-            return neverCompleted && state.context.failureEvidence.separates(run.task.job, machine.name, state.context.loop.now())
+            return neverCompleted && state.context.failureEvidence.shouldAvoid(run.task.job, machine.name, state.context.loop.now())
         }
 
         override fun start(run: Run, machine: Machine) {
             run.bind(machine, state.nextAttempt())
-            run.moveTo(RunState.STARTING, "placed", state.context.loop.now())
+            run.transitionTo(RunState.STARTING, "placed", state.context.loop.now())
             machinesWithStarts += machine
         }
 
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -24,12 +24,12 @@
     fun capacity(): ShardCapacity {
         val now = context.loop.now()
         val waitingRequests = state.runs.waiting
-            .filter { now >= it.notBefore && it.task.job !in context.failingJobs }
+            .filter { now >= it.earliestStartAt && it.task.job !in context.failingJobs }
             .mapTo(ArrayList()) { it.spec.request }
         val machines = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
             context.types[machine.typeName]?.let { availabilityOf(machine, it, waitingRequests, now) }
         }
-        return ShardCapacity(state.name, state.token, machines)
+        return ShardCapacity(state.name, state.fencingToken, machines)
     }
 
     private fun availabilityOf(
@@ -38,7 +38,7 @@
         waitingRequests: MutableList<Resources>,
         now: MonotonicTime,
     ): MachineAvailability {
-        val free = freeAfterWaiting(waitingRequests, machine.free(type, now, state::requestOf))
+        val free = freeAfterWaiting(waitingRequests, machine.freeCapacity(type, now, state::requestOf))
         val isEmpty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineAvailability(
             name = machine.name,
@@ -47,7 +47,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (isEmpty) now.ms - machine.emptySince.ms else 0,
+            idleMillis = if (isEmpty) now.ms - machine.idleSince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -59,14 +59,14 @@
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            if (isPossibleTarget(machine, now)) free[machine.name] = machine.free(type, now, requestOf)
+            if (isPossibleTarget(machine, now)) free[machine.name] = machine.freeCapacity(type, now, requestOf)
         }
         return free
     }
 
     private fun isPossibleTarget(machine: Machine, now: MonotonicTime): Boolean =
         !machine.draining && !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) &&
-            now < machine.heardAt + context.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
+            now < machine.lastContactAt + context.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
 
     private fun nextInRotation(stragglers: List<Run>): List<Run> {
         val first = rotation % stragglers.size
@@ -81,7 +81,7 @@
     private fun isStraggler(run: Run, now: MonotonicTime): Boolean {
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return false)
         val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
-        return elapsedSeconds > averageSeconds * context.operatorSettings.stragglerMargin
+        return elapsedSeconds > averageSeconds * context.operatorSettings.stragglerFactor
     }
 
     private fun assess(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): StragglerRestart? {
@@ -111,7 +111,7 @@
     ): List<Machine> = machines
         .filter { machine ->
             val freeCapacity = free[machine.name]
-            freeCapacity != null && machine !== source && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
+            freeCapacity != null && machine !== source && machine.name !in run.avoidedMachines && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }.sortedByDescending { free.getValue(it.name).cpus }
         .take(MAX_OPTIONS)
@@ -121,7 +121,7 @@
         val type = context.types[machine.typeName] ?: return null
         val prediction = profiles.predict(machine.name, factors(machine, run, machine.runs.size + 1), similarTasks)
         val fetchSeconds =
-            if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+            if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
         return prediction?.let { RestartOption(machine.name, it, fetchSeconds) }
     }
 
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -19,9 +19,9 @@
 
     private fun restart(restart: StragglerRestart) {
         val run = restart.run
-        run.target = restart.target
+        run.restartTarget = restart.target
         run.restarted = true
-        run.straggledS = run.runningSince?.let {
+        run.stragglerRunSeconds = run.runningSince?.let {
             state.context.loop
                 .now()
                 .secondsSince(it)
--- a/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
@@ -16,7 +16,7 @@
      * without tasks that are done or given back. The shards of all choices must have an owner.
      */
     fun build(job: Job, range: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
-        val present = job.pages[range]?.value ?: AssignmentRange.EMPTY
+        val present = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
         val groups = assignedGroups(job, range, present)
         val generation = present.lastGeneration + 1
         for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, present.frontier, generation)
@@ -65,7 +65,7 @@
         for (group in present.groups) {
             val tasks = group.tasks.clone() as BitSet
             tasks.andNot(job.done)
-            job.works[ShardTaskRange(range, group.shard)]
+            job.outcomes[ShardTaskRange(range, group.shard)]
                 ?.value
                 ?.returned
                 ?.get(group.generation)
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -50,8 +50,8 @@
             replica,
             store.limits,
             Keys.assignmentRecords(kind),
-            { job, page -> job.pages[page] },
-            { job, page -> job.pages[page]?.let { RecordCodec.encode(it.value) } },
+            { job, range -> job.assignmentRanges[range] },
+            { job, range -> job.assignmentRanges[range]?.let { RecordCodec.encode(it.value) } },
         )
     }
     private val rangeBuilder = AssignmentRangeBuilder(replica)
@@ -70,7 +70,7 @@
         if (term == leadership.revision) return
         term = leadership.revision
         unresolvedTasks.clear()
-        packers.values.forEach { it.endAll() }
+        packers.values.forEach { it.clearAllInFlight() }
     }
 
     fun hasUnresolvedTasks(job: JobId): Boolean = job in unresolvedTasks
@@ -98,16 +98,16 @@
         for (packedWrite in pack(changes)) {
             if (!isUrgent(packedWrite) && !admitNonUrgent(affordableWrites)) continue
             affordableWrites--
-            commit(packedWrite, packedWrite.places.associateWith { choices.getValue(it) })
+            commit(packedWrite, packedWrite.ranges.associateWith { choices.getValue(it) })
         }
     }
 
-    private fun isUrgent(packedWrite: PackedWrite) = packedWrite.places.any { replica.jobs[it.job]?.spec?.isUrgent ?: false }
+    private fun isUrgent(packedWrite: PackedWrite) = packedWrite.ranges.any { replica.jobs[it.job]?.spec?.isUrgent ?: false }
 
     /** Whether the budget allows a write without urgent jobs. Even where it does not, one is admitted from time to time. */
     private fun admitNonUrgent(affordableWrites: Int): Boolean {
-        if (affordableWrites <= store.keptForUrgent && loop.now() < nonUrgentWrittenAt + MAX_NON_URGENT_DELAY) {
-            store.missed(1)
+        if (affordableWrites <= store.urgentReserve && loop.now() < nonUrgentWrittenAt + MAX_NON_URGENT_DELAY) {
+            store.recordUnmetDemand(1)
             return false
         }
         nonUrgentWrittenAt = loop.now()
@@ -123,7 +123,7 @@
         val packer = packers.getValue(job.spec?.kind ?: return null)
         var fitting = choices
         while (true) {
-            val bytes = RecordCodec.encode(rangeBuilder.build(job, range.page, fitting, guaranteePreemptions))
+            val bytes = RecordCodec.encode(rangeBuilder.build(job, range.index, fitting, guaranteePreemptions))
             if (packer.fitsValue(range, bytes)) return FittingRecord(fitting, bytes)
             if (fitting.isEmpty()) return null
             fitting = fitting.take(fitting.size / 2)
@@ -144,7 +144,7 @@
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
         val write = AssignmentWrite(packedWrite, transaction, choices, tasksByJob, term)
         unresolvedTasks.add(tasksByJob)
-        packedWrite.packer.begin(packedWrite)
+        packedWrite.packer.markInFlight(packedWrite)
         store.commit(WritePriority.ASSIGNMENT, transaction) { outcome -> if (isCurrent(write)) onOutcome(write, outcome) }
     }
 
@@ -168,9 +168,9 @@
         val half = firstHalf(choices)
         if (half.isEmpty()) return log.warn("assignment_needs_too_many_conditions task_ranges={}", choices.keys)
         val changes = half.mapValues { (range, chosen) ->
-            RecordCodec.encode(rangeBuilder.build(replica.jobs.getValue(range.job), range.page, chosen, guaranteePreemptions = null))
+            RecordCodec.encode(rangeBuilder.build(replica.jobs.getValue(range.job), range.index, chosen, guaranteePreemptions = null))
         }
-        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.places.associateWith { half.getValue(it) }) }
+        pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.ranges.associateWith { half.getValue(it) }) }
     }
 
     /** Half of the task ranges, or half of the tasks where there is one range. */
@@ -186,7 +186,7 @@
         is TransactionOutcome.Applied -> onApplied(write, outcome.revision)
         TransactionOutcome.Refused -> loop.after(SETTLE_DELAY_AFTER_REFUSAL) { settleIfCurrent(write) }
         // Surely not applied; but the job or shard record that has changed must be known before planning again.
-        is TransactionOutcome.Conflict -> replica.readFresh { settleIfCurrent(write) }
+        is TransactionOutcome.Conflict -> replica.catchUp { settleIfCurrent(write) }
         // It may still be applied: if others got its share of the quota meanwhile, the team could exceed the quota.
         TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
             unresolvedWrites.resolve(write.packedWrite, ours = { isCurrent(write) }) { settle(write) }
@@ -198,7 +198,7 @@
             val request = replica.jobs[range.job]?.spec?.request ?: Resources.ZERO
             chosen.forEach { capacityTable.reserve(it.machine, revision, request) }
         }
-        replica.applied(write.transaction, revision)
+        replica.applyCommitted(write.transaction, revision)
         settle(write)
     }
 
@@ -208,7 +208,7 @@
 
     /** The outcome of [write] is known, and none of its copies can be applied any more. */
     private fun settle(write: AssignmentWrite) {
-        write.packedWrite.packer.end(write.packedWrite)
+        write.packedWrite.packer.clearInFlight(write.packedWrite)
         unresolvedTasks.resolve(write.tasksByJob)
     }
 
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -38,7 +38,7 @@
             compareBy<SchedulableJob> { it.spec.priority }
                 // A job that is too late for its guarantee goes by the plan: otherwise a team's late jobs, being its oldest,
                 // would use up its guarantee and make the next ones late as well.
-                .thenBy { if (it.isGuaranteed && waitedSeconds(it) <= objectives.guaranteeWithinS) 0 else 1 }
+                .thenBy { if (it.isGuaranteed && waitedSeconds(it) <= objectives.guaranteeWithinSeconds) 0 else 1 }
                 .thenBy { rank[it.job.id] ?: -1 }
                 .thenBy { it.acceptedAtMillis },
         )
@@ -56,9 +56,14 @@
         val waitedSeconds = waitedSeconds(job)
         val feasible = dueInSeconds(job).filter { isFeasible(spec, it) }
         // A job that is late for every multiple of its deadline still has an objective to meet, after all that can be in time.
-        val objective = objectives.latestEndS(spec.load, spec.estimateS)?.let { it - waitedSeconds }?.takeIf { isFeasible(spec, it) }
+        val objective = objectives
+            .latestEndSeconds(
+                spec.load,
+                spec.estimatedSeconds,
+            )?.let { it - waitedSeconds }
+            ?.takeIf { isFeasible(spec, it) }
         val dueInSeconds = if (objective == null) feasible else feasible.filter { it < objective } + objective
-        val workCpuSeconds = job.wantedTasks * spec.request.cpus * spec.estimateS
+        val workCpuSeconds = job.wantedTasks * spec.request.cpus * spec.estimatedSeconds
         return PlannedJob(job, workCpuSeconds, dueInSeconds, waitedSeconds, spec.team)
     }
 
@@ -66,13 +71,13 @@
         isFeasible(job.spec, dueInSeconds(job).lastOrNull() ?: -waitedSeconds(job))
 
     /** Whether a job can be done by its deadline on unlimited capacity: its last task still needs its own run time. */
-    private fun isFeasible(spec: JobSpec, dueInSeconds: Double) = dueInSeconds > spec.estimateS * FEASIBILITY_FACTOR
+    private fun isFeasible(spec: JobSpec, dueInSeconds: Double) = dueInSeconds > spec.estimatedSeconds * FEASIBILITY_FACTOR
 
     /** In how many seconds the job is due, at each multiple of its deadline that the objectives of the deadline's load name. */
     private fun dueInSeconds(job: SchedulableJob): List<Double> {
         val deadline = job.deadline ?: return emptyList()
         val nowMillis = loop.wallMillis()
-        return (objectives.deadlineTimes[deadline.load] ?: DEADLINE_ONLY).map { deadline.dueInS(it, nowMillis) }
+        return (objectives.deadlineMultiples[deadline.load] ?: DEADLINE_ONLY).map { deadline.dueInS(it, nowMillis) }
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/scheduling/Scheduler.kt
+++ b/src/main/kotlin/copperglade/scheduling/Scheduler.kt
@@ -69,8 +69,8 @@
      * decides. Urgent jobs have a window too: a write for each of a burst of them would take the whole budget.
      */
     private fun openBatchWindows(now: MonotonicTime, isFullRound: Boolean) {
-        nextUrgentRoundAt = now + MAX_URGENT_BATCH_WINDOW * (1.0 - store.writeLevel())
-        if (isFullRound) nextFullRoundAt = now + MIN_BATCH_WINDOW + EXTRA_BATCH_WINDOW * (1.0 - store.writeLevel())
+        nextUrgentRoundAt = now + MAX_URGENT_BATCH_WINDOW * (1.0 - store.writeBudgetLevel())
+        if (isFullRound) nextFullRoundAt = now + MIN_BATCH_WINDOW + EXTRA_BATCH_WINDOW * (1.0 - store.writeBudgetLevel())
     }
 
     private fun isUrgentAndWaiting(job: Job): Boolean {
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -15,9 +15,9 @@
  * Guards against two opposite errors: a job that fails everywhere would take one machine after another out of use, and a
  * faulty machine would go on ruining the tasks of jobs that are sound.
  *
- * @param machinesToBlameJob on how many machines, that fail for no other job, a job has to fail to be taken for failing.
+ * @param failingJobMachineThreshold on how many machines, that fail for no other job, a job has to fail to be taken for failing.
  */
-class FailureEvidence(private val machinesToBlameJob: Int) {
+class FailureEvidence(private val failingJobMachineThreshold: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
@@ -44,7 +44,8 @@
 
     private fun failsEverywhere(job: JobId): Boolean {
         val machines = machinesByJob[job] ?: return false
-        return machines.size > machinesToBlameJob || machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= machinesToBlameJob
+        return machines.size > failingJobMachineThreshold ||
+            machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= failingJobMachineThreshold
     }
 
     /** Whether [machine] ruins the tasks of sound jobs and had better be replaced. */
@@ -55,8 +56,8 @@
      * Whether [job] has failed on [machine] so lately that its tasks had better go elsewhere. Other jobs may go there: where
      * the machine is faulty that shows with the next of them, and where the job is failing the machine stays in use.
      */
-    fun separates(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
-        failuresByMachine[machine]?.get(job)?.let { now < it + SEPARATION } ?: false
+    fun shouldAvoid(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
+        failuresByMachine[machine]?.get(job)?.let { now < it + AVOIDANCE_PERIOD } ?: false
 
     /** The job is over: what is still open between it and the machines it failed on is not held against them. */
     fun forgetJob(job: JobId) {
@@ -73,6 +74,6 @@
         const val JOBS_TO_BLAME_MACHINE = 2
 
         /** For so long a job's tasks are not placed on a machine where one of them has failed. */
-        val SEPARATION = 10.seconds
+        val AVOIDANCE_PERIOD = 10.seconds
     }
 }
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -66,8 +66,8 @@
         live(free)
         live(cancelled, cancelled = true)
         live(blocked, awaits = listOf(free))
-        state.put(Keys.over(over), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
-        state.put(Keys.over(called), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
+        state.put(Keys.ended(over), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
+        state.put(Keys.ended(called), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
         val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
         val page = RecordCodec.encode(AssignmentRange(listOf(group), BitSet(), 1, 1, 1))
         state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(TaskRange(cancelled, 0) to page)))
@@ -90,7 +90,7 @@
         epoch = 1,
         sequenceNumber = 1,
         fencingToken = FencingToken(1),
-        noticeS = null,
+        evictionNoticeSeconds = null,
         reportedTasks = jobs.map { ReportedTask(TaskId(it, 0), Attempt(1), ReportedTaskState.RUNNING, null) },
     )
 
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -5,8 +5,8 @@
 import copperglade.protocol.JobKind
 import copperglade.protocol.Json
 import copperglade.protocol.ShardName
-import copperglade.protocol.long
-import copperglade.protocol.obj
+import copperglade.protocol.longOrNull
+import copperglade.protocol.writeJsonObject
 import copperglade.storage.AssignmentGroup
 import copperglade.storage.AssignmentRange
 import copperglade.storage.Keys
@@ -23,13 +23,13 @@
 class EarlierLeaderTest {
     private fun SimSite.revisionOf(key: String): Long {
         var revision = 0L
-        state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.long("stamp")!! }
+        state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.longOrNull("stamp")!! }
         return revision
     }
 
     /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
     private fun SimSite.assignEverywhere(job: JobId) {
-        val shards = state.keys("${Keys.NOW}block/")
+        val shards = state.keys("${Keys.CURRENT}block/")
         val groups = shards.mapIndexed { task, key ->
             val token = FencingToken(revisionOf(key))
             AssignmentGroup(ShardName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
@@ -37,9 +37,9 @@
         val page = AssignmentRange(groups, BitSet(), 1, shards.size, 1)
         val record = RecordCodec.encodePackedRecord(mapOf(TaskRange(job, 0) to RecordCodec.encode(page)))
         val body = Json.write {
-            obj {
+            writeJsonObject {
                 writeArrayFieldStart("writes")
-                obj {
+                writeJsonObject {
                     writeStringField("set", "${Keys.assignmentRecords(JobKind.ARRAY)}900")
                     writeFieldName("data")
                     writeRawValue(record.decodeToString())
