--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -52,7 +52,7 @@
     /** Guards against a leader that assigned the task with older knowledge, or that runs a version without dependencies. */
     private fun isRefused(run: Run): Boolean {
         val refusal = state.context.guard.refusalByRecords(run.task)
-        if (refusal != null && refusal != run.lastRefusal) state.context.audit.refused(run.task, refusal)
+        if (refusal != null && refusal != run.lastRefusal) state.context.audit.recordRefusal(run.task, refusal)
         run.lastRefusal = refusal
         return refusal != null
     }
