--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -56,7 +56,7 @@
         borrowedQuotas.sumOf { borrowed -> borrowed.assigned.count { it.preemptedForGuarantee } * borrowed.spec.request.cpus }
 
     private companion object {
-        val CHECKPOINTED_THEN_LATEST = compareBy<BorrowedQuota> { if (it.spec.checkpointSeconds > 0.0) 0 else 1 }
+        val CHECKPOINTED_THEN_LATEST = compareBy<BorrowedQuota> { if (it.spec.checkpointIntervalSeconds > 0.0) 0 else 1 }
             .thenByDescending {
                 it.job.live
                     ?.value
