--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -50,7 +50,7 @@
     private val settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
-    heapBytes: Long = Runtime.getRuntime().maxMemory(),
+    heapBytes: Long,
     /** Told of each action that the last check before it has refused: see [InvariantViolations]. */
     onViolation: (InvariantViolation) -> Unit = {},
 ) {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -52,7 +52,7 @@
      */
     private val maxCatchUp: Duration = MAX_CATCH_UP,
     /** The ends of so many jobs are remembered; beyond them, the state service is asked. */
-    maxEndedJobs: Int = EndedJobs.maxEndsFor(Runtime.getRuntime().maxMemory()),
+    maxEndedJobs: Int = EndedJobs.maxEndsFor(heapBytes = 0),
     /** How long a job's tasks are predicted to run, in seconds. */
     predictRunS: (JobSpec) -> Double = { it.estimateS },
 ) {
--- a/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpCaller.kt
@@ -34,7 +34,7 @@
     private val connectionLimit: Int = Int.MAX_VALUE,
     /** Always to be reached, whatever the limit: there are few of them. */
     private val always: Set<Endpoint> = emptySet(),
-    heapBytes: Long = Runtime.getRuntime().maxMemory(),
+    heapBytes: Long,
 ) : HttpCaller {
     /**
      * A sixteenth of the heap: an answer is held several times over while it is read as a tree. A larger one counts as none; the
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -1,5 +1,6 @@
 package copperglade.sim
 
+import copperglade.app.ProcessHeap
 import copperglade.controller.Controller
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobId
@@ -188,9 +189,9 @@
         val loop = SimLoop(sim, drift = node * DRIFT)
         if (takesFaults) loop.guard = FaultBarrier { crash(node) }::run
         val its = if (outsideLimitS != null && node % 2 == 0) OperatorSettings(stalenessLimit = outsideLimitS.seconds) else operatorSettings
-        val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its, onViolation = { violation ->
+        val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its, ProcessHeap.maxBytes) { violation ->
             breach("invariant", "${violation.invariant}: ${violation.detail}")
-        })
+        }
         controllers[node] = controller to loop
         network.listen(client(node), name(node), loop, controller.clientHandler)
         network.listen(cluster(node), name(node), loop, controller.clusterHandler)
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -1,5 +1,6 @@
 package copperglade.transport
 
+import copperglade.app.ProcessHeap
 import copperglade.protocol.Decoding
 import copperglade.protocol.WorkerWire
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -32,7 +33,7 @@
         for (place in listOf("timer", "request", "answer")) {
             val broken = CountDownLatch(1)
             val loop = NettyEventLoop(FaultBarrier { broken.countDown() })
-            val caller = NettyHttpCaller(loop)
+            val caller = NettyHttpCaller(loop, heapBytes = ProcessHeap.maxBytes)
             val at = freeEndpoint()
             NettyHttpServer(loop, CONNECTIONS) { _, responder ->
                 if (place == "request") error("injected")
