--- a/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
+++ b/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
@@ -24,13 +24,13 @@
 ) {
     /** All controllers together stay within the budgets; a controller with more to write gets a larger share. */
     fun allocate() {
-        val writesWantedByOthers = (replica.members.keys - settings.member).map { peerStatuses.statusOf(it)?.writesWanted }
-        val otherCount = writesWantedByOthers.size
+        val others = replica.members.keys - settings.member
+        val othersDesiredWritesPerSecond = others.map { peerStatuses.statusOf(it)?.desiredWritesPerSecond }
         // The leader scales out and lists machines, the others only delete idle ones.
-        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / otherCount.coerceAtLeast(1)
-        cloudBudget.setRate(settings.cloudRps * USED_PART_OF_CLOUD_BUDGET * cloudShare, loop.now())
-        val writeShare = BudgetShare.of(store.writeDemandPerS, writesWantedByOthers, settings.stateWriteRps)
-        store.setShares(USED_PART_OF_STATE_BUDGET / (otherCount + 1), USED_PART_OF_STATE_BUDGET * writeShare)
+        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
+        cloudBudget.setRate(settings.cloudRequestsPerSecond * USED_PART_OF_CLOUD_BUDGET * cloudShare, loop.now())
+        val writeShare = BudgetShare.of(store.desiredWritesPerSecond, othersDesiredWritesPerSecond, settings.stateWritesPerSecond)
+        store.setShares(USED_PART_OF_STATE_BUDGET / (others.size + 1), USED_PART_OF_STATE_BUDGET * writeShare)
     }
 
     companion object {
@@ -42,6 +42,7 @@
         fun initialStateShare(controllers: Int): Double = USED_PART_OF_STATE_BUDGET / controllers
 
         /** Requests a second to the cloud until the members are known, as if all [controllers] lived. */
-        fun initialCloudRate(cloudRps: Double, controllers: Int): Double = cloudRps * USED_PART_OF_CLOUD_BUDGET / controllers
+        fun initialCloudRate(cloudRequestsPerSecond: Double, controllers: Int): Double =
+            cloudRequestsPerSecond * USED_PART_OF_CLOUD_BUDGET / controllers
     }
 }
--- a/src/main/kotlin/copperglade/controller/ClientRouter.kt
+++ b/src/main/kotlin/copperglade/controller/ClientRouter.kt
@@ -4,8 +4,8 @@
 import copperglade.observability.RequestLatency
 import copperglade.ownership.ShardOwnership
 import copperglade.protocol.JobId
-import copperglade.protocol.UserWire
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.UserApiCodec
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.storage.Replica
 import copperglade.storage.ReplicaState
 import copperglade.transport.HttpStatus
@@ -27,13 +27,15 @@
     override fun handle(request: Request, responder: Responder) {
         val path = request.path.substringBefore('?')
         when {
-            path == WorkerWire.HEARTBEAT_PATH -> requireMethod(Method.POST, request, responder) { handleHeartbeat(request, responder) }
-            path == UserWire.JOBS_PATH -> requireMethod(Method.POST, request, responder) {
+            path == WorkerMessageCodec.HEARTBEAT_PATH -> requireMethod(Method.POST, request, responder) {
+                handleHeartbeat(request, responder)
+            }
+            path == UserApiCodec.JOBS_PATH -> requireMethod(Method.POST, request, responder) {
                 jobService.submit(request.body, submissionLatency.timed(responder))
             }
-            path == UserWire.HEALTH_PATH -> requireMethod(Method.GET, request, responder) { responder.send(health()) }
+            path == UserApiCodec.HEALTH_PATH -> requireMethod(Method.GET, request, responder) { responder.send(health()) }
             path.startsWith(JOB_PREFIX) -> handleJob(request, path.removePrefix(JOB_PREFIX), responder)
-            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such path")))
+            else -> responder.send(Reply(HttpStatus.NOT_FOUND, UserApiCodec.encodeError("no such path")))
         }
     }
 
@@ -41,7 +43,7 @@
         val cancelling = subpath.endsWith(CANCEL_SUFFIX)
         val id = JobId.parse(subpath.removeSuffix(CANCEL_SUFFIX))
         when {
-            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserWire.error("no such job")))
+            id == null -> responder.send(Reply(HttpStatus.NOT_FOUND, UserApiCodec.encodeError("no such job")))
             cancelling -> requireMethod(Method.POST, request, responder) { jobService.cancel(id, responder) }
             else -> requireMethod(Method.GET, request, responder) { jobService.poll(id, pollLatency.timed(responder)) }
         }
@@ -49,13 +51,13 @@
 
     private fun requireMethod(method: Method, request: Request, responder: Responder, action: () -> Unit) {
         if (request.method == method) return action()
-        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserWire.error("method not allowed here")))
+        responder.send(Reply(HttpStatus.METHOD_NOT_ALLOWED, UserApiCodec.encodeError("method not allowed here")))
     }
 
     private fun handleHeartbeat(request: Request, responder: Responder) {
-        val heartbeat = WorkerWire.parseHeartbeat(request.body)
+        val heartbeat = WorkerMessageCodec.decodeHeartbeat(request.body)
         val reply = when {
-            heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
+            heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not a worker's report"))
             replica.state != ReplicaState.CURRENT -> JobService.later()
             else -> shardOwnership.handleHeartbeat(heartbeat)
         }
@@ -63,10 +65,10 @@
     }
 
     private fun health(): Reply =
-        if (healthCheck.isHealthy()) Reply(HttpStatus.OK) else Reply(HttpStatus.UNAVAILABLE, UserWire.error("not ready"))
+        if (healthCheck.isHealthy()) Reply(HttpStatus.OK) else Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("not ready"))
 
     private companion object {
-        const val JOB_PREFIX = "${UserWire.JOBS_PATH}/"
-        const val CANCEL_SUFFIX = "/${UserWire.CANCEL_END}"
+        const val JOB_PREFIX = "${UserApiCodec.JOBS_PATH}/"
+        const val CANCEL_SUFFIX = "/${UserApiCodec.CANCEL_SUFFIX}"
     }
 }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -1,6 +1,6 @@
 package copperglade.controller
 
-import copperglade.fleet.Fleet
+import copperglade.fleet.Autoscaler
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
@@ -18,13 +18,14 @@
 import copperglade.observability.RequestLatency
 import copperglade.ownership.ShardOwnership
 import copperglade.prediction.ProfileStore
-import copperglade.protocol.PeerWire
+import copperglade.protocol.PeerMessageCodec
 import copperglade.safety.ActionGuard
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
-import copperglade.scheduling.Assigner
 import copperglade.scheduling.CapacityTable
 import copperglade.scheduling.FairShare
+import copperglade.scheduling.Scheduler
+import copperglade.scheduling.SchedulingPolicy
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
@@ -36,7 +37,7 @@
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ShardContext
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.RequestHandler
 import kotlin.time.Duration.Companion.seconds
 
@@ -46,7 +47,7 @@
  */
 class Controller(
     private val loop: EventLoop,
-    caller: HttpCaller,
+    caller: HttpClient,
     private val settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
@@ -60,10 +61,10 @@
         loop,
         http,
         settings.state,
-        StateLimits(settings.stateRps, settings.stateWriteRps, settings.valueKb, settings.transactionWrites),
+        StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.valueKb, settings.transactionWrites),
         firstShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
     )
-    private val stalenessLimit = StalenessLimit.of(settings.leaseS, settings.cancelS, operatorSettings)
+    private val stalenessLimit = StalenessLimit.of(settings.leaseSeconds, settings.cancelSeconds, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, stalenessLimit / REFRESHES_PER_STALENESS_LIMIT)
     private val profiles =
         ProfileStore(
@@ -81,11 +82,11 @@
             maxCatchUp = stalenessLimit,
             EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
-            profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimateS
+            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
-        sessionLease = minOf(stalenessLimit, (settings.leaseS * operatorSettings.sessionLeasePart).seconds),
+        sessionLease = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
         staleness = stalenessLimit,
         startStaleness = idleRefreshInterval * 2,
     )
@@ -98,10 +99,10 @@
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val shardMap = ShardMap(settings.zones, operatorSettings.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val shardAssigner =
-        ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.leaseS)
+        ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.leaseSeconds)
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget =
-        TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRps, zoneOfMember.size), CLOUD_BURST_S, loop.now())
+        TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
     private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
     private val shardOwnership: ShardOwnership = ShardOwnership(
         ShardContext(
@@ -112,8 +113,8 @@
             types,
             profiles,
             operatorSettings,
-            settings.heartbeatIntervalS,
-            settings.leaseS,
+            settings.heartbeatIntervalSeconds,
+            settings.leaseSeconds,
             metrics,
             formerIncarnations,
             guard,
@@ -125,22 +126,15 @@
         cloudBudget,
         peerStatuses::peersReachStateService,
     )
-    private val capacityTable = CapacityTable(replica, shardMap)
-    private val fairShare = FairShare(operatorSettings.starvationThresholdS, operatorSettings.starvationShare)
-    private val assigner = Assigner(
-        loop,
-        store,
-        replica,
-        leadership,
-        capacityTable,
-        types,
+    private val capacityTable = CapacityTable(replica, shardMap, peerStatuses::capacityStatusOf)
+    private val schedulingPolicy = SchedulingPolicy(
         settings.teams,
         settings.objectives,
-        fairShare,
-        peerStatuses::capacityStatusOf,
+        FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
     )
+    private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
-    private val fleet = Fleet(
+    private val autoscaler = Autoscaler(
         loop,
         http,
         settings.cloud,
@@ -152,7 +146,7 @@
         settings.teams,
         shardMap,
         operatorSettings,
-        settings.listLagS,
+        settings.listLagSeconds,
         peerStatuses::statusOf,
     )
     private val peerStatusExchange = PeerStatusExchange(
@@ -162,12 +156,12 @@
         settings.member,
         settings.peers,
         peerStatuses,
-        PeerStatusComposer(loop, store, replica, membership, leadership, shardOwnership, shardAssigner, fleet),
+        PeerStatusComposer(loop, store, replica, membership, leadership, shardOwnership, shardAssigner, autoscaler),
     )
     private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = stalenessLimit)
     private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
     private val budgetAllocator = BudgetAllocator(loop, settings, store, replica, leadership, peerStatuses, cloudBudget)
-    private val leaderLoop = LeaderLoop(loop, metrics, leadership, shardAssigner, assigner, jobFinalizer, budgetAllocator)
+    private val leaderLoop = LeaderLoop(loop, metrics, leadership, shardAssigner, scheduler, jobFinalizer, budgetAllocator)
     private val healthCheck = HealthCheck(loop, store, replica, types, peerStatuses)
     private val submissionLatency = RequestLatency(loop, "submissions")
     private val pollLatency = RequestLatency(loop, "polls")
@@ -189,7 +183,7 @@
         leadership.start()
         shardOwnership.start()
         peerStatusExchange.start()
-        fleet.start()
+        autoscaler.start()
         submissionLatency.start()
         metrics.start()
         audit.start()
@@ -201,7 +195,9 @@
         replica.addListener(formerIncarnations)
         replica.addListener(shardOwnership)
         replica.addListener(jobFinalizer)
-        replica.addListener { changes -> changes.peerStatuses.mapNotNull(PeerWire::decode).forEach(peerStatuses::recordFromStateService) }
+        replica.addListener { changes ->
+            changes.peerStatuses.mapNotNull(PeerMessageCodec::decodeStatus).forEach(peerStatuses::recordFromStateService)
+        }
         membership.onChange = shardOwnership::reconcile
         peerStatusExchange.onLeaderStatus = { status ->
             shardOwnership.release(status.release)
@@ -211,6 +207,6 @@
 
     private companion object {
         const val REFRESHES_PER_STALENESS_LIMIT = 4
-        const val CLOUD_BURST_S = 2.0
+        const val CLOUD_BURST_SECONDS = 2.0
     }
 }
--- a/src/main/kotlin/copperglade/controller/HealthCheck.kt
+++ b/src/main/kotlin/copperglade/controller/HealthCheck.kt
@@ -22,15 +22,15 @@
      * probably alone: users who stayed with it would get no answer for as long as that lasts.
      */
     fun isHealthy(): Boolean {
-        val stateSilentS = loop.now().secondsSince(store.lastAnswerAt)
+        val stateSilentSeconds = loop.now().secondsSince(store.lastAnswerAt)
         val peersReachStateService = peerStatuses.peersReachStateService()
-        val isolated = peerStatuses.hearsNoPeer() && stateSilentS >= ISOLATED_AFTER_S
-        val reachesStateService = stateSilentS * MS_PER_S < PeerStatusTable.STATE_SILENCE_LIMIT_MS
-        return replica.state == ReplicaState.CURRENT && types.known && (reachesStateService || !(peersReachStateService || isolated))
+        val isolated = peerStatuses.hearsNoPeer() && stateSilentSeconds >= ISOLATED_AFTER_SECONDS
+        val reachesStateService = stateSilentSeconds * MILLIS_PER_SECOND < PeerStatusTable.STATE_SILENCE_LIMIT_MILLIS
+        return replica.state == ReplicaState.CURRENT && types.isLoaded && (reachesStateService || !(peersReachStateService || isolated))
     }
 
     private companion object {
-        const val ISOLATED_AFTER_S = 10.0
-        const val MS_PER_S = 1000
+        const val ISOLATED_AFTER_SECONDS = 10.0
+        const val MILLIS_PER_SECOND = 1000
     }
 }
--- a/src/main/kotlin/copperglade/controller/LeaderLoop.kt
+++ b/src/main/kotlin/copperglade/controller/LeaderLoop.kt
@@ -3,7 +3,7 @@
 import copperglade.jobs.JobFinalizer
 import copperglade.membership.Leadership
 import copperglade.observability.EventLoopMetrics
-import copperglade.scheduling.Assigner
+import copperglade.scheduling.Scheduler
 import copperglade.shards.ShardAssigner
 import copperglade.transport.EventLoop
 import kotlin.time.Duration
@@ -15,7 +15,7 @@
     private val metrics: EventLoopMetrics,
     private val leadership: Leadership,
     private val shardAssigner: ShardAssigner,
-    private val assigner: Assigner,
+    private val scheduler: Scheduler,
     private val jobFinalizer: JobFinalizer,
     private val budgetAllocator: BudgetAllocator,
 ) {
@@ -34,7 +34,7 @@
     private fun round() {
         if (leadership.leading) {
             shardAssigner.round()
-            assigner.round()
+            scheduler.round()
             jobFinalizer.round()
         }
         budgetAllocator.allocate()
--- a/src/main/kotlin/copperglade/controller/PeerRouter.kt
+++ b/src/main/kotlin/copperglade/controller/PeerRouter.kt
@@ -4,7 +4,7 @@
 import copperglade.membership.LeaseEndorsement
 import copperglade.membership.PeerStatusExchange
 import copperglade.protocol.MemberId
-import copperglade.protocol.PeerWire
+import copperglade.protocol.PeerMessageCodec
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 import copperglade.transport.Request
@@ -19,9 +19,9 @@
 ) : RequestHandler {
     override fun handle(request: Request, responder: Responder) {
         val status = when (request.path) {
-            PeerWire.ENDORSEMENT_PATH -> endorse(request)
-            PeerWire.CANCELLED_PATH -> receiveCancellations(request)
-            PeerWire.PATH -> receivePeerStatus(request)
+            PeerMessageCodec.ENDORSEMENT_PATH -> endorse(request)
+            PeerMessageCodec.CANCELLATIONS_PATH -> receiveCancellations(request)
+            PeerMessageCodec.STATUS_PATH -> receivePeerStatus(request)
             else -> HttpStatus.NOT_FOUND
         }
         responder.send(Reply(status))
@@ -33,13 +33,13 @@
     }
 
     private fun receiveCancellations(request: Request): Int {
-        val cancellations = PeerWire.decodeCancelled(request.body) ?: return HttpStatus.BAD_REQUEST
+        val cancellations = PeerMessageCodec.decodeCancellations(request.body) ?: return HttpStatus.BAD_REQUEST
         cancellationBroadcast.receive(cancellations)
         return HttpStatus.OK
     }
 
     private fun receivePeerStatus(request: Request): Int {
-        val status = PeerWire.decode(request.body) ?: return HttpStatus.BAD_REQUEST
+        val status = PeerMessageCodec.decodeStatus(request.body) ?: return HttpStatus.BAD_REQUEST
         peerStatusExchange.receive(status)
         return HttpStatus.OK
     }
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -1,6 +1,6 @@
 package copperglade.controller
 
-import copperglade.fleet.Fleet
+import copperglade.fleet.Autoscaler
 import copperglade.membership.Leadership
 import copperglade.membership.Membership
 import copperglade.membership.PeerStatusSource
@@ -21,7 +21,7 @@
     private val leadership: Leadership,
     private val shardOwnership: ShardOwnership,
     private val shardAssigner: ShardAssigner,
-    private val fleet: Fleet,
+    private val autoscaler: Autoscaler,
 ) : PeerStatusSource {
     override val machineCount: Int get() = shardOwnership.machineCount
 
@@ -34,12 +34,12 @@
             member = membership.self,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMs = loop.now().ms - store.lastAnswerAt.ms,
+            stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.shardsToRelease else emptyList(),
-            retire = if (leading) fleet.retire else emptyList(),
-            writesWanted = store.writeDemandPerS,
+            retire = if (leading) autoscaler.retire else emptyList(),
+            desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -64,7 +64,7 @@
     val condition: Condition get() = Condition(Keys.LEADER, revision)
 
     /** How long ago this process last began to lead, in seconds. */
-    val leadingForS: Double get() = loop.now().secondsSince(leadingSince)
+    val leadingForSeconds: Double get() = loop.now().secondsSince(leadingSince)
 
     /** Campaigns whenever there is no leader, from now on. */
     fun start() {
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -72,7 +72,7 @@
     private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
 
     /** For how long [mayAct] will hold if nothing more is heard, in milliseconds; 0 where it doesn't. */
-    val authorityRemainingMs: Long
+    val authorityRemainingMillis: Long
         get() {
             if (!mayAct) return 0
             val ownershipUntil = maxOf(lease.aliveUntil, leaseEndorsement.endorsedUntil)
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -2,8 +2,8 @@
 
 import copperglade.protocol.MemberId
 import copperglade.protocol.MonotonicTime
+import copperglade.protocol.PeerMessageCodec
 import copperglade.protocol.PeerStatus
-import copperglade.protocol.PeerWire
 import copperglade.settings.Peer
 import copperglade.storage.Keys
 import copperglade.storage.RecordCodec
@@ -12,7 +12,7 @@
 import copperglade.storage.Write
 import copperglade.storage.WritePriority
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -37,7 +37,7 @@
  */
 class PeerStatusExchange(
     private val loop: EventLoop,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val store: StateClient,
     private val self: MemberId,
     private val peers: List<Peer>,
@@ -63,14 +63,14 @@
         notifyIfLeader(status)
         val leader = source.currentLeader
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
-        val withoutCapacities = lazy { PeerWire.encode(status.withoutCapacities()) }
+        val withoutCapacities = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacity()) }
         val now = loop.now()
         val followersDue = now >= followersToldAt + FOLLOWER_INTERVAL
         if (followersDue) followersToldAt = now
         for (peer in peers) {
             if (peer.member in requestsInFlight) continue
             if (peer.member == leader) {
-                send(peer, PeerWire.encode(status))
+                send(peer, PeerMessageCodec.encodeStatus(status))
             } else if (followersDue) {
                 send(peer, withoutCapacities.value)
             }
@@ -80,7 +80,7 @@
 
     private fun send(peer: Peer, body: ByteArray) {
         requestsInFlight += peer.member
-        http.call(peer.endpoint, Request(Method.POST, PeerWire.PATH, body), REQUEST_TIMEOUT) { reply ->
+        http.call(peer.endpoint, Request(Method.POST, PeerMessageCodec.STATUS_PATH, body), REQUEST_TIMEOUT) { reply ->
             requestsInFlight -= peer.member
             if (reply?.status == HttpStatus.OK) deliveredAt[peer.member] = loop.now()
         }
@@ -101,7 +101,7 @@
     private fun encodeWithinValueLimit(status: PeerStatus): ByteArray? {
         var targetBytes = (store.limits.valueBytes * JSON_OVERHEAD_FACTOR).toInt()
         repeat(MAX_TRUNCATIONS) {
-            val value = RecordCodec.encodePeerStatus(PeerWire.encode(status.truncatedTo(targetBytes)))
+            val value = RecordCodec.encodePeerStatus(PeerMessageCodec.encodeStatus(status.truncatedTo(targetBytes)))
             if (value.size <= store.limits.valueBytes) return value
             targetBytes = (targetBytes * TRUNCATION_FACTOR).toInt()
         }
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -46,7 +46,7 @@
 
     /** Whether a peer that we hear has had an answer of the state service lately: it, or whom it knows, takes our shards over. */
     fun peersReachStateService(): Boolean = peers.any { peer ->
-        recentDirect(peer.member)?.let { it.stateSilentMs < STATE_SILENCE_LIMIT_MS } ?: false
+        recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SILENCE_LIMIT_MILLIS } ?: false
     }
 
     /** Whether there are peers, and none of them is heard. */
@@ -54,7 +54,7 @@
 
     companion object {
         /** After so long without an answer, a controller counts as cut off from the state service. */
-        const val STATE_SILENCE_LIMIT_MS = 3000L
+        const val STATE_SILENCE_LIMIT_MILLIS = 3000L
         private val DIRECT_LIFETIME = 2.seconds
         private val STATE_SERVICE_LIFETIME = 4.seconds
     }
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Endpoint
 import copperglade.transport.EventLoop
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.Reply
 import copperglade.transport.Request
 import copperglade.transport.RequestHandler
@@ -52,7 +52,7 @@
     }
 
     /** [caller], the time of its callbacks counted under `out:` and the first segment of the request's path. */
-    fun measured(caller: HttpCaller) = HttpCaller { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
+    fun measured(caller: HttpClient) = HttpClient { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
         val kind = "out:${firstSegment(request)}"
         caller.call(to, request, timeout) { reply -> measure(kind) { done(reply) } }
     }
@@ -63,26 +63,26 @@
         .substringBefore('?')
 
     private fun report() {
-        val intervalS = (loop.now().ms - intervalStartedAt.ms) / MS_PER_S
+        val intervalSeconds = (loop.now().ms - intervalStartedAt.ms) / MILLIS_PER_SECOND
         intervalStartedAt = loop.now()
-        if (intervalS <= 0.0) return
+        if (intervalSeconds <= 0.0) return
         for ((kind, usage) in usageByKind) {
-            val perSecond = "%.1f".format(usage.count / intervalS)
-            val msPerSecond = "%.1f".format(usage.totalMicros / MICROS_PER_MS / intervalS)
+            val perSecond = "%.1f".format(usage.count / intervalSeconds)
+            val millisPerSecond = "%.1f".format(usage.totalMicros / MICROS_PER_MILLI / intervalSeconds)
             log.info(
                 "event_loop_usage kind={} per_s={} ms_per_s={} longest_ms={}",
                 kind,
                 perSecond,
-                msPerSecond,
-                usage.longestMicros / MICROS_PER_MS.toLong(),
+                millisPerSecond,
+                usage.longestMicros / MICROS_PER_MILLI.toLong(),
             )
         }
         usageByKind.clear()
     }
 
     private companion object {
-        const val MS_PER_S = 1000.0
-        const val MICROS_PER_MS = 1000.0
+        const val MILLIS_PER_SECOND = 1000.0
+        const val MICROS_PER_MILLI = 1000.0
         val INTERVAL = 60.seconds
         val log = LoggerFactory.getLogger("metrics")
     }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,9 +1,9 @@
 package copperglade.placement
 
-import copperglade.prediction.Factors
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
+import copperglade.prediction.TaskFactors
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
@@ -30,13 +30,13 @@
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
             val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.heardAt + (context.heartbeatIntervalS * 2).seconds
+            val silent = now >= machine.lastContactAt + (context.heartbeatIntervalSeconds * 2).seconds
             if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
                 silent
             ) {
                 continue
             }
-            free[machine.name] = machine.free(type, now, requestOf)
+            free[machine.name] = machine.freeCapacity(type, now, requestOf)
         }
         if (free.values.none { it.cpus > 0.0 }) return emptyList()
         // Hundreds of tasks may be late at a time. A few are weighed at each look, all in turn.
@@ -52,8 +52,8 @@
     /** Past its job's average run time. */
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * context.operatorSettings.stragglerMargin
+        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
+        return elapsed > average * context.operatorSettings.stragglerFactor
     }
 
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
@@ -62,7 +62,7 @@
     private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
         val home = run.machine ?: return null
         val elapsed = now.secondsSince(run.runningSince ?: return null)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return null
+        val average = context.profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
         // A slow machine has done less of the task than the time says.
         val done = elapsed * context.profiles.speedOf(home.name)
         val similar = context.profiles.similar(run.spec.load, done)
@@ -70,13 +70,13 @@
         val remaining = here.average - elapsed
         val fitting = machines.filter { machine ->
             val freeCapacity = free[machine.name]
-            freeCapacity != null && machine !== home && machine.name !in run.avoid && run.spec.request.fitsIn(freeCapacity) &&
+            freeCapacity != null && machine !== home && machine.name !in run.avoidedMachines && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = context.types[machine.typeName] ?: return@mapNotNull null
             val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
-            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
+            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(TINY)
             prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
         return when (val verdict = RiskAssessment.weigh(options, remaining)) {
@@ -107,7 +107,7 @@
     }
 
     private fun factorsOn(machine: Machine, run: Run, neighbours: Int) =
-        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
 
     private fun round(seconds: Double) = Math.round(seconds * 10) / 10.0
 
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -93,7 +93,7 @@
 
     private fun mustStop(reported: ReportedTask) = reported.state != ReportedTaskState.EXITED && isEndedOrCancelled(reported.task.job)
 
-    private fun stopOf(reported: ReportedTask) = Command.Stop(reported.task, reported.attempt, graceS = 0.0)
+    private fun stopOf(reported: ReportedTask) = Command.Stop(reported.task, reported.attempt, graceSeconds = 0.0)
 
     /** Whether the leader may end [job]: all records are known, it is complete or cancelled, and no task of it is assigned to anybody. */
     fun mayEnd(job: Job): Boolean =
