--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -46,9 +46,9 @@
  * itself.
  */
 class Controller(
-    private val loop: EventLoop,
+    loop: EventLoop,
     caller: HttpClient,
-    private val settings: PlatformSettings,
+    settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
     heapBytes: Long,
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -21,6 +21,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
+/** How far this process has got with leading. */
 enum class LeadershipState {
     /** Somebody else leads, or nobody. */
     FOLLOWING,
@@ -50,8 +51,7 @@
     private var leadingSince = MonotonicTime.NEVER
     private var loggedLeader: Revision? = null
 
-    var state = LeadershipState.FOLLOWING
-        private set
+    private var state = LeadershipState.FOLLOWING
 
     /** The revision of the leader key as this process wrote it last: the fencing token of everything that the leader writes. */
     var revision = Revision.ABSENT
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -21,6 +21,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
+/** How far this process has got with its membership. */
 enum class MemberState {
     /** No session lease, and no request for one under way. */
     NOT_MEMBER,
@@ -33,8 +34,8 @@
 }
 
 /**
- * This process's membership among the controllers: a session lease, and the member key attached to it. A membership that is lost is
- * sought again at once, under a new incarnation.
+ * This process's membership among the controllers: a session lease, and the member key attached to it. One that was lost is followed
+ * at once by an attempt to join under a new incarnation.
  */
 class Membership(
     private val loop: EventLoop,
@@ -46,8 +47,7 @@
 ) : ActionAuthority {
     private var lease = SessionLease(loop, store, limits.sessionLease)
 
-    var state = MemberState.NOT_MEMBER
-        private set
+    private var state = MemberState.NOT_MEMBER
 
     /** The revision of the member key: a condition of writes that need this incarnation to be a member still. */
     var revision = Revision.ABSENT
@@ -99,7 +99,7 @@
     val gracePeriod: Duration
         get() = (limits.staleness - limits.sessionLease) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
 
-    /** Called on each change of [state], hence whenever [incarnation] has changed. */
+    /** Called on each change of the [MemberState], hence whenever [incarnation] has changed. */
     var onChange: () -> Unit = {}
 
     /** Joins, and keeps the session lease alive from then on. */
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -57,7 +57,7 @@
         val loop = SimLoop(sim)
         val network = SimNetwork(sim)
         val state = StandInState(loop)
-        network.listen(AT, "state", loop, state)
+        network.listen(STATE, "state", loop, state)
 
         fun live(id: JobId, cancelled: Boolean = false, awaits: List<JobId> = emptyList()) {
             val spec = SimSite.job(id.text.substringAfter('-').toInt(), tasks = 2)
@@ -69,9 +69,9 @@
         state.put(Keys.ended(ended), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
         state.put(Keys.ended(cancelledAndEnded), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
         val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
-        val page = RecordCodec.encode(AssignmentRange(listOf(group), BitSet(), 1, 1, 1))
-        state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(TaskRange(cancelled, 0) to page)))
-        val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), AT, StateLimits(1e3, 1e3, 4.0, 12)))
+        val taskRange = RecordCodec.encode(AssignmentRange(listOf(group), BitSet(), 1, 1, 1))
+        state.put("${Keys.assignmentRecords(JobKind.ARRAY)}0", RecordCodec.encodePackedRecord(mapOf(TaskRange(cancelled, 0) to taskRange)))
+        val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), STATE, StateLimits(1e3, 1e3, 4.0, 12)))
         replica.start()
         sim.run(500.0)
         listOf(ended, cancelledAndEnded).forEach { replica.readEnd(it) {} }
@@ -159,6 +159,6 @@
     }
 
     private companion object {
-        val AT = Endpoint("10.2.0.1", 2379)
+        val STATE = Endpoint("10.2.0.1", 2379)
     }
 }
