--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -63,7 +63,7 @@
         notifyIfLeader(status)
         val leader = source.currentLeader
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
-        val withoutCapacities = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacity()) }
+        val withoutCapacities = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacities()) }
         val now = loop.now()
         val followersDue = now >= followersToldAt + FOLLOWER_INTERVAL
         if (followersDue) followersToldAt = now
