--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -46,12 +46,12 @@
  * itself.
  */
 class Controller(
-    private val loop: EventLoop,
+    loop: EventLoop,
     caller: HttpClient,
-    private val settings: PlatformSettings,
+    settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
-    heapBytes: Long = Runtime.getRuntime().maxMemory(),
+    heapBytes: Long,
     /** Told of each action that the last check before it has refused: see [InvariantViolations]. */
     onViolation: (InvariantViolation) -> Unit = {},
 ) {
@@ -102,7 +102,7 @@
         ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.leaseSeconds)
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget =
-        TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_S, loop.now())
+        TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
     private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
     private val shardOwnership: ShardOwnership = ShardOwnership(
         ShardContext(
@@ -207,6 +207,6 @@
 
     private companion object {
         const val REFRESHES_PER_STALENESS_LIMIT = 4
-        const val CLOUD_BURST_S = 2.0
+        const val CLOUD_BURST_SECONDS = 2.0
     }
 }
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -96,7 +96,7 @@
         if (listing.readAt == MonotonicTime.NEVER) return
         clearOut(now)
         // A new leader's list may lack what its predecessor has just rented.
-        if (leadership.leadingForS < 2 * listLagSeconds && replica.knownRevision.number > FIRST_REVISIONS) return
+        if (leadership.leadingForSeconds < 2 * listLagSeconds && replica.knownRevision.number > FIRST_REVISIONS) return
         adjust(now, capacities)
     }
 
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -10,7 +10,7 @@
 
 /** How long users wait for answers to one [kind] of request; logged once a minute where there were any. */
 class RequestLatency(private val loop: EventLoop, private val kind: String) {
-    private val histogram = Histogram(MAX_MS, SIGNIFICANT_DIGITS)
+    private val histogram = Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS)
     private var unavailableAnswers = 0
 
     /** Logs at intervals, from now on. */
@@ -20,7 +20,7 @@
     fun timed(responder: Responder): Responder {
         val startedAt = loop.now()
         return Responder { reply: Reply ->
-            histogram.recordValue((loop.now().ms - startedAt.ms).coerceIn(0, MAX_MS))
+            histogram.recordValue((loop.now().ms - startedAt.ms).coerceIn(0, MAX_MILLIS))
             if (reply.status == HttpStatus.SERVICE_UNAVAILABLE) unavailableAnswers++
             responder.send(reply)
         }
@@ -42,7 +42,7 @@
     }
 
     private companion object {
-        const val MAX_MS = 60_000L
+        const val MAX_MILLIS = 60_000L
         const val SIGNIFICANT_DIGITS = 2
         val INTERVAL = 60.seconds
         val log = LoggerFactory.getLogger("latency")
