--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -4,6 +4,7 @@
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
+import copperglade.jobs.JobReplies
 import copperglade.jobs.JobService
 import copperglade.membership.FormerIncarnations
 import copperglade.membership.Leadership
@@ -177,7 +178,7 @@
         settings.listLagSeconds,
         ::statusOf,
     )
-    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = staleness)
+    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, maxNoticeAge = staleness)
     private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
 
     private val submissions = RequestLatency(loop, "submissions")
@@ -314,7 +315,7 @@
         responder.send(
             when {
                 heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not a worker's report"))
-                replica.state != ReplicaState.CURRENT -> JobService.later()
+                replica.state != ReplicaState.CURRENT -> JobReplies.unavailable()
                 else -> shardOwnership.handleHeartbeat(heartbeat)
             },
         )
--- /dev/null
+++ b/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
@@ -0,0 +1,43 @@
+package copperglade.jobs
+
+import copperglade.fleet.MachineTypeCatalog
+import copperglade.protocol.JobKind
+import copperglade.protocol.JobSpec
+import copperglade.protocol.TeamName
+import copperglade.settings.Team
+import copperglade.storage.LiveRecord
+import copperglade.storage.RecordCodec
+import copperglade.storage.StateLimits
+import copperglade.transport.EventLoop
+import copperglade.transport.Reply
+
+/** Decides whether a well-formed job could ever run here, and be stored. */
+internal class AdmissionCheck(
+    private val loop: EventLoop,
+    private val types: MachineTypeCatalog,
+    private val teams: Map<TeamName, Team>,
+    private val limits: StateLimits,
+) {
+    /** The refusal of a job that could never run or be stored; null where it may be accepted. */
+    fun refusalOf(spec: JobSpec): Reply? {
+        val problem = unsatisfiableBecause(spec)
+        return when {
+            problem != null -> JobReplies.unprocessable(problem)
+            !limits.hold(LiveRecord(spec, loop.wallMillis(), cancelled = false)) -> JobReplies.tooLarge("body")
+            else -> null
+        }
+    }
+
+    private fun unsatisfiableBecause(spec: JobSpec): String? {
+        val team = teams[spec.team] ?: return "crew: unknown team"
+        val fitsSomeMachine = types.all.any { type ->
+            spec.request.fitsIn(type.capacity) && type.zones.any { spec.allows(type.name, it, spot = false) }
+        }
+        if (!fitsSomeMachine) return "vcpus, gpus, memoryGb, fleets, depot: no machine type fits a task"
+        val requestAtOnce = spec.request * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
+        return if (team.allows(requestAtOnce.cpus, requestAtOnce.gpus)) null else "crew: more than the team's limit"
+    }
+}
+
+/** Whether the state service takes [record], also once that carries the cancelled mark. */
+internal fun StateLimits.hold(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -14,71 +14,84 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells the other controllers of cancellations that have just become durable, before the user is told. An owner that the
- * state service refuses ends the tasks at once then, and not only with its knowledge; it starts none of them any more. It
- * only helps: who hears nothing keeps to the age of what it knows.
+ * Tells the other controllers of cancellations that have just become durable, before the user is told. A shard owner that the
+ * state service refuses can then stop the tasks at once. Nothing relies on it: a controller that isn't reached is bound by the age
+ * of what it knows.
+ *
+ * @param maxNoticeAge how long it is tried to tell a controller that doesn't answer.
  */
 class CancellationBroadcast(
     private val loop: EventLoop,
     private val http: HttpClient,
     private val peers: List<Peer>,
     private val replica: Replica,
-    /** For so long it is tried to tell a controller that does not answer. */
-    private val worthTelling: Duration,
+    private val maxNoticeAge: Duration,
 ) {
-    private class PendingNotice(val cancellation: Cancellation, val since: MonotonicTime, val told: () -> Unit)
+    /** A cancellation that a controller has yet to acknowledge. */
+    private class Notice(val cancellation: Cancellation, val createdAt: MonotonicTime, val acknowledgements: Acknowledgements)
 
-    private val pendingNotices = peers.associateWith { ArrayList<PendingNotice>() }
-    private val busy = HashSet<Peer>()
+    /** Calls [onDone] once, when all controllers have acknowledged or on [finish]. */
+    private class Acknowledgements(private var pending: Int, private val onDone: () -> Unit) {
+        private var finished = false
 
-    /** Calls [done] once all others have heard of it, or after a short while. */
-    fun tell(cancellation: Cancellation, done: () -> Unit) {
-        var left = peers.size
-        var over = false
+        fun acknowledge() {
+            pending--
+            if (pending == 0) finish()
+        }
 
         fun finish() {
-            if (over) return
-            over = true
-            done()
+            if (finished) return
+            finished = true
+            onDone()
         }
-        if (left == 0) return finish()
-        loop.after(PATIENCE, ::finish)
-        val notice = PendingNotice(cancellation, loop.now()) { if (--left == 0) finish() }
+    }
+
+    private val pendingNotices = peers.associateWith { ArrayList<Notice>() }
+    private val peersInFlight = HashSet<Peer>()
+
+    /** Calls [onDone] once all other controllers have acknowledged [cancellation], at the latest after [ACKNOWLEDGEMENT_TIMEOUT]. */
+    fun broadcast(cancellation: Cancellation, onDone: () -> Unit) {
+        if (peers.isEmpty()) return onDone()
+        val acknowledgements = Acknowledgements(peers.size, onDone)
+        loop.after(ACKNOWLEDGEMENT_TIMEOUT, acknowledgements::finish)
+        val notice = Notice(cancellation, loop.now(), acknowledgements)
         for (peer in peers) {
             pendingNotices.getValue(peer) += notice
             send(peer)
         }
     }
 
-    /** One message at a time to each; what comes meanwhile goes together with the next one. */
+    /** Acts on cancellations that another controller tells of. */
+    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.revision) }
+
+    /** One message at a time to each controller; notices that come meanwhile go together with the next one. */
     private fun send(peer: Peer) {
-        val waiting = pendingNotices.getValue(peer)
-        waiting.removeIf { loop.now() >= it.since + worthTelling }
-        if (waiting.isEmpty() || !busy.add(peer)) return
-        val sent = waiting.take(MAX_AT_ONCE)
+        val pending = pendingNotices.getValue(peer)
+        pending.removeIf { loop.now() >= it.createdAt + maxNoticeAge }
+        if (pending.isEmpty() || !peersInFlight.add(peer)) return
+        val sent = pending.take(MAX_NOTICES_PER_MESSAGE)
         val body = PeerMessageCodec.encodeCancellations(sent.map { it.cancellation })
-        http.call(peer.endpoint, Request(Method.POST, PeerMessageCodec.CANCELLATIONS_PATH, body), TIMEOUT) { reply ->
-            if (reply == null) {
-                loop.after(RETRY) { next(peer) }
-            } else {
-                waiting.removeAll(sent.toSet())
-                sent.forEach { it.told() }
-                next(peer)
-            }
+        val request = Request(Method.POST, PeerMessageCodec.CANCELLATIONS_PATH, body)
+        http.call(peer.endpoint, request, REQUEST_TIMEOUT) { reply ->
+            if (reply == null) loop.after(RETRY_INTERVAL) { sendNext(peer) } else onAcknowledged(peer, sent)
         }
     }
 
-    private fun next(peer: Peer) {
-        busy -= peer
-        send(peer)
+    private fun onAcknowledged(peer: Peer, sent: List<Notice>) {
+        pendingNotices.getValue(peer).removeAll(sent.toSet())
+        sent.forEach { it.acknowledgements.acknowledge() }
+        sendNext(peer)
     }
 
-    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.revision) }
+    private fun sendNext(peer: Peer) {
+        peersInFlight -= peer
+        send(peer)
+    }
 
     private companion object {
-        const val MAX_AT_ONCE = 500
-        val PATIENCE = 250.milliseconds
-        val TIMEOUT = 1.seconds
-        val RETRY = 300.milliseconds
+        const val MAX_NOTICES_PER_MESSAGE = 500
+        val ACKNOWLEDGEMENT_TIMEOUT = 250.milliseconds
+        val REQUEST_TIMEOUT = 1.seconds
+        val RETRY_INTERVAL = 300.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
@@ -0,0 +1,75 @@
+package copperglade.jobs
+
+import copperglade.protocol.Cancellation
+import copperglade.protocol.JobId
+import copperglade.storage.Condition
+import copperglade.storage.Keys
+import copperglade.storage.LiveRecord
+import copperglade.storage.RecordCodec
+import copperglade.storage.Replica
+import copperglade.storage.StateClient
+import copperglade.storage.StoredRecord
+import copperglade.storage.Transaction
+import copperglade.storage.TransactionOutcome
+import copperglade.storage.Write
+import copperglade.storage.WritePriority
+import copperglade.transport.Responder
+
+/**
+ * Cancels jobs: sets the cancelled mark in the live record, tells the other controllers, and answers with the status that is read
+ * after that, since the last task may have become done just before the mark.
+ */
+internal class CancellationHandler(
+    private val store: StateClient,
+    private val replica: Replica,
+    private val statusReader: JobStatusReader,
+    private val broadcast: CancellationBroadcast,
+) {
+    fun cancel(id: JobId, responder: Responder) = readStatus(id, MAX_RETRIES, responder)
+
+    private fun readStatus(id: JobId, retriesLeft: Int, responder: Responder): Unit = statusReader.read(id) { result ->
+        when (result) {
+            is JobStatusResult.Known -> when {
+                result.summary.status.isFinal -> responder.send(JobReplies.status(result.summary))
+                else -> markCancelled(id, retriesLeft, responder)
+            }
+            JobStatusResult.NeverAccepted -> responder.send(JobReplies.unknownJob())
+            JobStatusResult.Unavailable -> responder.send(JobReplies.unavailable())
+        }
+    }
+
+    private fun markCancelled(id: JobId, retriesLeft: Int, responder: Responder) {
+        val live = replica.jobs[id]?.live
+        if (live == null || retriesLeft == 0) return responder.send(JobReplies.unavailable())
+        val transaction = markTransaction(id, live)
+        store.commit(WritePriority.USER, transaction) { outcome ->
+            when (outcome) {
+                is TransactionOutcome.Applied -> {
+                    replica.applied(transaction, outcome.revision)
+                    broadcast.broadcast(Cancellation(id, outcome.revision)) { readStatus(id, retriesLeft - 1, responder) }
+                }
+                TransactionOutcome.Refused -> responder.send(JobReplies.unavailable())
+                is TransactionOutcome.Conflict, TransactionOutcome.NoSuchLease, TransactionOutcome.Unknown ->
+                    readStatus(id, retriesLeft - 1, responder)
+            }
+        }
+    }
+
+    private fun markTransaction(id: JobId, live: StoredRecord<LiveRecord>) = Transaction(
+        listOf(Condition(Keys.live(id), live.revision)),
+        listOf(Write.Set(Keys.live(id), RecordCodec.encode(cancelledRecord(live.value)))),
+    )
+
+    /**
+     * The record with the cancelled mark. One that was accepted under higher limits may have become too large for a value;
+     * its list of machine types is what can make it so.
+     */
+    private fun cancelledRecord(live: LiveRecord): LiveRecord {
+        if (store.limits.hold(live)) return live.withCancelledMark()
+        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMs, cancelled = true, live.dependencies)
+    }
+
+    private companion object {
+        const val MAX_RETRIES = 2
+    }
+}
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -7,15 +7,15 @@
 import copperglade.storage.Replica
 
 /** What a submission's dependencies turned out to be. */
-sealed interface Resolution {
+internal sealed interface DependencyResolution {
     /** All were accepted once: [open] are not done yet; [aborted] tells whether one was cancelled. */
-    class Accepted(val open: List<JobId>, val aborted: Boolean) : Resolution
+    class Accepted(val open: List<JobId>, val aborted: Boolean) : DependencyResolution
 
-    /** [id] was never accepted, or can never be done. */
-    class Impossible(val id: JobId, val why: String) : Resolution
+    /** [id] was never accepted, or can never be done; [problem] is told to the user. */
+    class Impossible(val id: JobId, val problem: String) : DependencyResolution
 
     /** The state service didn't tell in time. */
-    data object Unavailable : Resolution
+    data object Unavailable : DependencyResolution
 }
 
 /**
@@ -25,46 +25,59 @@
  * from live to ended in one transaction, so in this order it can't be missed in between, and a job found in neither was
  * never accepted.
  */
-class DependencyResolver(private val replica: Replica) {
-    fun resolve(names: List<JobId>, done: (Resolution) -> Unit) {
-        if (names.all(::isKnown)) return done(judge(names))
-        replica.readFresh { known -> if (known) lookUp(names, done) else done(Resolution.Unavailable) }
+internal class DependencyResolver(private val replica: Replica) {
+    /** Calls [onResolved] once, now or later. */
+    fun resolve(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
+        if (dependencies.all(::isKnown)) return onResolved(judge(dependencies))
+        replica.readFresh { succeeded ->
+            if (succeeded) readEnds(dependencies, onResolved) else onResolved(DependencyResolution.Unavailable)
+        }
     }
 
     private fun isKnown(id: JobId): Boolean = replica.dependencies.outcomeOf(id) != DependencyOutcome.UNKNOWN
 
-    private fun lookUp(names: List<JobId>, done: (Resolution) -> Unit) {
-        val missing = names.filterNot(::isKnown)
-        if (missing.isEmpty()) return done(judge(names))
-        var left = missing.size
-        var unavailable = false
-        var neverAccepted: JobId? = null
-        for (id in missing) {
-            replica.readEnd(id) { outcome ->
-                when (outcome) {
-                    is ReadOutcome.Present -> {}
-                    ReadOutcome.Absent -> neverAccepted = id
-                    ReadOutcome.Failed -> unavailable = true
-                }
-                if (--left > 0) return@readEnd
-                val unknown = neverAccepted
-                done(
-                    when {
-                        unavailable -> Resolution.Unavailable
-                        unknown != null -> Resolution.Impossible(unknown, "never accepted")
-                        else -> judge(names)
-                    },
-                )
+    private fun readEnds(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
+        val unknown = dependencies.filterNot(::isKnown)
+        if (unknown.isEmpty()) return onResolved(judge(dependencies))
+        val lookUp = EndLookUp(dependencies, unknown.size, onResolved)
+        unknown.forEach { id -> replica.readEnd(id) { lookUp.onRead(id, it) } }
+    }
+
+    /** Waits for the end records of [remaining] dependencies. */
+    private inner class EndLookUp(
+        private val dependencies: List<JobId>,
+        private var remaining: Int,
+        private val onResolved: (DependencyResolution) -> Unit,
+    ) {
+        private var unavailable = false
+        private var neverAccepted: JobId? = null
+
+        fun onRead(id: JobId, outcome: ReadOutcome) {
+            when (outcome) {
+                is ReadOutcome.Present -> Unit
+                ReadOutcome.Absent -> neverAccepted = id
+                ReadOutcome.Failed -> unavailable = true
+            }
+            remaining--
+            if (remaining == 0) onResolved(resolution())
+        }
+
+        private fun resolution(): DependencyResolution {
+            val missing = neverAccepted
+            return when {
+                unavailable -> DependencyResolution.Unavailable
+                missing != null -> DependencyResolution.Impossible(missing, "never accepted")
+                else -> judge(dependencies)
             }
         }
     }
 
-    private fun judge(names: List<JobId>): Resolution {
-        val service = names.firstOrNull { replica.jobs[it]?.spec?.kind == JobKind.SERVICE }
-        if (service != null) return Resolution.Impossible(service, "a service, which is never done")
-        val outcomes = names.associateWith { replica.dependencies.outcomeOf(it) }
-        if (outcomes.values.any { it == DependencyOutcome.UNKNOWN }) return Resolution.Unavailable
-        val open = names.filter { outcomes[it] != DependencyOutcome.DONE }
-        return Resolution.Accepted(open, aborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
+    private fun judge(dependencies: List<JobId>): DependencyResolution {
+        val service = dependencies.firstOrNull { replica.jobs[it]?.spec?.kind == JobKind.SERVICE }
+        if (service != null) return DependencyResolution.Impossible(service, "a service, which is never done")
+        val outcomes = dependencies.associateWith { replica.dependencies.outcomeOf(it) }
+        if (outcomes.values.any { it == DependencyOutcome.UNKNOWN }) return DependencyResolution.Unavailable
+        val open = dependencies.filter { outcomes[it] != DependencyOutcome.DONE }
+        return DependencyResolution.Accepted(open, aborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
     }
 }
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -21,8 +21,10 @@
 import kotlin.math.min
 
 /**
- * The leader's cleanup: a job that is over, with nothing of it left on any machine, becomes a small final record.
- * Several share a transaction. What packed records still say of them goes with the packed records' next rewrite.
+ * Ends jobs, on the leader: the live record of a job that is done or cancelled, with no task of it assigned, is replaced by a small end record.
+ * What packed records still say of such jobs goes with the packed records' next rewrite.
+ *
+ * Several jobs share a transaction, whose conditions name the leader's key and each live record: a late copy of it changes nothing.
  */
 class JobFinalizer(
     private val store: StateClient,
@@ -33,32 +35,40 @@
 ) : ReplicaListener {
     private val inFlight = HashSet<JobId>()
 
-    /** Jobs that have changed since they were last looked at; null where some may have been missed, not leading. */
-    private var changed: HashSet<JobId>? = null
+    /** Jobs that have changed since they were last examined; null where some may have been missed while not leading. */
+    private var changedJobs: HashSet<JobId>? = null
 
     override fun changed(changes: ReplicaChanges) {
-        if (leadership.leading) changed?.addAll(changes.jobs) else changed = null
+        if (leadership.leading) changedJobs?.addAll(changes.jobs) else changedJobs = null
     }
 
+    /** Ends the jobs that have become ready for it since the last round, as many as may be in flight at a time. */
     fun round() {
         if (inFlight.size >= MAX_IN_FLIGHT) return
-        val looked = changed ?: HashSet(replica.jobs.keys)
-        changed = HashSet()
-        val over = looked.mapNotNull { replica.jobs[it] }.filter { it.id !in inFlight && guard.mayEnd(it) }
-        val jobsAtOnce = min(JOBS_AT_ONCE, store.limits.transactionWrites / WRITES_PER_JOB).coerceAtLeast(1)
-        over.chunked(jobsAtOnce).forEachIndexed { index, jobs ->
-            if (index < MAX_IN_FLIGHT) finalize(jobs) else jobs.forEach { lookAgain(it.id) }
+        val candidates = changedJobs ?: HashSet(replica.jobs.keys)
+        changedJobs = HashSet()
+        val endable = candidates.mapNotNull { replica.jobs[it] }.filter { it.id !in inFlight && guard.mayEnd(it) }
+        val jobsPerTransaction = min(MAX_JOBS_PER_TRANSACTION, store.limits.transactionWrites / WRITES_PER_JOB).coerceAtLeast(1)
+        endable.chunked(jobsPerTransaction).forEachIndexed { index, jobs ->
+            if (index < MAX_IN_FLIGHT) finalize(jobs) else jobs.forEach { examineAgain(it.id) }
         }
     }
 
-    private fun lookAgain(job: JobId) {
-        changed?.add(job)
+    private fun examineAgain(job: JobId) {
+        changedJobs?.add(job)
     }
 
-    private fun finalize(over: List<Job>) {
-        val jobs = guard.approveEnds(over)
+    private fun finalize(candidates: List<Job>) {
+        val jobs = guard.approveEnds(candidates)
         if (jobs.isEmpty()) return
         jobs.forEach { audit.ended(it.id) }
+        val transaction = endTransaction(jobs)
+        val ids = jobs.map { it.id }
+        inFlight += ids
+        store.commit(WritePriority.CLEANUP, transaction) { outcome -> onCommitted(ids, transaction, outcome) }
+    }
+
+    private fun endTransaction(jobs: List<Job>): Transaction {
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
         conditions += leadership.condition
@@ -68,27 +78,29 @@
             writes += Write.Set(Keys.over(job.id), RecordCodec.encode(end))
             writes += Write.Delete(Keys.live(job.id))
         }
-        val transaction = Transaction(conditions, writes)
-        val ids = jobs.map { it.id }
-        inFlight += ids
-        store.commit(WritePriority.CLEANUP, transaction) { outcome ->
-            if (outcome is TransactionOutcome.Applied) {
+        return Transaction(conditions, writes)
+    }
+
+    private fun onCommitted(ids: List<JobId>, transaction: Transaction, outcome: TransactionOutcome) {
+        when (outcome) {
+            is TransactionOutcome.Applied -> {
                 replica.applied(transaction, outcome.revision)
                 inFlight -= ids.toSet()
-            } else {
+            }
+            // The jobs are examined again by records that are newer than the attempt.
+            is TransactionOutcome.Conflict, TransactionOutcome.NoSuchLease, TransactionOutcome.Refused, TransactionOutcome.Unknown ->
                 replica.readFresh {
                     inFlight -= ids.toSet()
-                    ids.forEach(::lookAgain)
+                    ids.forEach(::examineAgain)
                 }
-            }
         }
     }
 
     private companion object {
         const val WRITES_PER_JOB = 2
 
-        /** Small steps: a large one would hold up the assignments behind it. */
-        const val JOBS_AT_ONCE = 3
+        /** Small transactions: a large one would delay the assignments behind it. */
+        const val MAX_JOBS_PER_TRANSACTION = 3
         const val MAX_IN_FLIGHT = 20
     }
 }
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -98,11 +98,13 @@
 /** What was wrong with a submission, by the name of its field on the wire. */
 class InvalidField(val field: String, val problem: String)
 
+/** What a submission's body holds. */
 sealed interface ParsedSubmission {
     /** @property dependencies the jobs that have to be done before it, each named once. */
     class Valid(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedSubmission
 
-    class Invalid(val why: InvalidField) : ParsedSubmission
+    /** @property id the job's id, where that much could be read. */
+    class Invalid(val error: InvalidField, val id: JobId? = null) : ParsedSubmission
 }
 
 /** Reads and writes jobs in the users' wire form. */
@@ -113,15 +115,25 @@
     private const val MAX_AMOUNT = 1e9
     private const val MAX_TEXT = 200
 
-    private class Refused(val why: InvalidField) : Exception(null, null, false, false)
+    private class Refused(val error: InvalidField) : Exception(null, null, false, false)
 
+    /** Reads a user's submission; bytes that aren't a JSON object in UTF-8 are invalid. */
+    fun decodeSubmission(bytes: ByteArray): ParsedSubmission {
+        val root = Json.readStrict(bytes)
+        return Decoding.orNull("submission") { parse(root) }
+            ?: ParsedSubmission.Invalid(InvalidField("body", "malformed"), root?.let(::idOf))
+    }
+
+    /** Reads a job from its parsed wire form. */
     fun parse(root: JsonNode?): ParsedSubmission = try {
         if (root == null || !root.isObject) refuse("body", "not a JSON object")
         ParsedSubmission.Valid(read(root), dependencies(root))
     } catch (refused: Refused) {
-        ParsedSubmission.Invalid(refused.why)
+        ParsedSubmission.Invalid(refused.error, root?.let(::idOf))
     }
 
+    private fun idOf(root: JsonNode): JobId? = root.takeIf { it.isObject }?.stringOrNull("nameId")?.let { JobId.parse(it) }
+
     private fun read(root: JsonNode): JobSpec = JobSpec(
         id = JobId.parse(text(root, "nameId")) ?: refuse("nameId", "not of the form job-000412"),
         load = text(root, "load"),
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -49,7 +49,7 @@
     )
     fun `bad fields are named`(part: String, by: String, field: String) {
         val parsed = JobSpecCodec.parse(Json.read(job.replace(part, by).toByteArray()))
-        assertEquals(field, (parsed as ParsedSubmission.Invalid).why.field)
+        assertEquals(field, (parsed as ParsedSubmission.Invalid).error.field)
     }
 
     @Test
--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -78,7 +78,15 @@
 
 /** Five controllers, pipelines, a zone that is cut off, and spot machines that are taken away. */
 private fun parcelHub(seed: Long, observer: WireObserver) {
-    val scale = SiteScale(machinesPerZone = 6, heartbeatIntervalSeconds = 4.0, leaseSeconds = 22.0, cancelSeconds = 42.0, valueKb = 32.0, teamCpus = 180.0)
+    val scale =
+        SiteScale(
+            machinesPerZone = 6,
+            heartbeatIntervalSeconds = 4.0,
+            leaseSeconds = 22.0,
+            cancelSeconds = 42.0,
+            valueKb = 32.0,
+            teamCpus = 180.0,
+        )
     val site = SimSite(Simulation(seed), scale = scale, nodes = 5, wireObserver = observer)
     site.services(5)
     site.variedArrays(jobs = 16)
