--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -91,7 +91,7 @@
             readers = settings.peers.size + 1,
             idleRefreshInterval,
             maxCatchUp = staleness,
-            EndedJobs.endsThatFitInto(heapBytes),
+            EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
             profiles.expectedRunS(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
         }
@@ -191,10 +191,10 @@
     val clusterHandler = metrics.measured(RequestHandler(::handlePeer))
 
     fun start() {
-        replica.listen(formerIncarnations)
-        replica.listen(shardOwnership)
-        replica.listen(jobFinalizer)
-        replica.listen { changes ->
+        replica.addListener(formerIncarnations)
+        replica.addListener(shardOwnership)
+        replica.addListener(jobFinalizer)
+        replica.addListener { changes ->
             changes.peerStatuses.mapNotNull(PeerMessageCodec::decodeStatus).forEach(peerStatusExchange::receiveIndirect)
         }
         membership.onChange = shardOwnership::reconcile
@@ -237,7 +237,7 @@
         cloudBudget.setRate(settings.cloudRequestsPerSecond * CLOUD_SHARE * cloudShare, loop.now())
         store.setShares(
             BUDGET_USED / (others.size + 1),
-            BUDGET_USED * BudgetShare.of(store.desiredWritesPerSecond, others, settings.stateWritesPerSecond),
+            BUDGET_USED * BudgetShare.of(store.writeDemandPerS, others, settings.stateWritesPerSecond),
         )
     }
 
@@ -248,12 +248,12 @@
             member = settings.member,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMillis = loop.now().ms - store.lastGood.ms,
+            stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
-            desiredWritesPerSecond = store.desiredWritesPerSecond,
+            desiredWritesPerSecond = store.writeDemandPerS,
         )
     }
 
@@ -327,7 +327,7 @@
      * any other controller is probably alone: users who stayed with it would get no answer for as long as that lasts.
      */
     private fun health(): Reply {
-        val silent = loop.now().secondsSince(store.lastGood)
+        val silent = loop.now().secondsSince(store.lastAnswerAt)
         val alone = peersReachStateService()
         val lonely = settings.peers.isNotEmpty() && settings.peers.none { peerStatusExchange.of(it.member) != null } && silent >= LONELY_S
         val healthy = replica.state == ReplicaState.CURRENT && types.known && (silent * 1000 < SILENT_MS || !(alone || lonely))
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -62,7 +62,7 @@
     }
 
     /** Acts on cancellations that another controller tells of. */
-    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.cancelledElsewhere(it.job, it.revision) }
+    fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.applyRemoteCancellation(it.job, it.revision) }
 
     /** One message at a time to each controller; notices that come meanwhile go together with the next one. */
     private fun send(peer: Peer) {
--- a/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
@@ -45,7 +45,7 @@
         store.commit(WritePriority.USER, transaction) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied -> {
-                    replica.applied(transaction, outcome.revision)
+                    replica.applyCommitted(transaction, outcome.revision)
                     broadcast.broadcast(Cancellation(id, outcome.revision)) { readStatus(id, retriesLeft - 1, responder) }
                 }
                 TransactionOutcome.Refused -> responder.send(JobReplies.unavailable())
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -2,6 +2,7 @@
 
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.DependencyOutcome
 import copperglade.storage.ReadOutcome
 import copperglade.storage.Replica
@@ -29,8 +30,11 @@
     /** Calls [onResolved] once, now or later. */
     fun resolve(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
         if (dependencies.all(::isKnown)) return onResolved(judge(dependencies))
-        replica.readFresh { succeeded ->
-            if (succeeded) readEnds(dependencies, onResolved) else onResolved(DependencyResolution.Unavailable)
+        replica.catchUp { outcome ->
+            when (outcome) {
+                CatchUpOutcome.Current -> readEnds(dependencies, onResolved)
+                CatchUpOutcome.Unavailable -> onResolved(DependencyResolution.Unavailable)
+            }
         }
     }
 
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -21,8 +21,8 @@
 import kotlin.math.min
 
 /**
- * Ends jobs, on the leader: the live record of a job that is done or cancelled, with no task of it assigned, is replaced by a small end record.
- * What packed records still say of such jobs goes with the packed records' next rewrite.
+ * Ends jobs, on the leader: the live record of a job that is done or cancelled, with no task of it assigned, is replaced by a small end
+ * record. What packed records still say of such jobs goes with the packed records' next rewrite.
  *
  * Several jobs share a transaction, whose conditions name the leader's key and each live record: a late copy of it changes nothing.
  */
@@ -75,7 +75,7 @@
         for (job in jobs) {
             val end = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             conditions += Condition(Keys.live(job.id), job.liveRevision())
-            writes += Write.Set(Keys.over(job.id), RecordCodec.encode(end))
+            writes += Write.Set(Keys.ended(job.id), RecordCodec.encode(end))
             writes += Write.Delete(Keys.live(job.id))
         }
         return Transaction(conditions, writes)
@@ -84,12 +84,12 @@
     private fun onCommitted(ids: List<JobId>, transaction: Transaction, outcome: TransactionOutcome) {
         when (outcome) {
             is TransactionOutcome.Applied -> {
-                replica.applied(transaction, outcome.revision)
+                replica.applyCommitted(transaction, outcome.revision)
                 inFlight -= ids.toSet()
             }
             // The jobs are examined again by records that are newer than the attempt.
             is TransactionOutcome.Conflict, TransactionOutcome.NoSuchLease, TransactionOutcome.Refused, TransactionOutcome.Unknown ->
-                replica.readFresh {
+                replica.catchUp {
                     inFlight -= ids.toSet()
                     ids.forEach(::examineAgain)
                 }
--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -3,6 +3,7 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSummary
 import copperglade.protocol.MonotonicTime
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.EndRecord
 import copperglade.storage.Job
 import copperglade.storage.ReadOutcome
@@ -37,21 +38,21 @@
     }
 
     private fun readRecords(id: JobId, askedAt: MonotonicTime, onResult: (JobStatusResult) -> Unit) =
-        replica.readFresh { succeeded -> onRecords(id, askedAt, succeeded, onResult) }
+        replica.catchUp { outcome -> onRecords(id, askedAt, outcome, onResult) }
 
-    private fun onRecords(id: JobId, askedAt: MonotonicTime, succeeded: Boolean, onResult: (JobStatusResult) -> Unit) {
+    private fun onRecords(id: JobId, askedAt: MonotonicTime, outcome: CatchUpOutcome, onResult: (JobStatusResult) -> Unit) {
         val job = replica.jobs[id]
         val end = replica.endOf(id)
         when {
             // This process may have stood still between the reading and now, and another may have told the user more.
-            !succeeded || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
+            outcome != CatchUpOutcome.Current || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
             end != null -> onResult(JobStatusResult.Known(summaryOf(id, end)))
             // A dependency ended before this process began, and isn't known to be done or cancelled yet.
             replica.dependencies.hasUnknownDependencies(id) -> onResult(JobStatusResult.Unavailable)
             // The mark was learned ahead of the reading: the last task may have been recorded just before it.
-            job != null && job.markedAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
+            job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
             job?.live != null -> onResult(JobStatusResult.Known(summaryOf(job)))
-            else -> replica.readEnd(id) { outcome -> onEndRecord(id, outcome, onResult) }
+            else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
         }
     }
 
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -56,7 +56,11 @@
     }
 
     private fun check(submission: ParsedSubmission.Valid, responder: Responder) {
-        if (!types.known || replica.state != ReplicaState.CURRENT || store.crowded()) return responder.send(JobReplies.unavailable())
+        if (!types.known || replica.state != ReplicaState.CURRENT ||
+            store.isUserQueueFull()
+        ) {
+            return responder.send(JobReplies.unavailable())
+        }
         val spec = submission.spec
         val refusal = admission.refusalOf(spec)
         when {
@@ -86,7 +90,7 @@
     private fun commit(record: LiveRecord, retriesLeft: Int, responder: Responder) {
         val id = record.spec.id
         val transaction = Transaction(
-            listOf(Condition(Keys.live(id), Revision.ABSENT), Condition(Keys.over(id), Revision.ABSENT)),
+            listOf(Condition(Keys.live(id), Revision.ABSENT), Condition(Keys.ended(id), Revision.ABSENT)),
             listOf(Write.Set(Keys.live(id), RecordCodec.encode(record))),
         )
         store.commit(WritePriority.USER, transaction) { outcome ->
@@ -101,7 +105,7 @@
 
     private fun onAccepted(record: LiveRecord, transaction: Transaction, revision: Revision, responder: Responder) {
         val spec = record.spec
-        replica.applied(transaction, revision)
+        replica.applyCommitted(transaction, revision)
         log.debug("job_accepted job={} tasks={} load={}", spec.id, spec.tasks, spec.load)
         val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
         responder.send(Reply(HttpStatus.CREATED, UserApiCodec.encodeStatus(spec.id, status)))
--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -181,7 +181,14 @@
     val scale = SiteScale(machinesPerZone = 2, teamCpus = 200.0, guaranteedCpus = 200.0)
     val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
     repeat(2) { number ->
-        val spec = SimSite.job(number + 1, tasks = 16, cpus = 4.0, etaS = 120.0, saveS = 4.0 + number * 8.0, priority = "best_effort")
+        val spec = SimSite.job(
+            number + 1,
+            tasks = 16,
+            cpus = 4.0,
+            etaS = 120.0,
+            saveS = 4.0 + number * 8.0,
+            priority = "best_effort",
+        )
         site.submit(spec) { 120.0 }
     }
     site.run(45.0)
