--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -56,7 +56,7 @@
     }
 
     private fun check(submission: ParsedSubmission.Valid, responder: Responder) {
-        if (!types.known || replica.state != ReplicaState.CURRENT ||
+        if (!types.isLoaded || replica.state != ReplicaState.CURRENT ||
             store.isUserQueueFull()
         ) {
             return responder.send(JobReplies.unavailable())
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -58,7 +58,7 @@
     }
 
     /** Changes a second that there have been to make lately, those still waiting included. */
-    val writeDemandPerS: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
+    val desiredWritesPerSecond: Double get() = demand.rate(loop.now()) + queues.values.sumOf { it.size } / DEMAND_S
 
     /** How much of the write budget is left, from 0 to 1: batches widen as it shrinks. */
     fun writeBudgetLevel(): Double = writes.level(loop.now())
