--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -46,7 +46,7 @@
      * last numbers were taken in, yet answers with none higher, counts from the start again.
      */
     fun receiveReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        if (sentAt > machine.lastUpdateAt && !heartbeat.newerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
+        if (sentAt > machine.lastUpdateAt && !heartbeat.isNewerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
         receive(heartbeat)
     }
 
--- a/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -32,7 +32,7 @@
 
     override fun call(): Int {
         val loop = NettyEventLoop()
-        val http = NettyHttpClient(loop)
+        val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val ports = List(PORTS) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
         val outside = Endpoint("127.0.0.1", ports[0])
         NettyHttpServer(
--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -49,7 +49,7 @@
 class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
     private val limitBytes = (budgetBytes * PART).toLong()
 
-    fun start() = loop.again({ LOOK_INTERVAL }, ::look)
+    fun start() = loop.scheduleRepeating({ LOOK_INTERVAL }, ::look)
 
     private var collectedAt = loop.now() - REST
     private var rest = REST
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -57,12 +57,12 @@
             val shares = ConnectionLimits.of(settings.fileDescriptorLimit, settings.peers.size)
             val loop = NettyEventLoop()
             val heapBytes = HeapBudget.bytes(settings.memoryMb, ProcessHeap)
-            val always = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
-            val caller = NettyHttpClient(loop, shares.workers, always, heapBytes)
+            val unlimitedEndpoints = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
+            val caller = NettyHttpClient(loop, heapBytes, shares.workers, unlimitedEndpoints)
             val controller = Controller(loop, caller, settings, operatorSettings, heapBytes)
             NettyHttpServer(loop, shares.users, handler = controller.clientHandler)
                 .listen(settings.clientListen)
-            NettyHttpServer(loop, shares.peers, MAX_PEER_MESSAGE, controller.clusterHandler)
+            NettyHttpServer(loop, shares.peers, MAX_PEER_MESSAGE_BYTES, controller.clusterHandler)
                 .listen(settings.clusterListen)
             loop.after(Duration.ZERO) {
                 controller.start()
@@ -74,7 +74,7 @@
          * A controller's status tells of each of its machines in some 150 bytes. With the 64 KiB of the protocol with users and
          * workers, the leader would refuse it from some 450 machines a controller on, and nothing more would be placed there.
          */
-        const val MAX_PEER_MESSAGE = 16 * 1024 * 1024
+        const val MAX_PEER_MESSAGE_BYTES = 16 * 1024 * 1024
     }
 }
 
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -214,7 +214,7 @@
         metrics.start()
         audit.start()
         polls.start()
-        loop.again({ if (leadership.leading) MIN_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
+        loop.scheduleRepeating({ if (leadership.leading) MIN_ROUND + (lastRound * ROUND_REST) else IDLE_ROUND }) {
             val began = loop.now()
             metrics.measure("round") { leaderRound() }
             lastRound = (loop.now().ms - began.ms).milliseconds
@@ -255,8 +255,8 @@
             stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
-            release = if (leading) shardAssigner.release else emptyList(),
-            retire = if (leading) autoscaler.retire else emptyList(),
+            shardsToRelease = if (leading) shardAssigner.release else emptyList(),
+            machinesToRetire = if (leading) autoscaler.retire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
@@ -266,8 +266,8 @@
     private fun onPeerStatus(status: PeerStatus) {
         if (status.member == settings.member) ownStatus = status
         if (!status.isLeader) return
-        shardOwnership.release(status.release)
-        shardOwnership.retire(status.retire)
+        shardOwnership.release(status.shardsToRelease)
+        shardOwnership.retire(status.machinesToRetire)
     }
 
     private fun statusOf(member: MemberId): PeerStatus? =
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -75,7 +75,7 @@
     var retire: List<MachineName> = emptyList()
         private set
 
-    fun start() = loop.again({ INTERVAL }) { if (leadership.leading && types.isLoaded) round() else forget() }
+    fun start() = loop.scheduleRepeating({ INTERVAL }) { if (leadership.leading && types.isLoaded) round() else forget() }
 
     /** What a former leadership term left is out of date. */
     private fun forget() {
@@ -135,7 +135,7 @@
      */
     private fun replacementS(): Double {
         val specs = replica.jobs.values.mapNotNull { it.spec }
-        val imageGb = if (specs.isEmpty()) 0.0 else specs.sumOf { it.image.gb } / specs.size
+        val imageGb = if (specs.isEmpty()) 0.0 else specs.sumOf { it.image.sizeGb } / specs.size
         return types.all.maxOfOrNull { it.bootSeconds + imageGb / max(it.fetchGbPerSecond, SLOWEST_FETCH) }?.coerceAtLeast(1.0) ?: 1.0
     }
 
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -50,7 +50,7 @@
 
     fun start() {
         replica.addListener { changes -> if (changes.clusterRecordsChanged) logLeader() }
-        loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
+        loop.scheduleRepeating({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else LOOK }, ::tick)
     }
 
     private fun logLeader() {
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -44,7 +44,7 @@
     val endorsedUntil: MonotonicTime
         get() = peers.minOfOrNull { endorsedBy[it.member]?.ms ?: MonotonicTime.NEVER.ms }?.let { MonotonicTime(it) } ?: MonotonicTime.NEVER
 
-    fun start() = loop.again({ INTERVAL }) {
+    fun start() = loop.scheduleRepeating({ INTERVAL }) {
         if (store.isUnreachable() && intact()) peers.filter { it.member !in asking }.forEach(::ask)
     }
 
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -93,7 +93,7 @@
     fun start() {
         leaseEndorsement.intact = { state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil) }
         join()
-        loop.again({ if (lease.alive) leaseLength / EXTENSIONS_PER_LEASE else RETRY }) {
+        loop.scheduleRepeating({ if (lease.alive) leaseLength / EXTENSIONS_PER_LEASE else RETRY }) {
             if (state == MemberState.MEMBER) lease.extend { kept -> if (!kept) lost() }
         }
     }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -44,7 +44,7 @@
     private var recordedAt = MonotonicTime.NEVER
     private var briefAt = MonotonicTime.NEVER
 
-    fun start() = loop.again({ interval() }) { compose()?.let(::tell) }
+    fun start() = loop.scheduleRepeating({ interval() }) { compose()?.let(::tell) }
 
     /** The more machines a status tells of, the rarer: five times the machines must not cost five times the processor. */
     private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * machines(), MAX_INTERVAL)
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -26,7 +26,7 @@
 ) {
     private val counts = TreeMap<String, Int>()
 
-    fun start() = loop.again({ INTERVAL }, ::summarize)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::summarize)
 
     /** [commands] go out to [machine] under [token], directly or with an answer. */
     fun commanded(machine: MachineName, token: FencingToken, commands: List<Command>, way: String) {
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -26,7 +26,7 @@
     private val tallies = TreeMap<String, Tally>()
     private var since = loop.now()
 
-    fun start() = loop.again({ INTERVAL }, ::report)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::report)
 
     fun measure(kind: String, action: () -> Unit) {
         val began = loop.micros()
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -54,10 +54,10 @@
     private var unreachableTimes = 0
 
     fun start() {
-        loop.again({ TICK + TICK_PER_MACHINE * machineCount }) { context.metrics.measure("blocks") { tick() } }
-        loop.again({ GIVE_UP_INTERVAL }, ::releaseIfWorkersUnreachable)
+        loop.scheduleRepeating({ TICK + TICK_PER_MACHINE * machineCount }) { context.metrics.measure("blocks") { tick() } }
+        loop.scheduleRepeating({ GIVE_UP_INTERVAL }, ::releaseIfWorkersUnreachable)
         // At leisure: image records spare fetches after a takeover, and nothing depends on them.
-        loop.again({ REMEMBER_INTERVAL }) {
+        loop.scheduleRepeating({ REMEMBER_INTERVAL }) {
             if (membership.mayAct && store.writeBudgetLevel() > PLENTY) owned.values.filter { it.open }.forEach(::rememberImages)
         }
     }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -76,7 +76,7 @@
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = context.types[machine.typeName] ?: return@mapNotNull null
             val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
-            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(TINY)
+            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.sizeGb / type.fetchGbPerSecond.coerceAtLeast(TINY)
             prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
         return when (val verdict = RiskAssessment.weigh(options, remaining)) {
--- a/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
@@ -2,42 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 
-class MachineType(
-    val name: String,
-    val capacity: Resources,
-    val imageCacheGb: Double,
-    val fetchGbPerSecond: Double,
-    val price: Double,
-    val spotPrice: Double,
-    val bootSeconds: Double,
-    val zones: List<String>,
-)
-
-enum class MachineStatus { BOOTING, RUNNING, FAILED }
-
-/** A machine as the cloud lists it, some seconds late. */
-class ListedMachine(
-    val name: MachineName,
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-    val status: MachineStatus,
-    val ageSeconds: Double,
-)
-
-class MachinePage(val machines: List<ListedMachine>, val more: Boolean)
-
+/** Bodies and limits of the cloud's HTTP interface. A malformed response decodes to null, malformed entries of a list are left out. */
 object CloudApiCodec {
     const val MAX_MACHINES_PER_RENTAL = 50
     const val MAX_MACHINES_PER_DELETION = 100
     const val MACHINES_PER_PAGE = 500
-    private const val ANSWER = "answer of the cloud"
+    private const val RESPONSE = "cloud_response"
 
-    fun decodeMachineTypes(root: JsonNode?): List<MachineType>? = Decoding.orNull(ANSWER) {
-        root?.get("fleets")?.takeIf { it.isArray }?.mapNotNull(::parseType)
+    /** The machine types of the catalog. */
+    fun decodeMachineTypes(root: JsonNode?): List<MachineType>? = Decoding.orNull(RESPONSE) {
+        root?.get("fleets")?.takeIf { it.isArray }?.mapNotNull(::decodeMachineType)
     }
 
-    private fun parseType(node: JsonNode): MachineType? {
+    private fun decodeMachineType(node: JsonNode): MachineType? {
         val cpus = node.doubleOrNull("vcpus") ?: return null
         val memoryGb = node.doubleOrNull("memoryGb") ?: return null
         val price = node.doubleOrNull("price") ?: 0.0
@@ -53,13 +30,14 @@
         )
     }
 
-    fun decodeMachinePage(root: JsonNode?): MachinePage? = Decoding.orNull(ANSWER) {
+    /** A page of the list of machines. */
+    fun decodeMachinePage(root: JsonNode?): MachinePage? = Decoding.orNull(RESPONSE) {
         root?.get("trucks")?.takeIf { it.isArray }?.let { machines ->
-            MachinePage(machines.mapNotNull(::parseListed), root.booleanOrNull("truncated") ?: false)
+            MachinePage(machines.mapNotNull(::decodeMachine), root.booleanOrNull("truncated") ?: false)
         }
     }
 
-    private fun parseListed(node: JsonNode): ListedMachine? {
+    private fun decodeMachine(node: JsonNode): ListedMachine? {
         val status = when (node.stringOrNull("status")) {
             "starting" -> MachineStatus.BOOTING
             "failed" -> MachineStatus.FAILED
@@ -75,6 +53,7 @@
         )
     }
 
+    /** Asks for [count] machines; repeating the same [request] rents none twice. */
     fun encodeRental(request: String, type: String, zone: String, spot: Boolean, count: Int): ByteArray = Json.write {
         writeJsonObject {
             writeStringField("hire", request)
@@ -85,10 +64,12 @@
         }
     }
 
-    fun decodeRental(root: JsonNode?): List<MachineName>? = Decoding.orNull(ANSWER) {
+    /** The names of the machines that a rental has brought. */
+    fun decodeRental(root: JsonNode?): List<MachineName>? = Decoding.orNull(RESPONSE) {
         root?.get("trucks")?.takeIf { it.isArray }?.map { MachineName(it.asText()) }
     }
 
+    /** Asks for [machines] to be deleted. */
     fun encodeDeletion(machines: List<MachineName>): ByteArray = Json.write {
         writeJsonObject { writeJsonArray("trucks") { machines.forEach { writeString(it.text) } } }
     }
--- a/src/main/kotlin/copperglade/protocol/Json.kt
+++ b/src/main/kotlin/copperglade/protocol/Json.kt
@@ -13,12 +13,14 @@
 import java.nio.ByteBuffer
 import java.nio.charset.CharacterCodingException
 
-/** The one place where Jackson is set up. Trees are read but for reports, bodies are written as a stream. */
+/** The one place where Jackson is set up. Heartbeats are read as a stream and everything else as a tree; bodies are written as a stream. */
 object Json {
+    private const val MAX_NESTING_DEPTH = 32
+    private const val INITIAL_BYTES = 256
     private val factory = JsonFactory
         .builder()
         .disable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION)
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build())
+        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
         .build()
     private val mapper = ObjectMapper(factory)
 
@@ -31,7 +33,7 @@
         null
     }
 
-    /** As [read], for bytes that strangers send: also refuses what is not UTF-8 and what follows the value. */
+    /** As [read], for bytes of users: also refuses what is not UTF-8 and what follows the value. */
     fun readStrict(bytes: ByteArray): JsonNode? {
         try {
             Charsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes))
@@ -48,43 +50,48 @@
         }
     }
 
-    /** For what is read in a stream. */
+    /** A parser for what is read as a stream; the caller closes it. */
     fun parser(bytes: ByteArray): JsonParser = factory.createParser(bytes)
 
+    /** The bytes of the JSON value that [content] writes. */
     fun write(content: JsonGenerator.() -> Unit): ByteArray {
-        val out = ByteArrayOutputStream(256)
+        val out = ByteArrayOutputStream(INITIAL_BYTES)
         factory.createGenerator(out).use { it.content() }
         return out.toByteArray()
     }
 }
 
+/** Writes an object with the fields that [content] writes. */
 inline fun JsonGenerator.writeJsonObject(content: JsonGenerator.() -> Unit) {
     writeStartObject()
     content()
     writeEndObject()
 }
 
+/** Writes the field [name] with an object as its value. */
 inline fun JsonGenerator.writeJsonObject(name: String, content: JsonGenerator.() -> Unit) {
     writeFieldName(name)
     writeJsonObject(content)
 }
 
+/** Writes the field [name] with an array of the values that [content] writes. */
 inline fun JsonGenerator.writeJsonArray(name: String, content: JsonGenerator.() -> Unit) {
     writeArrayFieldStart(name)
     content()
     writeEndArray()
 }
 
-/** A field that may be null and may as well be omitted. */
+/** The field [name], or null where it is omitted or null. */
 fun JsonNode.fieldOrNull(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
 
+/** The field [name], or null where it isn't a string. */
 fun JsonNode.stringOrNull(name: String): String? = fieldOrNull(name)?.takeIf { it.isTextual }?.textValue()
 
-fun JsonNode.longOrNull(name: String): Long? = fieldOrNull(name)
-    ?.takeIf {
-        it.isIntegralNumber && it.canConvertToLong()
-    }?.longValue()
+/** The field [name], or null where it isn't an integer in the range of [Long]. */
+fun JsonNode.longOrNull(name: String): Long? = fieldOrNull(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()
 
+/** The field [name], or null where it isn't a number. */
 fun JsonNode.doubleOrNull(name: String): Double? = fieldOrNull(name)?.takeIf { it.isNumber }?.doubleValue()
 
+/** The field [name], or null where it is neither true nor false. */
 fun JsonNode.booleanOrNull(name: String): Boolean? = fieldOrNull(name)?.takeIf { it.isBoolean }?.booleanValue()
--- /dev/null
+++ b/src/main/kotlin/copperglade/protocol/MonotonicTime.kt
@@ -0,0 +1,21 @@
+package copperglade.protocol
+
+import kotlin.time.Duration
+
+/** A reading of this process's monotonic clock, in milliseconds. */
+@JvmInline
+value class MonotonicTime(val ms: Long) : Comparable<MonotonicTime> {
+    override fun compareTo(other: MonotonicTime) = ms.compareTo(other.ms)
+
+    operator fun plus(duration: Duration) = MonotonicTime(ms + duration.inWholeMilliseconds)
+
+    operator fun minus(duration: Duration) = MonotonicTime(ms - duration.inWholeMilliseconds)
+
+    companion object {
+        /** Earlier than every reading, by more than any duration that is added to it. */
+        val NEVER = MonotonicTime(Long.MIN_VALUE / 4)
+    }
+}
+
+/** Seconds from [earlier] to this time. */
+fun MonotonicTime.secondsSince(earlier: MonotonicTime): Double = (ms - earlier.ms) / 1000.0
--- a/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
@@ -1,29 +1,22 @@
 package copperglade.protocol
 
-enum class JobStatus(val wireName: String, val isFinal: Boolean) {
-    QUEUED("queued", false),
-    RUNNING("running", false),
-    DONE("done", true),
-    CANCELLED("aborted", true),
-}
-
-/** What a user is told of a job. */
-class JobSummary(val id: JobId, val status: JobStatus, val done: Int, val running: Int)
-
+/** Paths and bodies of the users' HTTP interface; submissions are read by [JobSpecCodec]. */
 object UserApiCodec {
     const val JOBS_PATH = "/submissions"
     const val HEALTH_PATH = "/healthz"
     const val CANCEL_SUFFIX = "cancel"
 
-    fun encodeSummary(answer: JobSummary): ByteArray = Json.write {
+    /** The body of an answer to a poll. */
+    fun encodeSummary(summary: JobSummary): ByteArray = Json.write {
         writeJsonObject {
-            writeStringField("nameId", answer.id.text)
-            writeStringField("status", answer.status.wireName)
-            writeNumberField("done", answer.done)
-            writeNumberField("running", answer.running)
+            writeStringField("nameId", summary.id.text)
+            writeStringField("status", summary.status.wireName)
+            writeNumberField("done", summary.done)
+            writeNumberField("running", summary.running)
         }
     }
 
+    /** The body of an answer to a submission or a cancellation. */
     fun encodeStatus(id: JobId, status: JobStatus): ByteArray = Json.write {
         writeJsonObject {
             writeStringField("nameId", id.text)
@@ -31,6 +24,7 @@
         }
     }
 
+    /** The body of a refusal; [field] names the field of the request that it is about. */
     fun encodeError(problem: String, field: String? = null): ByteArray = Json.write {
         writeJsonObject {
             writeStringField("error", problem)
--- a/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
+++ b/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
@@ -18,7 +18,7 @@
     /** @param type the machine's type; null where it is not known. */
     fun of(spec: JobSpec, type: MachineType?, spot: Boolean, imageCached: Boolean, preempts: Boolean): Double {
         var cost = 0.0
-        if (!imageCached) cost += spec.image.gb / (type?.fetchGbPerSecond ?: 1.0).coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+        if (!imageCached) cost += spec.image.sizeGb / (type?.fetchGbPerSecond ?: 1.0).coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
         if (spec.spotAllowed && !spot) cost += ON_DEMAND_FOR_SPOT_TASK_SECONDS
         if (preempts) cost += PREEMPTION_SECONDS
         return cost
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -104,8 +104,8 @@
 
     fun start() {
         load(null, null)
-        loop.again({ idleRefreshInterval }, ::keepCurrent)
-        loop.again({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
+        loop.scheduleRepeating({ idleRefreshInterval }, ::keepCurrent)
+        loop.scheduleRepeating({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
     }
 
     /** Only live jobs are kept here, so a dependency that ended before this process began has to be looked up. */
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -103,13 +103,13 @@
      * Whether a report is no newer than one that the worker has sent already. It sends one at a time, so it waits for
      * no answer to this one any more: a late copy.
      */
-    fun isDuplicate(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(sentEpoch, sentSequenceNumber)
+    fun isDuplicate(heartbeat: Heartbeat): Boolean = !heartbeat.isNewerThan(sentEpoch, sentSequenceNumber)
 
     /**
      * Whether a report may as well be of an earlier life of the machine, late: then only answers to our own questions
      * tell how it is.
      */
-    fun isUnverified(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(formerEpoch, formerSequenceNumber)
+    fun isUnverified(heartbeat: Heartbeat): Boolean = !heartbeat.isNewerThan(formerEpoch, formerSequenceNumber)
 
     /** Reports up to these numbers may be of an earlier life. */
     fun markUnverifiedUpTo(epoch: Long, sequenceNumber: Long) {
@@ -132,7 +132,7 @@
 
     /** Takes in a report; false where a newer one is known already: it says nothing, not even that the machine lives. */
     fun update(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
-        if (!heartbeat.newerThan(epoch, sequenceNumber)) return false
+        if (!heartbeat.isNewerThan(epoch, sequenceNumber)) return false
         take(heartbeat, now)
         return true
     }
@@ -194,7 +194,7 @@
     /** The worker keeps the most recently used images that its disk holds. */
     fun recordImageUse(image: Image, imageCacheGb: Double) {
         images.remove(image.name)
-        images[image.name] = image.gb
+        images[image.name] = image.sizeGb
         while (images.size > 1 && images.values.sum() > imageCacheGb) images.remove(images.keys.first())
     }
 
--- /dev/null
+++ b/src/main/kotlin/copperglade/transport/BatchingSelectStrategy.kt
@@ -0,0 +1,44 @@
+package copperglade.transport
+
+import io.netty.channel.SelectStrategy
+import io.netty.util.IntSupplier
+import java.util.concurrent.locks.LockSupport
+import kotlin.math.max
+import kotlin.math.min
+
+/**
+ * Lets messages gather under load, so that one selection finds several: waking up costs a small machine more processor time than most
+ * messages do. The more a selection finds, the longer the next one is delayed, up to [MAX_DELAY_NANOS]; timers are late by no more
+ * than that. Messages that come one by one are not delayed.
+ */
+internal class BatchingSelectStrategy : SelectStrategy {
+    private var delayNanos = MIN_DELAY_NANOS
+    private var lastSelectionNanos = System.nanoTime() - MAX_DELAY_NANOS
+
+    override fun calculateStrategy(selectSupplier: IntSupplier, hasTasks: Boolean): Int {
+        if (!hasTasks) awaitNextSelection()
+        val selected = selectSupplier.get()
+        if (hasTasks) return selected
+        adjustDelay(selected)
+        return if (selected > 0) selected else SelectStrategy.SELECT
+    }
+
+    private fun awaitNextSelection() {
+        val remainingNanos = lastSelectionNanos + delayNanos - System.nanoTime()
+        if (remainingNanos > 0) LockSupport.parkNanos(remainingNanos)
+        lastSelectionNanos = System.nanoTime()
+    }
+
+    private fun adjustDelay(selected: Int) {
+        if (selected >= MANY_SELECTED) delayNanos = min(delayNanos + delayNanos / ADJUSTMENT_DIVISOR, MAX_DELAY_NANOS)
+        if (selected < FEW_SELECTED) delayNanos = max(delayNanos - delayNanos / ADJUSTMENT_DIVISOR, MIN_DELAY_NANOS)
+    }
+
+    private companion object {
+        const val MIN_DELAY_NANOS = 3_000_000L
+        const val MAX_DELAY_NANOS = 25_000_000L
+        const val ADJUSTMENT_DIVISOR = 8
+        const val FEW_SELECTED = 2
+        const val MANY_SELECTED = 3
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/transport/ClientConnection.kt
@@ -0,0 +1,84 @@
+package copperglade.transport
+
+import copperglade.protocol.Endpoint
+import io.netty.buffer.ByteBufUtil
+import io.netty.buffer.Unpooled
+import io.netty.channel.Channel
+import io.netty.channel.ChannelHandlerContext
+import io.netty.channel.SimpleChannelInboundHandler
+import io.netty.handler.codec.http.DefaultFullHttpRequest
+import io.netty.handler.codec.http.FullHttpResponse
+import io.netty.handler.codec.http.HttpHeaderNames
+import io.netty.handler.codec.http.HttpMethod
+import io.netty.handler.codec.http.HttpUtil
+import io.netty.handler.codec.http.HttpVersion
+import org.slf4j.LoggerFactory
+
+/**
+ * A connection of ours to [endpoint], with one request on it at a time. A request that isn't answered in time takes its connection with
+ * it.
+ */
+internal class ClientConnection(
+    val endpoint: Endpoint,
+    private val barrier: FaultBarrier,
+    private val pool: ClientConnectionPool,
+    private val onReplied: () -> Unit,
+) : SimpleChannelInboundHandler<FullHttpResponse>() {
+    /** Set before the connection is handed to anybody, when it joins its channel. */
+    private lateinit var channel: Channel
+    private var current: PendingRequest? = null
+
+    val isOpen: Boolean get() = channel.isActive
+
+    override fun handlerAdded(context: ChannelHandlerContext) {
+        channel = context.channel()
+    }
+
+    fun send(pending: PendingRequest) {
+        current = pending
+        pending.channel = channel
+        channel.writeAndFlush(encode(pending.request)).addListener { if (!it.isSuccess) channel.close() }
+    }
+
+    fun close() {
+        channel.close()
+    }
+
+    private fun encode(request: Request): DefaultFullHttpRequest {
+        val message = DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            HttpMethod.valueOf(request.method.name),
+            request.path,
+            Unpooled.wrappedBuffer(request.body),
+        )
+        message.headers().set(HttpHeaderNames.HOST, endpoint.toString())
+        message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body.size)
+        return message
+    }
+
+    override fun channelRead0(context: ChannelHandlerContext, message: FullHttpResponse) {
+        val answered = current
+        current = null
+        val reply = Reply(message.status().code(), ByteBufUtil.getBytes(message.content()))
+        if (HttpUtil.isKeepAlive(message) && answered != null && !answered.isFinished) pool.add(this) else context.close()
+        answered?.finish(reply)
+        onReplied()
+    }
+
+    override fun channelInactive(context: ChannelHandlerContext) {
+        pool.remove(this)
+        current?.finish(null)
+        current = null
+    }
+
+    @Deprecated("Netty's own name for it")
+    override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
+        if (cause is VirtualMachineError) barrier.fail(cause)
+        log.debug("connection_lost side=client endpoint={} error={}", endpoint, cause.toString())
+        context.close()
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("transport")
+    }
+}
--- a/src/main/kotlin/copperglade/transport/FaultBarrier.kt
+++ b/src/main/kotlin/copperglade/transport/FaultBarrier.kt
@@ -3,33 +3,33 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Runs the decisions of a process: timers, requests and answers. A decision that ends in a fault may have changed a part of the
- * state and not the rest. Nothing tells which, so nothing more is decided on that state: the process ends, whoever runs it starts
- * it anew, and it reads everything again.
+ * Runs the decisions of a process: timers, requests and replies. A decision that ends in a fault may have changed a part of the
+ * state and not the rest. Nothing tells which, so nothing more is decided on that state: the process ends, and its successor
+ * reads everything again.
  *
- * Guards against acting on records that reached the replica but not the parts that decide by them. With faults swallowed, jobs after a
- * cancelled one stayed queued for ever, tasks of cancelled jobs were started, and the watch of the state service ended unnoticed.
+ * Guards against acting on records that reached the replica but not the parts that decide by them.
  *
- * @param endProcess must not come back to the state that the fault has left behind.
+ * @param endProcess must not return to the state that the fault has left behind.
  */
 class FaultBarrier(private val endProcess: (Throwable) -> Unit) {
     /** Whether a decision has ended in a fault: from then on none is run. */
-    var broken = false
+    var isBroken = false
         private set
 
+    /** Runs [action], unless an earlier one has ended in a fault. */
     fun run(action: () -> Unit) {
-        if (broken) return
+        if (isBroken) return
         try {
             action()
         } catch (fault: Throwable) {
-            broken(fault)
+            fail(fault)
         }
     }
 
-    /** A fault that was met outside of a decision, but leaves the process as unsound: memory has run out. */
-    fun broken(fault: Throwable) {
-        if (broken) return
-        broken = true
+    /** Reports a fault outside of a decision that leaves the process as unsound, such as memory that has run out. */
+    fun fail(fault: Throwable) {
+        if (isBroken) return
+        isBroken = true
         endProcess(fault)
     }
 
@@ -41,7 +41,7 @@
         /** Ends this process at once; no shutdown hook may run on what the fault has left behind. */
         fun endingTheProcess() = FaultBarrier { fault ->
             try {
-                log.error("a decision ended in a fault: this process ends, and has to be started anew", fault)
+                log.error("process_ending reason=decision_fault exit_status={}", EXIT_STATUS, fault)
             } finally {
                 Runtime.getRuntime().halt(EXIT_STATUS)
             }
--- a/src/main/kotlin/copperglade/transport/IdleConnections.kt
+++ b/src/main/kotlin/copperglade/transport/IdleConnections.kt
@@ -2,21 +2,23 @@
 
 /** Connections that nothing goes over at present, longest idle first. */
 internal class IdleConnections<T : Any> {
-    private val since = LinkedHashMap<T, Long>()
+    /** By connection, the [System.nanoTime] from which it has been idle. */
+    private val idleSinceNanos = LinkedHashMap<T, Long>()
 
-    /** [connection] has nothing to do from now on. */
+    /** [connection] is idle from now on. */
     fun add(connection: T) {
-        since.remove(connection)
-        since[connection] = System.nanoTime()
+        idleSinceNanos.remove(connection)
+        idleSinceNanos[connection] = System.nanoTime()
     }
 
+    /** [connection] is in use, or closed. */
     fun remove(connection: T) {
-        since.remove(connection)
+        idleSinceNanos.remove(connection)
     }
 
-    /** The one that has been idle for longest among those that [accepted] says, and for at least [nanos]. */
-    fun longest(nanos: Long = 0, accepted: (T) -> Boolean = { true }): T? {
-        val (connection, began) = since.entries.firstOrNull { accepted(it.key) } ?: return null
-        return connection.takeIf { System.nanoTime() - began >= nanos }
+    /** The longest idle of those that [accept] allows, where it has been idle for at least [minIdleNanos]. */
+    fun longestIdle(minIdleNanos: Long = 0, accept: (T) -> Boolean = { true }): T? {
+        val (connection, idleSince) = idleSinceNanos.entries.firstOrNull { accept(it.key) } ?: return null
+        return connection.takeIf { System.nanoTime() - idleSince >= minIdleNanos }
     }
 }
--- a/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -2,234 +2,115 @@
 
 import copperglade.protocol.Endpoint
 import io.netty.bootstrap.Bootstrap
-import io.netty.buffer.ByteBufUtil
-import io.netty.buffer.Unpooled
 import io.netty.buffer.UnpooledByteBufAllocator
-import io.netty.channel.Channel
-import io.netty.channel.ChannelHandlerContext
 import io.netty.channel.ChannelInitializer
 import io.netty.channel.ChannelOption
-import io.netty.channel.SimpleChannelInboundHandler
 import io.netty.channel.socket.SocketChannel
 import io.netty.channel.socket.nio.NioSocketChannel
-import io.netty.handler.codec.http.DefaultFullHttpRequest
-import io.netty.handler.codec.http.FullHttpResponse
 import io.netty.handler.codec.http.HttpClientCodec
-import io.netty.handler.codec.http.HttpHeaderNames
-import io.netty.handler.codec.http.HttpMethod
 import io.netty.handler.codec.http.HttpObjectAggregator
-import io.netty.handler.codec.http.HttpUtil
-import io.netty.handler.codec.http.HttpVersion
-import org.slf4j.LoggerFactory
-import java.util.concurrent.ScheduledFuture
-import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
 /**
- * Keeps connections open and reuses them, one request at a time on each. A request that got no answer in time takes
- * its connection with it, so that a late answer can never be taken for that of a later request.
+ * Sends requests over connections that are kept open and reused. Where [connectionLimit] is reached, the connection that has been idle for
+ * longest is closed in favour of a new one; where none is idle, the request waits for one.
+ *
+ * @param heapBytes the bytes that the heap may take: the limit of a response follows from it.
+ * @param unlimitedEndpoints are connected to whatever the limit; there are few of them.
  */
 class NettyHttpClient(
     private val loop: NettyEventLoop,
+    heapBytes: Long,
     private val connectionLimit: Int = Int.MAX_VALUE,
-    /** Always to be reached, whatever the limit: there are few of them. */
-    private val always: Set<Endpoint> = emptySet(),
-    heapBytes: Long = Runtime.getRuntime().maxMemory(),
+    private val unlimitedEndpoints: Set<Endpoint> = emptySet(),
 ) : HttpClient {
     /**
-     * A sixteenth of the heap: an answer is held several times over while it is read as a tree. A larger one counts as none; the
-     * state service's changes after a long absence are the only answer without a bound.
+     * A sixteenth of the heap: a response is held several times over while it is read as a tree. A larger one counts as none; the
+     * state service's changes after a long absence are the only response without a bound.
      */
-    private val longestAnswer = (heapBytes / PART_OF_HEAP).coerceIn(MIN_LIMIT, Int.MAX_VALUE.toLong()).toInt()
-
-    private val group = loop.group
-    private val idle = HashMap<Endpoint, ArrayDeque<Exchange>>()
-
-    /** The same connections, by how long they have been idle. */
-    private val idleConnections = IdleConnections<Exchange>()
-    private var open = 0
+    private val maxResponseBytes = (heapBytes / HEAP_DIVISOR).coerceIn(MIN_RESPONSE_LIMIT_BYTES, Int.MAX_VALUE.toLong()).toInt()
+    private val pool = ClientConnectionPool()
 
     /** Open or being opened. */
-    val connections: Int get() = open
+    var connections = 0
+        private set
 
-    /** Requests that no connection was free for. */
-    private val held = ArrayDeque<Pair<Waiting, Duration>>()
-    private var sendingHeld = false
+    /** Requests that no connection was free for, in order of their coming. */
+    private val waiting = ArrayDeque<PendingRequest>()
+    private var sendingWaiting = false
     private val bootstrap = Bootstrap()
-        .group(group)
+        .group(loop.group)
         .channel(NioSocketChannel::class.java)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator(false))
 
-    override fun call(to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit) {
-        val waiting = Waiting(to, request, done)
-        waiting.deadline = group.schedule({ waiting.timedOut() }, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
-        val reused = takeIdle(to)
+    override fun call(to: Endpoint, request: Request, timeout: Duration, onReply: (Reply?) -> Unit) {
+        val pending = PendingRequest(loop, to, request, timeout, onReply)
+        val idle = pool.take(to)
         when {
-            reused != null -> reused.send(waiting)
-            to in always || mayOpen() -> connect(waiting, timeout)
-            else -> held.addLast(waiting to timeout)
-        }
-    }
-
-    /** Makes room for a further connection by closing the one that has been idle for longest. */
-    private fun mayOpen(): Boolean {
-        if (open < connectionLimit) return true
-        val longest = idleConnections.longest { it.to !in always } ?: return false
-        unlist(longest)
-        longest.channel.close()
-        return open < connectionLimit
-    }
-
-    private fun list(exchange: Exchange) {
-        idle.getOrPut(exchange.to) { ArrayDeque() }.addLast(exchange)
-        idleConnections.add(exchange)
-        // Machines come and go by the hundred, and one without power never closes its connection.
-        while (true) {
-            val longest = idleConnections.longest(MAX_IDLE_NANOS) ?: break
-            unlist(longest)
-            longest.channel.close()
+            idle != null -> idle.send(pending)
+            to in unlimitedEndpoints || mayConnect() -> connect(pending)
+            else -> waiting.addLast(pending)
         }
     }
 
-    private fun unlist(exchange: Exchange) {
-        idleConnections.remove(exchange)
-        val pool = idle[exchange.to] ?: return
-        pool.remove(exchange)
-        if (pool.isEmpty()) idle.remove(exchange.to)
+    /** Whether a connection may be opened, if need be after closing the one that has been idle for longest. */
+    private fun mayConnect(): Boolean {
+        if (connections < connectionLimit) return true
+        return pool.closeLongestIdle(unlimitedEndpoints) && connections < connectionLimit
     }
 
-    /** Closing a connection to make room calls back here before it returns: one at a time. */
-    private fun sendHeld() {
-        if (sendingHeld) return
-        sendingHeld = true
-        while (held.isNotEmpty()) {
-            val (waiting, timeout) = held.first()
-            val reused = if (waiting.over) null else takeIdle(waiting.to)
-            if (reused == null && !waiting.over && !mayOpen()) break
-            held.removeFirst()
-            if (reused != null) {
-                reused.send(waiting)
-            } else if (!waiting.over) {
-                connect(waiting, timeout)
+    /** Closing a connection in favour of another calls back here before it returns: one call at a time. */
+    private fun sendWaiting() {
+        if (sendingWaiting) return
+        sendingWaiting = true
+        while (waiting.isNotEmpty()) {
+            val next = waiting.first()
+            val idle = if (next.isFinished) null else pool.take(next.endpoint)
+            if (idle == null && !next.isFinished && !mayConnect()) break
+            waiting.removeFirst()
+            if (idle != null) {
+                idle.send(next)
+            } else if (!next.isFinished) {
+                connect(next)
             }
         }
-        sendingHeld = false
+        sendingWaiting = false
     }
 
-    private fun takeIdle(to: Endpoint): Exchange? {
-        while (true) {
-            val exchange = idle[to]?.lastOrNull() ?: return null
-            unlist(exchange)
-            if (exchange.channel.isActive) return exchange
-        }
-    }
-
-    private fun connect(waiting: Waiting, timeout: Duration) {
-        val exchange = Exchange(waiting.to)
-        open++
+    private fun connect(pending: PendingRequest) {
+        val connection = ClientConnection(pending.endpoint, loop.barrier, pool, ::sendWaiting)
+        connections++
         val connecting = bootstrap
             .clone()
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeout.inWholeMilliseconds.toInt())
-            .handler(object : ChannelInitializer<SocketChannel>() {
-                override fun initChannel(channel: SocketChannel) {
-                    channel
-                        .pipeline()
-                        .addLast(HttpClientCodec())
-                        .addLast(HttpObjectAggregator(longestAnswer))
-                        .addLast(exchange)
-                }
-            })
-            .connect(waiting.to.host, waiting.to.port)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, pending.timeout.inWholeMilliseconds.toInt())
+            .handler(initializerOf(connection))
+            .connect(pending.endpoint.host, pending.endpoint.port)
         connecting.channel().closeFuture().addListener {
-            open--
-            sendHeld()
+            connections--
+            sendWaiting()
         }
         connecting.addListener {
-            if (!it.isSuccess) {
-                waiting.finish(null)
-            } else if (waiting.over) {
-                connecting.channel().close()
-            } else {
-                exchange.send(waiting)
+            when {
+                !it.isSuccess -> pending.finish(null)
+                pending.isFinished -> connecting.channel().close()
+                else -> connection.send(pending)
             }
         }
     }
 
-    /** One request on its way, until it is answered, times out or loses its connection. */
-    private inner class Waiting(val to: Endpoint, val request: Request, private val done: (Reply?) -> Unit) {
-        var over = false
-            private set
-        var channel: Channel? = null
-        var deadline: ScheduledFuture<*>? = null
-
-        fun finish(reply: Reply?) {
-            if (over) return
-            over = true
-            deadline?.cancel(false)
-            loop.barrier.run { done(reply) }
-        }
-
-        fun timedOut() {
-            finish(null)
-            channel?.close()
-        }
-    }
-
-    private inner class Exchange(val to: Endpoint) : SimpleChannelInboundHandler<FullHttpResponse>() {
-        lateinit var channel: Channel
-        private var current: Waiting? = null
-
-        override fun handlerAdded(context: ChannelHandlerContext) {
-            channel = context.channel()
-        }
-
-        fun send(waiting: Waiting) {
-            current = waiting
-            waiting.channel = channel
-            val request = waiting.request
-            val message = DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(request.method.name),
-                request.path,
-                Unpooled.wrappedBuffer(request.body),
-            )
-            message.headers().set(HttpHeaderNames.HOST, to.toString())
-            message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body.size)
-            channel.writeAndFlush(message).addListener { if (!it.isSuccess) channel.close() }
-        }
-
-        override fun channelRead0(context: ChannelHandlerContext, message: FullHttpResponse) {
-            val finished = current
-            current = null
-            val reply = Reply(message.status().code(), ByteBufUtil.getBytes(message.content()))
-            if (HttpUtil.isKeepAlive(message) && finished != null && !finished.over) {
-                list(this)
-            } else {
-                context.close()
-            }
-            finished?.finish(reply)
-            sendHeld()
-        }
-
-        override fun channelInactive(context: ChannelHandlerContext) {
-            unlist(this)
-            current?.finish(null)
-            current = null
-        }
-
-        @Deprecated("Netty's own name for it")
-        override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
-            if (cause is VirtualMachineError) loop.barrier.broken(cause)
-            log.debug("connection to {} lost: {}", to, cause.toString())
-            context.close()
+    private fun initializerOf(connection: ClientConnection) = object : ChannelInitializer<SocketChannel>() {
+        override fun initChannel(channel: SocketChannel) {
+            channel
+                .pipeline()
+                .addLast(HttpClientCodec())
+                .addLast(HttpObjectAggregator(maxResponseBytes))
+                .addLast(connection)
         }
     }
 
-    companion object {
-        private const val PART_OF_HEAP = 16
-        private const val MIN_LIMIT = 4L * 1024 * 1024
-        private const val MAX_IDLE_NANOS = 60_000_000_000L
-        private val log = LoggerFactory.getLogger("http.caller")
+    private companion object {
+        const val HEAP_DIVISOR = 16
+        const val MIN_RESPONSE_LIMIT_BYTES = 4L * 1024 * 1024
     }
 }
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -35,23 +35,23 @@
  * An HTTP/1.1 server on one address.
  *
  * @param connectionLimit beyond it, a new connection takes the place of the one that has been idle for longest. Where none is
- * idle, it is told to come back later, and beyond some of these closed at once: sockets must be left for our own calls. So
- * more callers than connections take turns, and none of them is refused for as long as others stay connected.
- * @param longestBody in bytes; a longer one is refused with 400.
+ * idle, the new one is answered with 503, and beyond [REFUSED_SHARE] more of these closed at once: sockets must remain for our own
+ * calls. So more callers than connections take turns, and none of them is refused for as long as others stay connected.
+ * @param maxBodyBytes a longer body is refused with 400.
  */
 class NettyHttpServer(
     private val loop: NettyEventLoop,
     private val connectionLimit: Int,
-    private val longestBody: Int = MAX_PROTOCOL_BODY,
+    private val maxBodyBytes: Int = MAX_PROTOCOL_BODY_BYTES,
     private val handler: RequestHandler,
 ) {
-    private var open = 0
+    private var connections = 0
 
     /** Connections that wait for their next request. */
     private val idle = IdleConnections<Channel>()
 
-    /** Listens at [at], or with port 0 at any free port; returns where. */
-    fun listen(at: Endpoint): Endpoint {
+    /** Listens at [address], or with port 0 at any free port, and returns where; throws where the address can't be bound. */
+    fun listen(address: Endpoint): Endpoint {
         val listening = ServerBootstrap()
             .group(loop.group)
             .channel(NioServerSocketChannel::class.java)
@@ -62,74 +62,73 @@
             .childHandler(object : ChannelInitializer<SocketChannel>() {
                 override fun initChannel(channel: SocketChannel) = accept(channel)
             })
-            .bind(at.host, at.port)
+            .bind(address.host, address.port)
             .sync()
             .channel()
-        return Endpoint(at.host, (listening.localAddress() as InetSocketAddress).port)
+        return Endpoint(address.host, (listening.localAddress() as InetSocketAddress).port)
     }
 
+    /** Takes a new connection, refuses its requests or closes it at once. */
     private fun accept(channel: SocketChannel) {
-        if (open >= connectionLimit) closeLongestIdle()
-        val refused = open >= connectionLimit
-        if (open >= connectionLimit * (1.0 + SPARE)) {
+        if (connections >= connectionLimit) closeLongestIdle()
+        val refused = connections >= connectionLimit
+        if (connections >= connectionLimit * (1.0 + REFUSED_SHARE)) {
             channel.close()
             return
         }
-        open++
+        connections++
         channel.closeFuture().addListener {
-            open--
+            connections--
             idle.remove(channel)
         }
         channel
             .pipeline()
-            .addLast(IdleStateHandler(if (refused) REFUSED_IDLE_S else IDLE_S, 0, 0))
-            .addLast(HttpServerCodec(MAX_LINE, MAX_HEADERS, MAX_CHUNK))
+            .addLast(IdleStateHandler(if (refused) REFUSED_READ_TIMEOUT_SECONDS else READ_TIMEOUT_SECONDS, 0, 0))
+            .addLast(HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
             .addLast(BoundedAggregator())
-            .addLast(Conversation(refused))
+            .addLast(ServerConnection(refused))
     }
 
     private fun closeLongestIdle() {
-        val longest = idle.longest(MIN_IDLE_NANOS) ?: return
+        val longest = idle.longestIdle(MIN_IDLE_NANOS) ?: return
         idle.remove(longest)
         longest.close()
     }
 
     /** A body over the limit gets a plain 400, and the connection ends. */
-    private inner class BoundedAggregator : HttpObjectAggregator(longestBody) {
+    private inner class BoundedAggregator : HttpObjectAggregator(maxBodyBytes) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, oversized: HttpMessage) {
             val response =
-                response(
-                    Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("body over ${longestBody / KIB} KiB", "body")),
+                encode(
+                    Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("body over ${maxBodyBytes / BYTES_PER_KIB} KiB", "body")),
                     keep = false,
                 )
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE)
         }
     }
 
-    private inner class Conversation(private val refused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
+    /** Decodes the requests of a connection; all are answered with 503 where it is [refused]. */
+    private inner class ServerConnection(private val refused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
         override fun channelRead0(context: ChannelHandlerContext, message: FullHttpRequest) {
             val keep = HttpUtil.isKeepAlive(message)
-            idle.remove(context.channel())
-            if (message.decoderResult().isFailure) {
-                answer(context.channel(), Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keep = false)
-                return
-            }
-            if (refused) {
-                answer(
-                    context.channel(),
-                    Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("too many connections"), retryAfterSeconds = 1),
-                    keep = false,
-                )
-                return
-            }
-            val method = when (message.method()) {
-                HttpMethod.GET -> Method.GET
-                HttpMethod.POST -> Method.POST
-                HttpMethod.DELETE -> Method.DELETE
-                else -> Method.OTHER
+            val channel = context.channel()
+            idle.remove(channel)
+            when {
+                message.decoderResult().isFailure ->
+                    answer(channel, Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keep = false)
+                refused -> answer(channel, tooManyConnections(), keep = false)
+                else -> {
+                    val request = Request(methodOf(message), message.uri(), ByteBufUtil.getBytes(message.content()))
+                    loop.barrier.run { handler.handle(request) { answer(channel, it, keep) } }
+                }
             }
-            val request = Request(method, message.uri(), ByteBufUtil.getBytes(message.content()))
-            loop.barrier.run { handler.handle(request) { answer(context.channel(), it, keep) } }
+        }
+
+        private fun methodOf(message: FullHttpRequest): Method = when (message.method()) {
+            HttpMethod.GET -> Method.GET
+            HttpMethod.POST -> Method.POST
+            HttpMethod.DELETE -> Method.DELETE
+            else -> Method.OTHER
         }
 
         override fun userEventTriggered(context: ChannelHandlerContext, event: Any) {
@@ -138,37 +137,41 @@
 
         @Deprecated("Netty's own name for it")
         override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
-            if (cause is VirtualMachineError) loop.barrier.broken(cause)
-            log.debug("connection lost: {}", cause.toString())
+            if (cause is VirtualMachineError) loop.barrier.fail(cause)
+            log.debug("connection_lost side=server error={}", cause.toString())
             context.close()
         }
     }
 
+    /** Sends [reply]; nothing is sent where the connection is gone. */
     private fun answer(channel: Channel, reply: Reply, keep: Boolean) {
         if (!channel.isActive) return
-        val written = channel.writeAndFlush(response(reply, keep))
+        val written = channel.writeAndFlush(encode(reply, keep))
         if (keep) idle.add(channel) else written.addListener(ChannelFutureListener.CLOSE)
     }
 
     companion object {
-        private const val IDLE_S = 40
-        private const val REFUSED_IDLE_S = 5
+        private const val READ_TIMEOUT_SECONDS = 40
+        private const val REFUSED_READ_TIMEOUT_SECONDS = 5
 
-        /** This part of the limit may be refused at a time. */
-        private const val SPARE = 0.1
-        private const val MAX_LINE = 4096
-        private const val MAX_HEADERS = 8192
-        private const val MAX_CHUNK = 8192
-        private const val KIB = 1024
+        /** How many connections may be refused at a time, as a share of the limit. */
+        private const val REFUSED_SHARE = 0.1
+        private const val MAX_REQUEST_LINE_BYTES = 4096
+        private const val MAX_HEADER_BYTES = 8192
+        private const val MAX_CHUNK_BYTES = 8192
+        private const val BYTES_PER_KIB = 1024
 
-        /** By the protocol with users and workers. */
-        const val MAX_PROTOCOL_BODY = 64 * KIB
+        /** The largest body by the protocol with users and workers. */
+        const val MAX_PROTOCOL_BODY_BYTES = 64 * BYTES_PER_KIB
 
-        /** A connection that has just been answered may bring its next request at once. */
+        /** Guards against closing a connection that has just been answered, and whose next request may be on its way. */
         private const val MIN_IDLE_NANOS = 300_000_000L
-        private val log = LoggerFactory.getLogger("http.server")
+        private val log = LoggerFactory.getLogger("transport")
+
+        private fun tooManyConnections() =
+            Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("too many connections"), retryAfterSeconds = 1)
 
-        private fun response(reply: Reply, keep: Boolean): DefaultFullHttpResponse {
+        private fun encode(reply: Reply, keep: Boolean): DefaultFullHttpResponse {
             val response = DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status),
--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -113,7 +113,7 @@
             assertEquals(Priority.LOW, priority)
             assertEquals(2, tasks)
             assertEquals(Resources(1.5, 0.0, 2.25), request)
-            assertEquals(0.5, image.gb)
+            assertEquals(0.5, image.sizeGb)
             assertEquals(listOf("box"), types)
             assertEquals("north", zone)
             assertEquals(listOf(false, false, true), listOf(oneZone, spread, spotAllowed))
@@ -312,8 +312,8 @@
         assertEquals(emptyList<Any>(), brief.shards)
         assertFalse(brief.isLeader)
         assertTrue(peerStatus("note brief lead").isLeader)
-        assertEquals(listOf("south.1"), peerStatus("note brief lead release").release.map { it.text })
-        assertEquals(listOf("i-000006"), peerStatus("note brief lead retire").retire.map { it.text })
+        assertEquals(listOf("south.1"), peerStatus("note brief lead release").shardsToRelease.map { it.text })
+        assertEquals(listOf("i-000006"), peerStatus("note brief lead retire").machinesToRetire.map { it.text })
     }
 
     private fun peerStatus(kind: String): PeerStatus = PeerMessageCodec.decodeStatus(ProductionFiles.message(kind))!!
@@ -357,8 +357,8 @@
         val status = PeerMessageCodec.decodeStatus(bytes.toByteArray())!!
         assertArrayEquals(bytes.toByteArray(), PeerMessageCodec.encodeStatus(status))
         assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.knownRevision.number, status.stateSilentMillis))
-        assertEquals(listOf("z.1"), status.release.map { it.text })
-        assertEquals(listOf("i-2"), status.retire.map { it.text })
+        assertEquals(listOf("z.1"), status.shardsToRelease.map { it.text })
+        assertEquals(listOf("i-2"), status.machinesToRetire.map { it.text })
         assertEquals(12.5, status.desiredWritesPerSecond)
         val machine = status.shards
             .single()
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -233,8 +233,8 @@
     val parts = listOfNotNull(
         if (status.shards.isEmpty()) "brief" else "full",
         "lead".takeIf { status.isLeader },
-        "release".takeIf { status.release.isNotEmpty() },
-        "retire".takeIf { status.retire.isNotEmpty() },
+        "release".takeIf { status.shardsToRelease.isNotEmpty() },
+        "retire".takeIf { status.machinesToRetire.isNotEmpty() },
         "machines".takeIf { machines.isNotEmpty() },
         "usable".takeIf { machines.any { it.usable } },
         "to replace".takeIf { machines.any { !it.worthKeeping } },
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -158,7 +158,7 @@
         val again = PeerMessageCodec.decodeStatus(bytes)!!
         assertEquals(status.knownRevision, again.knownRevision)
         assertEquals(room.preemptible, again.shards[0].machines[0].preemptible)
-        assertEquals(status.retire, again.retire)
+        assertEquals(status.machinesToRetire, again.machinesToRetire)
         for (cut in 0 until bytes.size) assertNull(PeerMessageCodec.decodeStatus(bytes.copyOf(cut)))
     }
 
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -1,5 +1,6 @@
 package copperglade.soak
 
+import copperglade.app.ProcessHeap
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobKind
 import copperglade.protocol.Json
@@ -57,7 +58,7 @@
 
     private val failure = CompletableFuture<Throwable>()
     val loop = NettyEventLoop(FaultBarrier { failure.complete(it) })
-    private val http = NettyHttpClient(loop)
+    private val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
     val random = Random(seed)
     val network = SoakNetwork(loop, random)
     val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS).toLong(), teamCpus)
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -1,6 +1,7 @@
 package copperglade.standin
 
 import copperglade.app.Main
+import copperglade.app.ProcessHeap
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobId
 import copperglade.protocol.JobKind
@@ -25,7 +26,7 @@
 /** Three controllers on loopback with stand-ins around them, for trying things out by hand. Ends with the process. */
 private class LocalSite {
     private val loop = NettyEventLoop()
-    private val http = NettyHttpClient(loop)
+    private val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
     private val specs = HashMap<JobId, JobSpec>()
     private val state = StandInState(loop)
     private var nextPort = FIRST_WORKER_PORT
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -243,7 +243,7 @@
             busy -> exit(readFresh, "busy")
             used + spec.request.cpus > cpus + 1e-6 -> exit(readFresh, "full")
             spec.image.name.text in images -> run(readFresh)
-            else -> loop.after((spec.image.gb / fetchGbPerSecond).seconds) {
+            else -> loop.after((spec.image.sizeGb / fetchGbPerSecond).seconds) {
                 if (readFresh in held && readFresh.state == State.FETCHING) {
                     images += spec.image.name.text
                     run(readFresh)
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -1,5 +1,6 @@
 package copperglade.transport
 
+import copperglade.app.ProcessHeap
 import copperglade.protocol.Decoding
 import copperglade.protocol.WorkerMessageCodec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -21,10 +22,10 @@
         barrier.run { decided++ }
         barrier.run { throw OutOfMemoryError("injected") }
         barrier.run { decided++ }
-        barrier.broken(IllegalStateException("later"))
+        barrier.fail(IllegalStateException("later"))
         assertEquals(1, decided)
         assertEquals(listOf("injected"), faults.map { it.message })
-        assertTrue(barrier.broken)
+        assertTrue(barrier.isBroken)
     }
 
     @Test
@@ -32,7 +33,7 @@
         for (place in listOf("timer", "request", "answer")) {
             val broken = CountDownLatch(1)
             val loop = NettyEventLoop(FaultBarrier { broken.countDown() })
-            val caller = NettyHttpClient(loop)
+            val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
             val at = freeEndpoint()
             NettyHttpServer(loop, CONNECTIONS) { _, responder ->
                 if (place == "request") error("injected")
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -1,6 +1,7 @@
 package copperglade.transport
 
 import copperglade.app.Main
+import copperglade.app.ProcessHeap
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ImageName
@@ -37,7 +38,7 @@
     fun `more peers than sockets are all answered, and only so many connections stay`() {
         val loop = NettyEventLoop()
         val limit = 4
-        val caller = NettyHttpClient(loop, limit)
+        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes, limit)
         val places = freeEndpoints(20)
         val answered = AtomicInteger()
         val all = CountDownLatch(2 * places.size)
@@ -65,7 +66,7 @@
         val held = ArrayList<Responder>()
         val server = NettyHttpServer(loop, 10) { _, responder -> held += responder }
         server.listen(at)
-        val caller = NettyHttpClient(loop)
+        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val statuses = ArrayList<Int?>()
         val last = CountDownLatch(11)
         loop.after(0.seconds) {
@@ -87,7 +88,7 @@
         val loop = NettyEventLoop()
         val at = freeEndpoint()
         NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(at)
-        val callers = List(CALLERS) { NettyHttpClient(loop) }
+        val callers = List(CALLERS) { NettyHttpClient(loop, ProcessHeap.maxBytes) }
         val rounds = CALLERS * ROUNDS
         val answered = CountDownLatch(rounds)
 
@@ -109,14 +110,14 @@
         val loop = NettyEventLoop()
         val (peers, users) = freeEndpoints(2)
         val status = PeerMessageCodec.encodeStatus(statusOf(machines = 4000))
-        assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY)
+        assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY_BYTES)
         val received = ArrayList<PeerStatus?>()
-        NettyHttpServer(loop, CONNECTIONS, Main.MAX_PEER_MESSAGE) { request, responder ->
+        NettyHttpServer(loop, CONNECTIONS, Main.MAX_PEER_MESSAGE_BYTES) { request, responder ->
             received += PeerMessageCodec.decodeStatus(request.body)
             responder.send(Reply(200))
         }.listen(peers)
         NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(users)
-        val caller = NettyHttpClient(loop)
+        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val statuses = HashMap<Endpoint, Int?>()
         val both = CountDownLatch(2)
         loop.after(0.seconds) {
