--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -61,7 +61,7 @@
     private fun finalize(candidates: List<Job>) {
         val jobs = guard.approveEnds(candidates)
         if (jobs.isEmpty()) return
-        jobs.forEach { audit.ended(it.id) }
+        jobs.forEach { audit.recordJobEnd(it.id) }
         val transaction = endTransaction(jobs)
         val ids = jobs.map { it.id }
         inFlight += ids
--- a/src/main/kotlin/copperglade/protocol/PeerStatus.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerStatus.kt
@@ -64,7 +64,7 @@
     }
 
     /** The same without the capacities, for the controllers that don't lead. */
-    fun withoutCapacity() = copy(shards = emptyList())
+    fun withoutCapacities() = copy(shards = emptyList())
 
     private companion object {
         const val BYTES_BESIDE_MACHINES = 400
