--- a/src/main/kotlin/copperglade/controller/ClientRouter.kt
+++ b/src/main/kotlin/copperglade/controller/ClientRouter.kt
@@ -1,5 +1,6 @@
 package copperglade.controller
 
+import copperglade.jobs.JobReplies
 import copperglade.jobs.JobService
 import copperglade.observability.RequestLatency
 import copperglade.ownership.ShardOwnership
@@ -58,7 +59,7 @@
         val heartbeat = WorkerMessageCodec.decodeHeartbeat(request.body)
         val reply = when {
             heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not a worker's report"))
-            replica.state != ReplicaState.CURRENT -> JobService.later()
+            replica.state != ReplicaState.CURRENT -> JobReplies.unavailable()
             else -> shardOwnership.handleHeartbeat(heartbeat)
         }
         responder.send(reply)
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -158,7 +158,7 @@
         peerStatuses,
         PeerStatusComposer(loop, store, replica, membership, leadership, shardOwnership, shardAssigner, autoscaler),
     )
-    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, worthTelling = stalenessLimit)
+    private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, maxNoticeAge = stalenessLimit)
     private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
     private val budgetAllocator = BudgetAllocator(loop, settings, store, replica, leadership, peerStatuses, cloudBudget)
     private val leaderLoop = LeaderLoop(loop, metrics, leadership, shardAssigner, scheduler, jobFinalizer, budgetAllocator)
@@ -200,8 +200,8 @@
         }
         membership.onChange = shardOwnership::reconcile
         peerStatusExchange.onLeaderStatus = { status ->
-            shardOwnership.release(status.release)
-            shardOwnership.retire(status.retire)
+            shardOwnership.release(status.shardsToRelease)
+            shardOwnership.retire(status.machinesToRetire)
         }
     }
 
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -37,8 +37,8 @@
             stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
-            release = if (leading) shardAssigner.shardsToRelease else emptyList(),
-            retire = if (leading) autoscaler.retire else emptyList(),
+            shardsToRelease = if (leading) shardAssigner.shardsToRelease else emptyList(),
+            machinesToRetire = if (leading) autoscaler.retire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -121,7 +121,12 @@
         val type = context.types[machine.typeName] ?: return null
         val prediction = profiles.predict(machine.name, factors(machine, run, machine.runs.size + 1), similarTasks)
         val fetchSeconds =
-            if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+            if (machine.hasImage(run.spec.image)) {
+                0.0
+            } else {
+                run.spec.image.sizeGb /
+                    type.fetchGbPerSecond.coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
+            }
         return prediction?.let { RestartOption(machine.name, it, fetchSeconds) }
     }
 
