--- a/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/CompatibilityTest.kt
@@ -190,7 +190,7 @@
     }
 
     @Test
-    fun `an assignment that is recalled`() {
+    fun `an assignment that is preempted for a guarantee`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
         val page = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
         assertEquals("0-15", TaskIndexRanges.format(page.preemptedForGuarantee))
@@ -229,7 +229,7 @@
     }
 
     @Test
-    fun `blocks that are owned and given up, members and the leader`() {
+    fun `shards that are owned and released, members and the leader`() {
         val owned = RecordCodec.decodeShard(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
         assertEquals(ShardRecord(MemberId("lorry-2"), Incarnation(2)), owned)
         assertFalse(owned.released)
@@ -299,7 +299,7 @@
     }
 
     @Test
-    fun `a machine on loan that stands idle`() {
+    fun `an idle machine on loan`() {
         val machine = peerStatus("note full machines usable").shards.flatMap { it.machines }.single()
         assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
         assertEquals(142, machine.idleMillis)
@@ -449,7 +449,7 @@
     private fun span(tasks: List<Int>) = tasks.last() - tasks.first() + 1
 
     @Test
-    fun `a replica has the blocks, members, images and the leader that production left`() {
+    fun `a replica has the shards, members, images and the leader that production left`() {
         val replica = loadedReplica()
         val owners = replica.shards.entries.associate { (name, record) ->
             name.text to "${record.value.member} ${record.value.incarnation}"
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a page is 256 tasks`() = assertEquals(256, Keys.TASKS_PER_RANGE)
+    fun `a task range is 256 tasks`() = assertEquals(256, Keys.TASKS_PER_RANGE)
 
     @Test
     fun `what a key names`() {
@@ -132,7 +132,7 @@
     }
 
     @Test
-    fun `reports of workers`() {
+    fun `heartbeats of workers`() {
         assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), ReportedTaskState.entries.map { it.wireName })
         assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wireName })
         val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
--- a/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/AddedRulesTest.kt
@@ -21,10 +21,10 @@
         site.submit(SimSite.job(500 + number, tasks = tasks, service = true, spot = false)) { null }
     }
 
-    private fun assertKept(site: SimSite) {
+    private fun assertRulesHold(site: SimSite) {
         site.heal()
         site.run(120.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
         val unfinished = site.users.values
             .filter { it.work(0) != null && !it.finished }
@@ -38,7 +38,7 @@
     // ---- guarantees ----
 
     @Test
-    fun `what another team has borrowed is recalled for a guarantee`() {
+    fun `quota that another team has borrowed is preempted for a guarantee`() {
         val lender = TeamName("lender")
         val site =
             SimSite(
@@ -54,7 +54,7 @@
         site.run(15.0)
         assertEquals(16, site.runningTasks().keys.count { it.job == JobId("job-2") })
         site.run(40.0)
-        assertEquals("done", site.users.getValue(JobId("job-2")).told)
+        assertEquals("done", site.users.getValue(JobId("job-2")).status)
         // Nothing within the guarantee of "team" was touched, and it has the rest again.
         assertEquals(32, site.runningTasks().size)
         assertEquals(emptyList<String>(), site.breaches)
@@ -76,21 +76,21 @@
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.answeredAt < began }
+                .filter { it.lastAnswerAtMs < began }
                 .map { it.spec.id },
         )
         assertEquals(emptyList<String>(), site.breaches)
     }
 
     @Test
-    fun `after a restart of all controllers thousands of finished jobs are answered, each by itself`() {
+    fun `thousands of finished jobs are answered one by one after a restart of all controllers`() {
         val site = SimSite(Simulation(33), nodes = 5, endedBefore = 3000)
         site.run(5.0)
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
         val asked = HashMap<Int, Boolean>()
 
         fun ask(number: Int) {
-            site.request(Request(Method.GET, "/submissions/job-${SimSite.ENDED_FROM + number}")) { reply ->
+            site.request(Request(Method.GET, "/submissions/job-${SimSite.FIRST_ENDED_JOB + number}")) { reply ->
                 if (reply?.status == 200) asked[number] = true else site.sim.after(5000.0) { ask(number) }
             }
         }
@@ -105,9 +105,9 @@
         val site = SimSite(Simulation(32))
         arrays(site, 8)
         site.run(40.0)
-        site.network.swallows = { it.path == "/submissions/job-3" }
+        site.network.drops = { it.path == "/submissions/job-3" }
         site.run(90.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(listOf("job-3 gets no answer"), site.breaches.map { it.substringAfter(": ") })
     }
 
@@ -115,13 +115,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44])
-    fun `a machine that hears nothing loses its work and is replaced, once`(seed: Long) {
+    fun `a machine that receives nothing loses its tasks and is replaced once`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 6))
         services(site, 6)
         arrays(site, 10)
         site.run(30.0)
-        val before = site.machinesRented
-        val unresponsive = site.muffleMachine(seed.toInt() % 3)!!
+        val before = site.machinesLaunched
+        val unresponsive = site.cutTrafficToMachine(seed.toInt() % 3)!!
         site.run(SimSite.LEASE_S + 12.0)
         // Its tasks run elsewhere by now, and nothing new was put there.
         assertEquals(
@@ -135,17 +135,17 @@
         assertEquals(24, site.runningTasks().keys.count { it.job.text.length == 7 })
         site.run(60.0)
         assertTrue(unresponsive !in site.workerNames(), "$unresponsive was not returned")
-        assertTrue(site.machinesRented - before <= 8, "${site.machinesRented - before} machines rented for one")
-        assertKept(site)
+        assertTrue(site.machinesLaunched - before <= 8, "${site.machinesLaunched - before} machines rented for one")
+        assertRulesHold(site)
     }
 
     @Test
-    fun `the referee sees work moved off a muffled machine before its lease has run out`() {
-        val site = SimSite(Simulation(45), toldLeaseS = 3.0)
+    fun `the referee sees tasks moved off an unresponsive machine before its lease expires`() {
+        val site = SimSite(Simulation(45), configuredLeaseS = 3.0)
         services(site, 3)
         site.run(25.0)
         // Only its reports to the owner get through at first, then nothing: the reckoned lease is all there is.
-        site.muffleMachine(0)
+        site.cutTrafficToMachine(0)
         site.cutMachine(0)
         site.run(9.0)
         sees(site, "ran_twice")
@@ -155,9 +155,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54, 55, 56])
-    fun `late copies of reports change nothing`(seed: Long) {
+    fun `late duplicates of heartbeats change nothing`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.network.copyOneIn = 3
+        site.network.duplicateOneIn = 3
         services(site, 4)
         arrays(site, 14)
         repeat(6) {
@@ -172,14 +172,14 @@
             }
         }
         site.run(100.0)
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @Test
-    fun `the referee sees what copies would do if their numbers did not tell them`() {
+    fun `the referee sees what duplicates would do without sequence numbers`() {
         val sites = (57L..60L).map { seed ->
             val site = SimSite(Simulation(seed))
-            site.network.copyOneIn = 2
+            site.network.duplicateOneIn = 2
             site.network.forge = { body ->
                 body
                     .decodeToString()
@@ -200,7 +200,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
-    fun `a controller left with nothing but its workers sends them on before their leases run out`(seed: Long) {
+    fun `a controller that reaches only its workers redirects them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5)
         services(site, 5)
         site.run(30.0)
@@ -211,7 +211,7 @@
         site.run(25.0)
         assertEquals(running, site.runningTasks().mapValues { it.value.name })
         assertTrue(site.workerNames().none { site.ownerOf(it) == node })
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @Test
@@ -242,7 +242,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
-    fun `processes and machines that are back at once break nothing`(seed: Long) {
+    fun `processes and machines that restart at once break no rule`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3)
         val random = site.sim.random
         services(site, 4)
@@ -268,12 +268,12 @@
             }
         }
         site.run(90.0)
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [78, 79])
-    fun `a machine that counts from the start again is given work soon`(seed: Long) {
+    fun `a machine whose sequence numbers start again is given work soon`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
         services(site, 4, tasks = 8)
         // Long enough that its new reports stay below its old ones for minutes.
@@ -294,8 +294,8 @@
     }
 
     @Test
-    fun `the referee sees a machine that was given up although it was back at once`() {
-        val site = SimSite(Simulation(77), toldLeaseS = 2.0)
+    fun `the referee sees a machine that was written off although it was back at once`() {
+        val site = SimSite(Simulation(77), configuredLeaseS = 2.0)
         services(site, 4)
         site.run(30.0)
         val busy = site.workerNames().indexOf(
@@ -319,12 +319,12 @@
         arrays(site, 6)
         site.run(60.0)
         assertTrue(site.completions >= 30, "${site.completions} tasks done without the peer link")
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [91, 92, 93])
-    fun `a controller that hears none of its workers gives them up before their leases run out`(seed: Long) {
+    fun `a controller that hears none of its workers releases them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         services(site, 12)
         site.run(40.0)
@@ -340,14 +340,14 @@
         site.cutController(node, "workers")
         site.run(30.0)
         assertEquals(running, site.runningTasks().mapValues { it.value.name })
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     // ---- standing still: its guard is broken above, by a clock that lets a controller act for too long ----
 
     @ParameterizedTest
     @ValueSource(longs = [101, 102, 103, 104, 105, 106])
-    fun `a controller that stands still while its clock runs on breaks nothing when it goes on`(seed: Long) {
+    fun `a controller that is paused while its clock runs on breaks no rule when it resumes`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3, scale = SiteScale(machinesPerZone = 6))
         val random = site.sim.random
         services(site, 6)
@@ -365,31 +365,31 @@
             }
         }
         site.run(110.0)
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     // ---- a zone cut off ----
 
     @ParameterizedTest
     @ValueSource(longs = [111, 112, 113, 114])
-    fun `a zone cut off for longer than leases, while a controller outside ends, breaks nothing`(seed: Long) {
+    fun `a zone partitioned for longer than leases, while a controller outside crashes, breaks no rule`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         services(site, 10, tasks = 2)
         arrays(site, 14)
         site.run(35.0)
-        val before = site.machinesRented
+        val before = site.machinesLaunched
         site.cutZone(SimSite.ZONES[1])
         site.sim.after(4_000.0 + site.sim.random.nextInt(8_000)) { site.crash(2 * site.sim.random.nextInt(3), 3000.0) }
         site.sim.after(6_000.0) { site.cancel(JobId("job-503")) }
         site.run(35.0)
         site.heal()
         site.run(60.0)
-        assertTrue(site.machinesRented - before <= 40, "${site.machinesRented - before} machines rented for a cut")
-        assertKept(site)
+        assertTrue(site.machinesLaunched - before <= 40, "${site.machinesLaunched - before} machines rented for a cut")
+        assertRulesHold(site)
     }
 
     @Test
-    fun `a zone cut off keeps its tasks while its controllers may answer, and nothing of them runs elsewhere`() {
+    fun `a partitioned zone keeps its tasks while its controllers may answer, and none of them runs elsewhere`() {
         val site = SimSite(Simulation(115), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         services(site, 12)
         site.run(40.0)
@@ -404,12 +404,12 @@
         site.heal()
         site.run(15.0)
         assertEquals(kept, site.runningTasks().filterKeys { it in kept }.mapValues { it.value.name })
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [116, 117, 118])
-    fun `who takes a cut zone over waits until its owners have stopped answering`(seed: Long) {
+    fun `the successor of a partitioned zone's owners waits until they have stopped answering`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 3 else 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         services(site, 12)
         site.run(40.0)
@@ -422,13 +422,14 @@
         site.run(80.0)
         // By now all of it runs once more, on machines that replace the unheard.
         assertEquals(48, site.runningTasks().size)
-        assertKept(site)
+        assertRulesHold(site)
     }
 
     @Test
-    fun `the referee sees a taker-over that does not reckon with answers after the session lease`() {
+    fun `the referee sees a successor that ignores answers given after the session lease`() {
         // The others are told a shorter staleness limit than the zone's controllers keep to.
-        val site = SimSite(Simulation(119), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0), outsideLimitS = 6.0)
+        val scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
+        val site = SimSite(Simulation(119), nodes = 5, scale = scale, stalenessLimitOverrideS = 6.0)
         // What may be stopped for the services leaves room for them at once.
         site.submit(SimSite.job(1, tasks = 50, spot = false)) { 600.0 }
         services(site, 12)
--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -131,7 +131,7 @@
     seed,
     observer,
     faults = listOf(SiteFault.MACHINE_KILLED, SiteFault.MACHINES_HANG, SiteFault.MACHINE_REBOOTED, SiteFault.MACHINES_MUTED),
-    prepare = { bootFactor = ::bootFactorOf },
+    prepare = { bootTimeFactor = ::bootFactorOf },
 )
 
 /** Two faults of any kind at a time. */
@@ -143,8 +143,8 @@
     for (shape in PipelinesTest.Shape.entries) {
         val site = SimSite(Simulation(seed + shape.ordinal * SEEDS_APART), endedBefore = 2, wireObserver = observer)
         shape.jobs.forEach { number ->
-            val awaits = shape.awaits[number].orEmpty().map(::id) + JobId("job-${SimSite.ENDED_FROM}")
-            site.submit(SimSite.job(number, tasks = 2, etaS = 8.0), awaits) { 8.0 }
+            val dependencies = shape.dependencies[number].orEmpty().map(::id) + JobId("job-${SimSite.FIRST_ENDED_JOB}")
+            site.submit(SimSite.job(number, tasks = 2, etaS = 8.0), dependencies) { 8.0 }
         }
         site.after(12.0 + site.sim.random.nextDouble() * 20) {
             site.cancel(
@@ -238,7 +238,7 @@
         site.after(random.nextDouble() * 8.0) { site.cancel(id(1 + random.nextInt(20))) }
         site.run(15.0)
     }
-    site.network.copyOneIn = 0
+    site.network.duplicateOneIn = 0
     site.recover(90.0)
 }
 
--- a/src/test/kotlin/copperglade/sim/CatchUpTest.kt
+++ b/src/test/kotlin/copperglade/sim/CatchUpTest.kt
@@ -29,14 +29,14 @@
     }
 
     @Test
-    fun `a controller that can't take in what it missed loads the records anew`() {
+    fun `a controller that can't apply the changes it missed reloads all records`() {
         val site = SimSite(Simulation(81))
         site.awayForLong(node = 1)
         var answered = 0
         site.requestAt(1, Request(Method.GET, "/submissions/${JobId("job-1")}")) { if (it?.status == 200) answered++ }
         site.run(5.0)
         assertTrue(answered > 0, "it knows nothing new for good")
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/MeetingSteps.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
@@ -30,7 +30,7 @@
     jobs.forEach(site::cancel)
     site.run(withinS)
     assertTrue(site.confirmedCancellations > before, "no cancellation was confirmed")
-    return jobs.filter { site.users.getValue(it).cancelledAt != null }
+    return jobs.filter { site.users.getValue(it).cancelledAtMs != null }
 }
 
 /** Jobs that have tasks on machines whose workers report to [node]. */
--- a/src/test/kotlin/copperglade/sim/MeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
@@ -11,26 +11,26 @@
 
 /**
  * Two troubles that meet, each brought about on purpose: a test first shows that they met, then that no rule broke.
- * `docs/meetings.md` lists them.
+ * `docs/compound-faults.md` lists them.
  */
-class MeetingsTest {
+class CompoundFaultTest {
     /**
      * The leader is refused alone, others confirm cancellations, then the state service is down for all for longer than a
      * cancellation may take, while workers report to the old leader.
      */
-    private fun gap(site: SimSite, told: Boolean, leader: Int) {
+    private fun refuseLeaderThenEverybody(site: SimSite, peersInformed: Boolean, leader: Int) {
         val cancelled = onMachinesOf(site, leader)
         assertTrue(cancelled.size > 1, "it has no such tasks")
         val refusals = site.network.refusals
         site.refuseController(leader)
-        if (!told) site.cutPeers()
+        if (!peersInformed) site.cutPeers()
         site.run(0.6)
         val confirmed = cancelAndConfirm(site, cancelled, withinS = 1.4)
         assertTrue(site.network.refusals > refusals, "the leader was not refused")
         val outage = site.state.refusedInOutage
         site.state.outage = true
         site.run(3.0)
-        if (!told) assertTrue(runningOf(site, confirmed) > 0, "the old leader's workers had heard of it")
+        if (!peersInformed) assertTrue(runningOf(site, confirmed) > 0, "the old leader's workers had heard of it")
         site.sim.after(12_000.0) { site.serveController(leader) }
         site.run(SimSite.CANCEL_S + 6.0)
         assertTrue(site.state.refusedInOutage > outage, "nobody met the outage")
@@ -41,22 +41,22 @@
 
     @ParameterizedTest
     @CsvSource("201,true", "202,true", "203,false", "204,false", "205,false", "206,false")
-    fun `what is cancelled while the leader alone is refused is gone in time, though all are refused then`(seed: Long, told: Boolean) {
+    fun `cancelled tasks end in time when the state service refuses the leader, then everybody`(seed: Long, peersInformed: Boolean) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
-        gap(site, told, site.leader()!!)
+        refuseLeaderThenEverybody(site, peersInformed, site.leader()!!)
 
         // Once more, as soon as somebody leads again: what is known may be only partly caught up.
         fun busiest() = (0 until site.nodes).maxBy { onMachinesOf(site, it).size }
         site.await(60.0) { site.leader() != null && onMachinesOf(site, busiest()).size > 1 }
-        gap(site, told, busiest())
-        site.assertKept()
+        refuseLeaderThenEverybody(site, peersInformed, busiest())
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [208, 209, 210])
-    fun `who has been granted a block but can't read what was written there ends what is cancelled all the same`(seed: Long) {
+    fun `a new shard owner that can't read the shard's records still ends cancelled tasks`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
@@ -79,14 +79,14 @@
         assertTrue(runningOf(site, confirmed) > 0, "they were gone already")
         site.run(SimSite.CANCEL_S + 6.0)
         assertEquals(0, runningOf(site, confirmed))
-        site.assertKept(200.0)
+        site.assertRulesHold(200.0)
     }
 
     @Test
-    fun `the referee sees an owner that acts for too long on what it knew`() {
+    fun `the referee sees an owner that acts on stale state for too long`() {
         // Told that cancellations have twice the time, owners keep their workers' leases going for longer.
         val scale = SiteScale(machinesPerZone = 4, teamCpus = 250.0)
-        val site = SimSite(Simulation(207), scale = scale, toldCancelS = 2 * SimSite.CANCEL_S)
+        val site = SimSite(Simulation(207), scale = scale, configuredCancelS = 2 * SimSite.CANCEL_S)
         longArrays(site, tasks = 2, workS = 300.0)
         site.run(30.0)
         val leader = site.leader()!!
@@ -102,7 +102,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [211, 212, 213])
-    fun `all controllers are away for longer than the workers' leases`(seed: Long) {
+    fun `all controllers are down for longer than the workers' leases`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.services(4)
         site.arrays(10)
@@ -120,12 +120,12 @@
                 .filter { it.job.text.length == 7 }
                 .toSet(),
         )
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [221, 222, 223, 224])
-    fun `jobs of two or three tasks end far apart across changes of leader`(seed: Long) {
+    fun `tasks of small jobs end far apart across changes of leader`(seed: Long) {
         val site = SimSite(Simulation(seed))
         repeat(12) { number ->
             site.submit(SimSite.job(number + 1, tasks = 2 + number % 2)) { task -> 12.0 + 22.0 * task + number }
@@ -139,12 +139,12 @@
         }
         assertTrue(leaders.filterNotNull().size >= 4, "leaders: $leaders")
         assertTrue(site.completions in 6..28, "${site.completions} tasks had ended by then")
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [231, 232, 233, 234])
-    fun `the state service is slow, refuses the leader, then everybody, while users cancel and ask`(seed: Long) {
+    fun `the state service is slow, refuses the leader, then everybody, while users cancel and poll`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 12, tasks = 2)
         site.arrays(8, first = 50)
@@ -162,12 +162,12 @@
         repeat(20) { site.sim.after(it * 700.0) { site.oddRequest() } }
         (7..9).forEach { site.cancel(id(it)) }
         site.run(SimSite.CANCEL_S + 5.0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [241, 242, 243, 244])
-    fun `jobs bound to one zone, arrays too, lose machines`(seed: Long) {
+    fun `jobs constrained to one zone lose machines`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 3, teamCpus = 200.0))
         val zone = SimSite.ZONES[(seed % 2).toInt()]
         repeat(6) { number ->
@@ -197,14 +197,14 @@
         }
         site.run(14.0)
         assertTrue(site.leasesOrMachinesLost > 0 && before > 0, "no machine was lost")
-        site.assertKept(150.0)
+        site.assertRulesHold(150.0)
     }
 
     private fun <T> List<T>.randomOrNull(site: SimSite): T? = if (isEmpty()) null else this[site.sim.random.nextInt(size)]
 
     @ParameterizedTest
     @ValueSource(longs = [251, 252, 253, 254, 255, 256, 258, 259])
-    fun `transactions without an answer are carried out late, after newer ones`(seed: Long) {
+    fun `transactions of unknown outcome are applied late, after newer ones`(seed: Long) {
         val site = SimSite(Simulation(seed))
         // Small values: many packed records, and pages that go from one to another.
         repeat(24) { number ->
@@ -224,12 +224,12 @@
         )
         // Whoever loads the records now must come to the same answers.
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
-        site.assertKept(150.0)
+        site.assertRulesHold(150.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [261, 262, 263])
-    fun `leaders change ten times in two minutes, also inside an outage`(seed: Long) {
+    fun `the leader changes ten times in two minutes, also during an outage`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3)
         site.services(4)
         site.arrays(20)
@@ -247,6 +247,6 @@
             site.run(8.5)
         }
         assertTrue(leaders.size >= 10, "${leaders.size} leaders")
-        site.assertKept()
+        site.assertRulesHold()
     }
 }
--- a/src/test/kotlin/copperglade/sim/FaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -11,11 +11,11 @@
  * other and are cancelled. A controller that went on after that would act on records of which a part never reached the parts of it
  * that decide.
  */
-class FaultsTest {
+class ControllerFaultTest {
     @ParameterizedTest
     @MethodSource("anywhereSeeds")
     fun `no rule is broken where decisions end in faults`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
         val random = site.sim.random
         repeat(JOBS) { number ->
             site.sim.after(number * 2_000.0) {
@@ -36,7 +36,7 @@
             site.run(FAULT_INTERVAL_S)
         }
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
     }
 
     /**
@@ -45,8 +45,8 @@
      */
     @ParameterizedTest
     @MethodSource("halvesSeeds")
-    fun `no rule is broken where cancellations are taken in by halves`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
+    fun `no rule is broken where cancellations are only partly applied`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
         val random = site.sim.random
         var faults = 0
         site.fails = { task, _ -> task.job.isFailing() }
@@ -65,9 +65,9 @@
             }
         }
         // Many cancellations come at the moment at which another job ends, so that one reading tells of both.
-        site.whenComplete = { ended ->
+        site.onJobComplete = { ended ->
             val next = cancelled.firstOrNull {
-                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelAskedAt == null }
+                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMs == null }
                     ?: false
             }
             if (next != null) site.sim.after(random.nextInt(600).toDouble()) { site.cancel(JobId("job-$next")) }
@@ -77,7 +77,7 @@
         site.run(20.0)
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
         site.network.tamperAnswer = { _, _, reply -> reply }
-        site.assertKept(400.0)
+        site.assertRulesHold(400.0)
     }
 
     /**
@@ -86,8 +86,8 @@
      */
     @ParameterizedTest
     @MethodSource("releaseSeeds")
-    fun `no job is left behind where releasing another ends in a fault`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
+    fun `no job is left waiting where releasing another ends in a fault`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
         val random = site.sim.random
         var faults = 0
         site.onReadingsOf(CANCELLED_MARK, OUTCOME_RECORD) { node ->
@@ -102,7 +102,7 @@
             }
         }
         // Each fourth job is cancelled at about the moment at which the end of the one before it is written down.
-        site.whenComplete = { ended ->
+        site.onJobComplete = { ended ->
             val number = ended.spec.id.text
                 .substringAfter('-')
                 .toInt()
@@ -112,14 +112,14 @@
         (1 until JOBS step 4).forEach { site.cancel(JobId("job-$it")) }
         site.run(80.0)
         site.network.tamperAnswer = { _, _, reply -> reply }
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
     }
 
     /** Jobs that fail on every machine are cancelled while their tasks wait for the next try, and that is taken in by halves. */
     @ParameterizedTest
     @MethodSource("retrySeeds")
-    fun `no task of a cancelled job is tried again after a fault`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), takesFaults = true)
+    fun `no task of a cancelled job is retried after a fault`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
         val random = site.sim.random
         val faulty = HashSet<Int>()
         site.fails = { task, _ -> task.job.isFailing() }
@@ -138,7 +138,7 @@
         site.run(60.0)
         assertTrue(faulty.isNotEmpty() && site.confirmedCancellations > 0)
         site.network.tamperAnswer = { _, _, reply -> reply }
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
     }
 
     /** Calls [then] with a controller's number just before that gets a reading of the state service that has all the [parts] in it. */
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -58,7 +58,7 @@
         site.await(40.0) { site.runningTasks().keys.any { it.job == JobId("job-1") } }
         site.assignEverywhere(JobId("job-2"))
         site.run(15.0)
-        assertTrue(site.users.getValue(JobId("job-1")).completedAt == null, "the first job was over too soon for this test")
-        site.assertKept()
+        assertTrue(site.users.getValue(JobId("job-1")).completedAtMs == null, "the first job was over too soon for this test")
+        site.assertRulesHold()
     }
 }
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -28,7 +28,7 @@
 
     private fun SimSite.cancelFailing() = failing.forEach(::cancel)
 
-    private fun SimSite.soundJobsDone() = users.values.count { it.work(0) != null && it.spec.id !in failing && it.told == "done" }
+    private fun SimSite.soundJobsDone() = users.values.count { it.work(0) != null && it.spec.id !in failing && it.status == "done" }
 
     private fun failingStarts(site: SimSite) = failing.maxOf { site.startsOf[it] ?: 0 }
 
@@ -38,20 +38,20 @@
         val site = siteWithFailingJobs(seed)
         site.run(75.0)
         val machines = site.workerNames()
-        val rented = site.machinesRented
+        val rented = site.machinesLaunched
         site.run(60.0)
         assertEquals(16, site.soundJobsDone(), "sound jobs done")
-        assertEquals(rented, site.machinesRented, "machines were rented in place of sound ones")
+        assertEquals(rented, site.machinesLaunched, "machines were rented in place of sound ones")
         assertTrue(site.workerNames().all { it in machines }, "machines were replaced")
         assertTrue(failingStarts(site) < 60, "${failingStarts(site)} starts of one mistaken job")
-        assertTrue(failing.all { site.users.getValue(it).told in listOf("queued", "running") })
+        assertTrue(failing.all { site.users.getValue(it).status in listOf("queued", "running") })
         site.cancelFailing()
-        site.assertKept()
-        assertTrue(failing.all { site.users.getValue(it).told == "aborted" })
+        site.assertRulesHold()
+        assertTrue(failing.all { site.users.getValue(it).status == "aborted" })
     }
 
     @Test
-    fun `without telling mistaken jobs from machines, sound machines are replaced`() {
+    fun `without telling failing jobs from faulty machines, healthy machines are replaced`() {
         val site = siteWithFailingJobs(2404, OperatorSettings(failingJobMachineThreshold = 1_000))
         site.run(75.0)
         val machines = site.workerNames()
@@ -61,7 +61,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2411, 2412, 2413])
-    fun `a faulty machine is told from its jobs and gets no more of them, also beside mistaken jobs`(seed: Long) {
+    fun `a faulty machine is told from its jobs and gets no more tasks, also among failing jobs`(seed: Long) {
         val site = siteWithFailingJobs(seed)
         site.run(20.0)
         val faulty = site
@@ -75,7 +75,7 @@
         val after = site.startsOn.getValue(faulty) - before
         assertTrue(after < 25, "$after starts on $faulty")
         site.cancelFailing()
-        site.assertKept()
+        site.assertRulesHold()
         assertEquals(16, site.soundJobsDone())
     }
 
@@ -94,14 +94,14 @@
                 .getValue(partly)
                 .doneTasks.size,
         )
-        assertEquals("running", site.users.getValue(partly).told)
+        assertEquals("running", site.users.getValue(partly).status)
         site.cancel(partly)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [2431, 2432, 2433])
-    fun `a mistaken job is known to be one when the leader and the owners change, and may be mended`(seed: Long) {
+    fun `a failing job stays known when the leader and the owners change, and may recover`(seed: Long) {
         val site = siteWithFailingJobs(seed)
         site.run(40.0)
         (0 until site.nodes).forEach { site.crash(it, 500.0 + site.sim.random.nextInt(4000)) }
@@ -112,7 +112,7 @@
         // What made it fail is gone: a task on trial is completed, and then the others run.
         site.fails = { _, _ -> false }
         site.run(75.0)
-        site.assertKept()
+        site.assertRulesHold()
         assertEquals(16, site.soundJobsDone())
     }
 
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -50,7 +50,7 @@
         val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 120.0, "$perMachine messages a machine in 30 s")
         site.run(60.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
         val unfinished = site.users.values.count { it.work(0) != null && !it.finished }
         assertEquals(0, unfinished, "arrays that never ended")
@@ -61,7 +61,7 @@
      * reports come late.
      */
     @Test
-    fun `four thousand machines from nothing, a leader's end, and half of them lost at once`() {
+    fun `a scale-out to four thousand machines, a leader's crash, and half of them lost at once`() {
         val huge = SiteScale(
             machinesPerZone = 1000,
             heartbeatIntervalSeconds = 6.0,
@@ -88,15 +88,15 @@
         // Reports, the commands that follow, polls, and little beside: nothing grows faster than the fleet.
         val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 60.0, "$perMachine messages a machine in 20 s")
-        site.network.copyOneIn = 4
+        site.network.duplicateOneIn = 4
         site.run(10.0)
         repeat(site.workerCount() / 2) { site.killMachine(it) }
         val left = site.workerCount()
         site.run(60.0)
-        site.network.copyOneIn = 0
-        assertTrue(site.network.copiesDelivered > left, "${site.network.copiesDelivered} copies")
+        site.network.duplicateOneIn = 0
+        assertTrue(site.network.duplicatesDelivered > left, "${site.network.duplicatesDelivered} copies")
         site.run(200.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
         assertEquals(0, site.users.values.count { it.work(0) != null && !it.finished }, "arrays that never ended")
         assertEquals(1500, site.runningTasks().keys.count { it.job.text.length == "job-10000".length })
@@ -118,7 +118,7 @@
         site.heal()
         hanging.forEach { it.resume() }
         site.run(130.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
         assertEquals(
             emptyList<JobId>(),
--- a/src/test/kotlin/copperglade/sim/LongDependencyListsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LongDependencyListsTest.kt
@@ -12,15 +12,15 @@
 class LongDependencyListsTest {
     private val site = SimSite(Simulation(2401), scale = SiteScale(valueKb = 0.7), endedBefore = ENDED)
 
-    private fun answerTo(number: Int, awaits: List<JobId>): Reply {
+    private fun answerTo(number: Int, dependencies: List<JobId>): Reply {
         var answer: Reply? = null
-        site.request(Request(Method.POST, "/submissions", submissionBody(SimSite.job(number, tasks = 1), awaits))) { answer = it }
+        site.request(Request(Method.POST, "/submissions", submissionBody(SimSite.job(number, tasks = 1), dependencies))) { answer = it }
         site.await(3.0) { answer != null }
         return answer!!
     }
 
     @Test
-    fun `a list that does not fit is refused with 400 that names the field, never accepted and lost`() {
+    fun `a dependency list that does not fit is refused with 400 that names the field`() {
         val running = (1..LIVE).map { JobId("job-$it") }
         running.forEach { id -> site.submit(SimSite.job(id.text.removePrefix("job-").toInt(), tasks = 1, cpus = 0.1)) { 60.0 } }
         site.await(60.0) { running.all { site.users.getValue(it).accepted } }
@@ -31,9 +31,9 @@
     }
 
     @Test
-    fun `jobs that are done take no room in the record`() {
+    fun `jobs that are done take no space in the record`() {
         site.run(10.0)
-        val done = (0 until ENDED).map { JobId("job-${SimSite.ENDED_FROM + it}") }
+        val done = (0 until ENDED).map { JobId("job-${SimSite.FIRST_ENDED_JOB + it}") }
         assertEquals(201, answerTo(902, done).status)
     }
 
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -85,7 +85,7 @@
         assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
         val appliedBefore = site.state.applied
         site.lowerLimits()
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
         val refusals = site.state.limitRefusals
         println("seed $seed: ${site.state.applied - appliedBefore} applied, refused: $refusals, largest ${site.largestPackedRecord()}")
         assertEquals(0, refusals.malformed, "$refusals")
@@ -93,7 +93,7 @@
     }
 
     @Test
-    fun `controllers that were not told are refused`() {
+    fun `controllers that don't know the lowered limits are refused`() {
         val site = site(2001)
         site.work()
         site.run(45.0)
@@ -116,7 +116,7 @@
             site.run(12.0)
             site.killMachine(random.nextInt(site.workerCount()))
         }
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
         val refusals = site.state.limitRefusals
         println("seed $seed: ${site.state.applied} applied, refused: $refusals")
         assertEquals(0, refusals.malformed, "$refusals")
--- a/src/test/kotlin/copperglade/sim/MessageMeetingsTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** Two troubles at once: messages, answers and reports that are held up, lost or late, and machines that can't be reached. */
-class MessageMeetingsTest {
+class MessageReorderingTest {
     @ParameterizedTest
     @ValueSource(longs = [271, 272, 273, 274])
-    fun `commands and their answers are held up for seconds, and machines hang and go on`(seed: Long) {
+    fun `commands and their answers are delayed for seconds, and machines hang and resume`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
         site.services(3)
@@ -27,12 +27,12 @@
         }
         assertTrue(site.network.delayed > 20, "${site.network.delayed} held up")
         assertTrue(site.confirmedCancellations > 0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [281, 282, 283, 284])
-    fun `a leader is left with workers and users while jobs are cancelled through the next one`(seed: Long) {
+    fun `an isolated leader keeps workers and users while jobs are cancelled through its successor`(seed: Long) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(30.0)
@@ -43,12 +43,12 @@
         site.run(SimSite.CANCEL_S + 5.0)
         assertTrue(site.leader() != former)
         assertEquals(0, runningOf(site, confirmed))
-        site.assertKept(200.0)
+        site.assertRulesHold(200.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [291, 292, 293, 294])
-    fun `a team is at its limit when the leader changes, some machines can't be asked, and a job is cancelled`(seed: Long) {
+    fun `a team is at its limit when the leader changes, a machine is unreachable, and a job is cancelled`(seed: Long) {
         val site = wide(seed, teamCpus = 100.0)
         longArrays(site, jobs = 10, tasks = 4, workS = 40.0)
         site.run(25.0)
@@ -59,15 +59,15 @@
         site.run(0.5)
         cancelAndConfirm(site, listOf(busy.key.job), withinS = 9.0)
         site.run(SimSite.LEASE_S + 8.0)
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [301, 302, 303, 304])
-    fun `old reports arrive after newer ones, also of earlier sessions and attempts`(seed: Long) {
+    fun `old heartbeats arrive after newer ones, also of earlier epochs and attempts`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.network.copyOneIn = 2
-        site.network.latestCopyMs = (SimSite.LEASE_S * 2500).toInt()
+        site.network.duplicateOneIn = 2
+        site.network.maxDuplicateDelayMs = (SimSite.LEASE_S * 2500).toInt()
         site.services(4)
         site.arrays(14)
         site.run(20.0)
@@ -79,22 +79,22 @@
             if (turn == 1) site.leader()?.let { site.crash(it, 200.0) }
             site.run(5.0)
         }
-        assertTrue(site.network.copiesDelivered > 50)
+        assertTrue(site.network.duplicatesDelivered > 50)
         assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [311, 312, 313, 314, 315, 316])
-    fun `cancellations, questions and repeats meet the end of a job's last task`(seed: Long) {
+    fun `cancellations, polls and repeated submissions race with the end of a job's last task`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.knowsAtOnce = true
+        site.cancellationsKnownImmediately = true
         val random = site.sim.random
-        var met = 0
-        site.whenComplete = { user ->
+        var raced = 0
+        site.onJobComplete = { user ->
             repeat(3) {
                 site.sim.after(random.nextInt(250).toDouble()) {
-                    met++
+                    raced++
                     when (random.nextInt(3)) {
                         0 -> site.cancel(user.spec.id)
                         1 -> site.repeat(user)
@@ -105,10 +105,10 @@
         }
         repeat(40) { number -> site.sim.after(number * 1100.0) { site.submit(SimSite.job(number + 1, tasks = 1 + number % 4)) { 3.0 } } }
         site.run(80.0)
-        assertTrue(met >= 100, "$met met an end")
-        assertTrue(site.users.values.any { it.cancelAskedAt != null && it.told == "done" })
-        assertTrue(site.users.values.any { it.cancelAskedAt != null && it.told == "aborted" })
-        site.assertKept()
+        assertTrue(raced >= 100, "$raced met an end")
+        assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "done" })
+        assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "aborted" })
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
@@ -119,19 +119,19 @@
         site.arrays(16)
         site.run(30.0)
         val muted = site.workerNames().filterIndexed { index, _ -> index % 3 == 0 }
-        site.mute(muted)
+        site.loseRequestsFrom(muted)
         site.run(4.0)
         (1..4).forEach { site.cancel(id(it * 3)) }
         site.run(SimSite.LEASE_S + 8.0)
         assertTrue(site.network.lost > 3)
         assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
         site.run(15.0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [331, 332, 333, 334])
-    fun `answers and commands to machines are lost while their reports arrive, and jobs are cancelled`(seed: Long) {
+    fun `answers and commands to machines are lost while their heartbeats arrive, and jobs are cancelled`(seed: Long) {
         val site = wide(seed)
         site.services(6)
         longArrays(site, jobs = 8, tasks = 3)
@@ -144,12 +144,12 @@
         site.run(SimSite.CANCEL_S)
         assertTrue(site.network.lost > 10)
         assertEquals(0, runningOf(site, confirmed))
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [341, 342, 343, 344])
-    fun `a report is held back until a new leader has acted, and then arrives there`(seed: Long) {
+    fun `a heartbeat is held back until a new leader has acted, and then arrives there`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.services(4)
         site.arrays(14)
@@ -163,12 +163,12 @@
         assertTrue(site.state.text(Keys.LEADER) != before && site.leader() != null, "no new leader")
         site.heal()
         site.run(20.0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [351, 352, 353, 354])
-    fun `controllers hand over and back, all end, and one returns, also within a second`(seed: Long) {
+    fun `leadership passes back and forth, all controllers crash, and one restarts within a second`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
         site.services(4)
@@ -183,12 +183,12 @@
             site.crash(leader, 200.0)
             site.run(14.0)
         }
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [361, 362])
-    fun `there is more work than room, urgent and not, over slow links`(seed: Long) {
+    fun `demand of urgent and normal work exceeds capacity over slow links`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 500.0))
         site.network.delayMs = { 40.0 + site.sim.random.nextInt(260) }
         repeat(50) { number ->
@@ -206,12 +206,12 @@
         assertTrue(site.network.delayed > 1000)
         val waiting = site.users.values.sumOf { it.spec.tasks } - site.completions - site.runningTasks().size
         assertTrue(waiting > 100, "$waiting tasks wait")
-        site.assertKept(260.0)
+        site.assertRulesHold(260.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [371, 372, 373, 374])
-    fun `a leader ends while machines with long tasks can't be reached, or don't hear the next one's answer`(seed: Long) {
+    fun `a leader crashes while machines with long tasks are unreachable or lose its successor's answers`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 4, workS = 60.0)
         site.run(25.0)
@@ -229,12 +229,12 @@
         site.run(SimSite.LEASE_S + 12.0)
         assertTrue(site.network.lost > 0)
         assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
-        site.assertKept(200.0)
+        site.assertRulesHold(200.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [381, 382, 383, 384])
-    fun `jobs are called off together while their machines hang`(seed: Long) {
+    fun `jobs are cancelled together while their machines hang`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(28.0)
@@ -247,20 +247,20 @@
         machines.forEach { it.resume() }
         site.run(SimSite.CANCEL_S)
         assertEquals(0, runningOf(site, confirmed))
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [391, 392])
-    fun `users send odd requests all the while, and controllers know at once of what is cancelled`(seed: Long) {
+    fun `users send odd requests while controllers learn of cancellations immediately`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.knowsAtOnce = true
+        site.cancellationsKnownImmediately = true
         site.arrays(20, tasks = 4)
         site.run(10.0)
         repeat(150) { site.sim.after(it * 400.0) { site.oddRequest() } }
         repeat(8) { site.sim.after(5000.0 + it * 5000.0) { site.cancel(id(2 + it * 2)) } }
         site.run(70.0)
         assertTrue(site.confirmedCancellations > 0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 }
--- a/src/test/kotlin/copperglade/sim/GuestsAndCrowdsTest.kt
+++ b/src/test/kotlin/copperglade/sim/OverloadTest.kt
@@ -12,41 +12,45 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** Teams without a guarantee with huge arrays and swarms of tiny jobs, users who ask many times as often, and late machines. */
-class GuestsAndCrowdsTest {
-    private val guest = TeamName("guest")
+class OverloadTest {
+    private val bestEffortTeam = TeamName("guest")
     private val scale = SiteScale(machinesPerZone = 10, teamCpus = 400.0, guaranteedCpus = 200.0, valueKb = 4.0)
 
     private fun site(seed: Long, nodes: Int = 3) =
-        SimSite(Simulation(seed), nodes = nodes, scale = scale, otherTeam = Team(guest, 0.0, 200.0, 0.0, 0.0))
+        SimSite(Simulation(seed), nodes = nodes, scale = scale, otherTeam = Team(bestEffortTeam, 0.0, 200.0, 0.0, 0.0))
 
     /** The usual team's work is as good as without guests; a huge array and a swarm are served all the same. */
     @ParameterizedTest
     @ValueSource(longs = [2601, 2602, 2603])
-    fun `a huge array and a swarm of tiny jobs of guests are served beside guaranteed work`(seed: Long) {
+    fun `a best-effort team's huge array and burst of tiny jobs are served without delaying guaranteed work`(seed: Long) {
         val site = site(seed)
         site.services(6)
-        site.submit(SimSite.job(900, tasks = 5000, cpus = 0.25, team = guest, priority = "best_effort", dueS = null, etaS = 3.0)) { 3.0 }
+        val hugeArray =
+            SimSite.job(900, tasks = 5000, cpus = 0.25, team = bestEffortTeam, priority = "best_effort", dueS = null, etaS = 3.0)
+        site.submit(hugeArray) { 3.0 }
         site.run(10.0)
         site.arrays(20)
         repeat(300) { number ->
             site.sim.after(number * 100.0) {
-                site.submit(SimSite.job(1000 + number, tasks = 1, cpus = 1.0, team = guest, priority = "best_effort", dueS = null)) { 2.0 }
+                val tinyJob =
+                    SimSite.job(1000 + number, tasks = 1, cpus = 1.0, team = bestEffortTeam, priority = "best_effort", dueS = null)
+                site.submit(tinyJob) { 2.0 }
             }
         }
         val ended = HashMap<JobId, Double>()
-        site.whenComplete = { ended[it.spec.id] = (site.sim.nowMs - it.askedAt) / 1000 }
+        site.onJobComplete = { ended[it.spec.id] = (site.sim.nowMs - it.requestedAtMs) / 1000 }
         if (seed % 2 == 0L) site.sim.after(20_000.0) { site.leader()?.let { site.crash(it, 1500.0) } }
         site.run(110.0)
-        val late = (1..20).map { JobId("job-$it") }.filter { (ended[it] ?: Double.MAX_VALUE) > LATEST_S }
+        val late = (1..20).map { JobId("job-$it") }.filter { (ended[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_S }
         assertTrue(late.size <= 2, "late beside guests: $late")
-        site.assertKept(260.0)
-        assertEquals(1, site.users.values.count { it.spec.id == JobId("job-900") && it.told == "done" })
+        site.assertRulesHold(260.0)
+        assertEquals(1, site.users.values.count { it.spec.id == JobId("job-900") && it.status == "done" })
     }
 
     /** Each job's user asks every controller ten times a second: everybody is answered, and nothing else suffers. */
     @ParameterizedTest
     @ValueSource(longs = [2611, 2612])
-    fun `users who ask many times as often are answered, and reports and submissions with them`(seed: Long) {
+    fun `users who poll far more often are answered, and heartbeats and submissions are not delayed`(seed: Long) {
         val site = site(seed)
         site.services(6)
         site.run(25.0)
@@ -73,16 +77,16 @@
         val readsPerS = (site.state.reads - reads) / 22.0
         assertTrue(readsPerS < scale.stateRequestsPerSecond, "$readsPerS readings a second")
         assertEquals(running, site.runningTasks().filterKeys { it in running }.mapValues { it.value.name })
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     /** Machines that never come up are replaced, and late ones used or returned, without renting for the same demand again and again. */
     @ParameterizedTest
     @ValueSource(longs = [2621, 2622, 2623])
-    fun `machines that come up late or never are replaced, not waited for`(seed: Long) {
+    fun `machines that boot late or never are replaced`(seed: Long) {
         val site = site(seed)
         // Of the first machines some take five times as long, and the others never come up.
-        site.bootFactor = { number ->
+        site.bootTimeFactor = { number ->
             if (number > 4) {
                 1.0
             } else if (number % 3 == 0) {
@@ -95,12 +99,12 @@
         site.arrays(6)
         // Only what the cloud gives up as dead is replaced otherwise, after 38 s.
         site.await(30.0) { site.runningTasks().keys.count { it.job.text >= "job-500" } >= 16 }
-        assertTrue(site.machinesRented <= 16, "${site.machinesRented} machines rented")
-        site.assertKept()
+        assertTrue(site.machinesLaunched <= 16, "${site.machinesLaunched} machines rented")
+        site.assertRulesHold()
     }
 
     private companion object {
         /** From submission to the end of the last task, where nobody else is served. */
-        const val LATEST_S = 40.0
+        const val MAX_COMPLETION_S = 40.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineReferee.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineReferee.kt
@@ -8,9 +8,9 @@
 import copperglade.protocol.TaskId
 
 /** A submission in the users' wire form, with the jobs that it waits for; the field is left out where there are none. */
-fun submissionBody(spec: JobSpec, awaits: List<JobId>): ByteArray {
+fun submissionBody(spec: JobSpec, dependencies: List<JobId>): ByteArray {
     val root = Json.read(Json.write { JobSpecCodec.write(this, spec) }) as ObjectNode
-    if (awaits.isNotEmpty()) root.putArray("awaits").also { names -> awaits.forEach { names.add(it.text) } }
+    if (dependencies.isNotEmpty()) root.putArray("awaits").also { names -> dependencies.forEach { names.add(it.text) } }
     return root.toString().toByteArray()
 }
 
@@ -30,69 +30,69 @@
 
     /** All jobs that [user]'s job needs, directly or through others. They were submitted before it, so the set is final. */
     private fun predecessorsOf(user: SimSite.User): Set<SimSite.User> = predecessors[user.spec.id] ?: run {
-        val direct = user.awaits.mapNotNull { users[it] }
+        val direct = user.dependencies.mapNotNull { users[it] }
         val all = direct + direct.flatMap { predecessorsOf(it) }
         all.toSet().also { predecessors[user.spec.id] = it }
     }
 
     /** When the last job that [user]'s needs had its last task done, or the time of submission; null while it is blocked. */
-    fun releasedAt(user: SimSite.User): Double? =
-        predecessorsOf(user).maxOfOrNull { it.completedAt ?: return null }?.let { maxOf(it, user.askedAt) } ?: user.askedAt
+    fun releasedAtMs(user: SimSite.User): Double? =
+        predecessorsOf(user).maxOfOrNull { it.completedAtMs ?: return null }?.let { maxOf(it, user.requestedAtMs) } ?: user.requestedAtMs
 
     /**
      * When [user] was told that the job, or one that it needs, is cancelled. A job that was submitted after that counts
      * from its acceptance.
      */
-    fun cancelledAt(user: SimSite.User): Double? = listOfNotNull(user.cancelledAt, inheritedCancellationAt(user)).minOrNull()
+    fun cancelledAtMs(user: SimSite.User): Double? = listOfNotNull(user.cancelledAtMs, inheritedCancellationAtMs(user)).minOrNull()
 
-    private fun inheritedCancellationAt(user: SimSite.User): Double? {
-        val acceptedAt = user.acceptedAt ?: return null
-        val toldAt = predecessorsOf(user).mapNotNull { it.cancelledAt }.minOrNull() ?: return null
-        return maxOf(acceptedAt, toldAt)
+    private fun inheritedCancellationAtMs(user: SimSite.User): Double? {
+        val acceptedAtMs = user.acceptedAtMs ?: return null
+        val confirmedAt = predecessorsOf(user).mapNotNull { it.cancelledAtMs }.minOrNull() ?: return null
+        return maxOf(acceptedAtMs, confirmedAt)
     }
 
     /** Somebody has asked to cancel a job that [user]'s needs, and was not told that it is done. */
-    fun mayEndWithAnother(user: SimSite.User): Boolean =
-        predecessorsOf(user).any { it.cancelAskedAt != null && it.told != "done" }
+    fun dependencyCancelRequested(user: SimSite.User): Boolean =
+        predecessorsOf(user).any { it.cancelRequestedAtMs != null && it.status != "done" }
 
     /** A task of [user]'s job starts. */
     fun checkStart(user: SimSite.User, task: TaskId) {
-        val pending = predecessorsOf(user).firstOrNull { it.completedAt == null } ?: return
+        val pending = predecessorsOf(user).firstOrNull { it.completedAtMs == null } ?: return
         breach("too_early", "$task before ${pending.spec.id} is done")
     }
 
     /** [user] has just been told something. */
     fun checkAnswer(user: SimSite.User) {
-        when (user.told) {
+        when (user.status) {
             "aborted" -> checkReason(user)
             "done" -> {
                 checkNotAfterCancelled(user)
-                successorsOf(user).filter { it.told == "aborted" }.forEach(::checkReason)
+                successorsOf(user).filter { it.status == "aborted" }.forEach(::checkReason)
             }
-            else -> if (isOverdue(user)) breach("orphaned", "${user.spec.id} is called ${user.told}")
+            else -> if (isOverdue(user)) breach("orphaned", "${user.spec.id} is called ${user.status}")
         }
-        if (user.told == "aborted") successorsOf(user).forEach(::checkNotAfterCancelled)
+        if (user.status == "aborted") successorsOf(user).forEach(::checkNotAfterCancelled)
     }
 
     private fun successorsOf(user: SimSite.User) = users.values.filter { user in predecessorsOf(it) }
 
     private fun checkReason(user: SimSite.User) {
-        if (user.cancelAskedAt == null && !mayEndWithAnother(user)) breach("went_back", "${user.spec.id} cancelled by nobody")
+        if (user.cancelRequestedAtMs == null && !dependencyCancelRequested(user)) breach("went_back", "${user.spec.id} cancelled by nobody")
     }
 
     private fun checkNotAfterCancelled(user: SimSite.User) {
-        val cancelled = predecessorsOf(user).firstOrNull { it.told == "aborted" } ?: return
-        if (user.told == "done") breach("orphaned", "${user.spec.id} is called done after ${cancelled.spec.id} was cancelled")
+        val cancelled = predecessorsOf(user).firstOrNull { it.status == "aborted" } ?: return
+        if (user.status == "done") breach("orphaned", "${user.spec.id} is called done after ${cancelled.spec.id} was cancelled")
     }
 
-    private fun isOverdue(user: SimSite.User) = inheritedCancellationAt(user)?.let { now() - it > cancelMs } ?: false
+    private fun isOverdue(user: SimSite.User) = inheritedCancellationAtMs(user)?.let { now() - it > cancelMs } ?: false
 
     /** Jobs that have to be called cancelled from now on and are not known to be, each named once. */
     fun overdue(): List<SimSite.User> =
-        users.values.filter { it.awaits.isNotEmpty() && !it.finished && isOverdue(it) && askedWhenOverdue.add(it.spec.id) }
+        users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && askedWhenOverdue.add(it.spec.id) }
 
     /** Whatever is after a cancelled job must have been called cancelled by now. */
     fun checkEnd() = users.values
-        .filter { it.told != "aborted" && isOverdue(it) }
-        .forEach { breach("orphaned", "${it.spec.id} was last called ${it.told}") }
+        .filter { it.status != "aborted" && isOverdue(it) }
+        .forEach { breach("orphaned", "${it.spec.id} was last called ${it.status}") }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a task that starts before the job that its own awaits is done`() {
+    fun `a task that starts before its job's dependency is done`() {
         val site = SimSite(Simulation(421))
         var stripped = 0
         // Controllers don't hear of what is awaited.
@@ -35,7 +35,7 @@
             val text = request.body.decodeToString()
             if (from == "users" && "\"awaits\"" in text) {
                 stripped++
-                Request(request.method, request.path, text.replace(AWAITS, "").encodeToByteArray())
+                Request(request.method, request.path, text.replace(AWAITS_FIELD, "").encodeToByteArray())
             } else {
                 request
             }
@@ -47,21 +47,21 @@
     }
 
     @Test
-    fun `a job that is called queued long after the one before it was cancelled`() {
+    fun `a job that is reported queued long after its dependency was cancelled`() {
         val site = SimSite(Simulation(422))
         site.forgeAnswers(id(2), "queued")
         site.twoInLine(workS = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(5.0)
-        assertEquals("aborted", site.users.getValue(id(1)).told)
+        assertEquals("aborted", site.users.getValue(id(1)).status)
         assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "too soon: ${site.breaches}")
         site.run(SimSite.CANCEL_S + 1.0)
         site.assertSees("orphaned")
     }
 
     @Test
-    fun `a job that is called done though the one before it was cancelled`() {
+    fun `a job that is reported done although its dependency was cancelled`() {
         val site = SimSite(Simulation(423))
         site.forgeAnswers(id(2), "done")
         site.twoInLine(workS = 200.0)
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `a job that is called cancelled though nobody cancelled what it awaits`() {
+    fun `a job that is reported cancelled although nobody cancelled its dependency`() {
         val site = SimSite(Simulation(424))
         site.forgeAnswers(id(2), "aborted")
         site.twoInLine(workS = 200.0)
@@ -80,19 +80,19 @@
         site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
         site.sim.after(12_000.0) { site.cancel(id(3)) }
         site.run(30.0)
-        assertEquals("aborted", site.users.getValue(id(3)).told)
+        assertEquals("aborted", site.users.getValue(id(3)).status)
         site.assertSees("went_back")
     }
 
     @Test
-    fun `a job that is called cancelled though the cancellation before it met a job that was done`() {
+    fun `a job that is reported cancelled although its dependency was done when it was cancelled`() {
         val site = SimSite(Simulation(425))
         site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
-        site.await(40.0) { site.users.getValue(id(1)).completedAt != null }
+        site.await(40.0) { site.users.getValue(id(1)).completedAtMs != null }
         site.run(1.0)
         site.cancel(id(1))
         site.run(10.0)
-        assertEquals("done", site.users.getValue(id(1)).told)
+        assertEquals("done", site.users.getValue(id(1)).status)
         site.forgeAnswers(id(2), "aborted")
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 50.0 }
         site.run(15.0)
@@ -100,6 +100,6 @@
     }
 
     private companion object {
-        val AWAITS = Regex(",\"awaits\":\\[[^]]*]")
+        val AWAITS_FIELD = Regex(",\"awaits\":\\[[^]]*]")
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelinesTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelinesTest.kt
@@ -20,7 +20,7 @@
 /** Jobs that wait for others, on calm days and amid troubles. Each test first shows that its situation came about. */
 class PipelinesTest {
     /** Pipelines by the jobs that each job awaits; jobs of one list are of one level. */
-    enum class Shape(val levels: List<List<Int>>, val awaits: Map<Int, List<Int>>) {
+    enum class Shape(val levels: List<List<Int>>, val dependencies: Map<Int, List<Int>>) {
         CHAIN(listOf(listOf(1), listOf(2), listOf(3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(2), 4 to listOf(3))),
         DIAMOND(listOf(listOf(1), listOf(2, 3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))),
         FAN(listOf(listOf(1), (2..13).toList(), listOf(14)), (2..13).associateWith { listOf(1) } + (14 to (2..13).toList())),
@@ -30,7 +30,7 @@
 
         /** All that need [job], directly or through others. */
         fun after(job: Int): Set<Int> =
-            awaits.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { after(it) } }
+            dependencies.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { after(it) } }
     }
 
     private fun id(number: Int) = JobId("job-$number")
@@ -38,7 +38,7 @@
     private fun SimSite.user(number: Int) = users.getValue(id(number))
 
     private fun SimSite.submitAll(shape: Shape, workS: Double, tasks: Int = 2) = shape.jobs.forEach { number ->
-        submit(SimSite.job(number, tasks = tasks, etaS = workS), shape.awaits[number].orEmpty().map(::id)) { workS }
+        submit(SimSite.job(number, tasks = tasks, etaS = workS), shape.dependencies[number].orEmpty().map(::id)) { workS }
     }
 
     private fun SimSite.isRunning(number: Int) = runningTasks().keys.any { it.job == id(number) }
@@ -46,23 +46,23 @@
     private fun SimSite.awaitRunning(number: Int) = await(150.0) { isRunning(number) }
 
     /** Cancels a job that is not done, and waits until its user is told so. */
-    private fun SimSite.cancelAndConfirm(number: Int, mostS: Double = 5.0) {
+    private fun SimSite.cancelAndConfirm(number: Int, timeoutS: Double = 5.0) {
         cancel(id(number))
-        await(mostS) { user(number).cancelledAt != null }
+        await(timeoutS) { user(number).cancelledAtMs != null }
     }
 
-    private fun SimSite.assertTold(status: String, jobs: Collection<Int>) =
-        assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).told })
+    private fun SimSite.assertStatus(status: String, jobs: Collection<Int>) =
+        assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).status })
 
     private fun SimSite.assertNeverStarted(jobs: Collection<Int>) =
-        assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAt != null }, "these started")
+        assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMs != null }, "these started")
 
     /** Of a whole pipeline, [cancelled] and what comes after it ended cancelled, all else was done. */
     private fun SimSite.assertCancelledFrom(shape: Shape, cancelled: Int) {
         val followers = shape.after(cancelled)
-        assertTold("aborted", followers + cancelled)
+        assertStatus("aborted", followers + cancelled)
         assertNeverStarted(followers)
-        assertTold("done", shape.jobs - followers - cancelled)
+        assertStatus("done", shape.jobs - followers - cancelled)
     }
 
     /** The answer to one request at [node]. */
@@ -77,9 +77,9 @@
         return reply
     }
 
-    /** The status of the answer to a submission of `job-[number]` with this text as the field `awaits`. */
-    private fun SimSite.submitRaw(number: Int, awaits: String, node: Int = 0): Reply? {
-        val body = submissionBody(SimSite.job(number, tasks = 1), emptyList()).decodeToString().dropLast(1) + ",\"awaits\":$awaits}"
+    /** The status of the answer to a submission of `job-[number]` with this text as the field `dependencies`. */
+    private fun SimSite.submitRaw(number: Int, dependencies: String, node: Int = 0): Reply? {
+        val body = submissionBody(SimSite.job(number, tasks = 1), emptyList()).decodeToString().dropLast(1) + ",\"awaits\":$dependencies}"
         return answerAt(node, Request(Method.POST, "/submissions", body.encodeToByteArray()))
     }
 
@@ -87,42 +87,42 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,501", "CHAIN,502", "DIAMOND,503", "DIAMOND,504", "FAN,505", "FAN,506")
-    fun `each job begins when all that it needs is done, and all are done`(shape: Shape, seed: Long) {
+    fun `each job starts when all its dependencies are done, and all jobs are done`(shape: Shape, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 5.0)
         val last = shape.levels.last().single()
         // A service may come after arrays.
         site.submit(SimSite.job(500, tasks = 2, service = true, spot = false), listOf(id(last))) { null }
         site.run(60.0)
-        site.assertKept()
-        site.assertTold("done", shape.jobs)
+        site.assertRulesHold()
+        site.assertStatus("done", shape.jobs)
         assertEquals(2, site.runningTasks().keys.count { it.job == id(500) }, "the service does not run")
-        for ((job, needed) in shape.awaits) {
-            val releasedAt = needed.maxOf { site.user(it).completedAt!! }
-            val waitedMs = site.user(job).firstStartAt!! - releasedAt
-            assertTrue(waitedMs in 0.0..PROMPT_MS, "job-$job began $waitedMs ms after its release")
+        for ((job, needed) in shape.dependencies) {
+            val releasedAtMs = needed.maxOf { site.user(it).completedAtMs!! }
+            val waitedMs = site.user(job).firstStartAtMs!! - releasedAtMs
+            assertTrue(waitedMs in 0.0..MAX_RELEASE_DELAY_MS, "job-$job began $waitedMs ms after its release")
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = [511, 512])
-    fun `a job may name what was done long ago, also before controllers began`(seed: Long) {
+    fun `a job may depend on one that was done long ago, also before the controllers started`(seed: Long) {
         val site = SimSite(Simulation(seed), endedBefore = 3)
         site.submit(SimSite.job(1, tasks = 3)) { 4.0 }
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
-        site.await(60.0) { site.user(2).told == "done" }
+        site.await(60.0) { site.user(2).status == "done" }
         site.run(60.0)
         (0 until site.nodes).forEach { site.crash(it, 1500.0) }
         site.run(15.0)
-        site.submit(SimSite.job(3, tasks = 2), listOf(id(1), id(2), id(SimSite.ENDED_FROM), id(SimSite.ENDED_FROM + 2))) { 4.0 }
+        site.submit(SimSite.job(3, tasks = 2), listOf(id(1), id(2), id(SimSite.FIRST_ENDED_JOB), id(SimSite.FIRST_ENDED_JOB + 2))) { 4.0 }
         site.submit(SimSite.job(4, tasks = 2), listOf(id(3), id(1))) { 4.0 }
-        site.assertKept()
-        site.assertTold("done", listOf(3, 4))
+        site.assertRulesHold()
+        site.assertStatus("done", listOf(3, 4))
     }
 
     @ParameterizedTest
     @ValueSource(longs = [516, 517])
-    fun `a last job is added late, while the one that it awaits runs`(seed: Long) {
+    fun `a dependent job is added late, while its dependency runs`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 2, etaS = 30.0)) { 30.0 }
         site.awaitRunning(1)
@@ -132,8 +132,8 @@
         site.submit(SimSite.job(2, tasks = 2), listOf(id(1), id(1))) { 4.0 }
         site.await(10.0) { site.user(2).accepted }
         assertTrue(site.isRunning(1), "what it awaits was over already")
-        site.assertKept()
-        site.assertTold("done", listOf(1, 2))
+        site.assertRulesHold()
+        site.assertStatus("done", listOf(1, 2))
     }
 
     // ---- cancellations ----
@@ -151,21 +151,21 @@
         "FAN,1,529",
         "FAN,2,530",
     )
-    fun `what is cancelled while it runs takes along all that comes after it`(shape: Shape, level: Int, seed: Long) {
+    fun `cancelling a running job cancels all its dependents`(shape: Shape, level: Int, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 8.0)
         val cancelled = shape.levels[level].last()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
         site.run(SimSite.CANCEL_S)
-        site.assertTold("aborted", shape.after(cancelled) + cancelled)
-        site.assertKept()
+        site.assertStatus("aborted", shape.after(cancelled) + cancelled)
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @CsvSource("CHAIN,1,531", "CHAIN,3,532", "DIAMOND,1,533", "DIAMOND,2,534", "FAN,1,535", "FAN,2,536")
-    fun `what is cancelled while it waits takes along all that comes after it`(shape: Shape, level: Int, seed: Long) {
+    fun `cancelling a waiting job cancels all its dependents`(shape: Shape, level: Int, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 8.0)
         site.awaitRunning(1)
@@ -173,22 +173,22 @@
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         site.cancelAndConfirm(cancelled)
         site.run(SimSite.CANCEL_S)
-        site.assertTold("aborted", shape.after(cancelled) + cancelled)
+        site.assertStatus("aborted", shape.after(cancelled) + cancelled)
         site.assertNeverStarted(listOf(cancelled))
-        site.assertKept()
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [541, 542, 543])
-    fun `a cancellation meets the end of the last task, and the jobs after it go by the answer`(seed: Long) {
+    fun `a cancellation races with the end of the last task, and the dependents follow the answer`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var met = 0
-        site.whenComplete = { user ->
-            if (user.awaits.isEmpty()) {
+        var raced = 0
+        site.onJobComplete = { user ->
+            if (user.dependencies.isEmpty()) {
                 site.sim.after(random.nextInt(250).toDouble()) {
-                    met++
+                    raced++
                     site.cancel(user.spec.id)
                 }
             }
@@ -201,18 +201,18 @@
             }
         }
         site.run(60.0)
-        assertTrue(met >= 25, "$met met an end")
-        site.assertKept()
-        val (done, cancelled) = (0 until 30).partition { site.user(100 + it).told == "done" }
+        assertTrue(raced >= 25, "$raced met an end")
+        site.assertRulesHold()
+        val (done, cancelled) = (0 until 30).partition { site.user(100 + it).status == "done" }
         assertTrue(done.isNotEmpty() && cancelled.isNotEmpty(), "${done.size} done, ${cancelled.size} cancelled")
-        site.assertTold("done", done.flatMap { listOf(200 + it, 300 + it) })
-        site.assertTold("aborted", cancelled.flatMap { listOf(100 + it, 200 + it, 300 + it) })
+        site.assertStatus("done", done.flatMap { listOf(200 + it, 300 + it) })
+        site.assertStatus("aborted", cancelled.flatMap { listOf(100 + it, 200 + it, 300 + it) })
         site.assertNeverStarted(cancelled.flatMap { listOf(200 + it, 300 + it) })
     }
 
     @ParameterizedTest
     @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
-    fun `the leader ends just before or just after a cancellation`(shape: Shape, seed: Long, before: Boolean) {
+    fun `the leader crashes just before or just after a cancellation`(shape: Shape, seed: Long, before: Boolean) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -223,7 +223,7 @@
         if (!before) site.crash(former, 4000.0)
         site.await(10.0) { site.leader().let { it != null && it != former } }
         site.run(SimSite.CANCEL_S)
-        site.assertKept()
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
@@ -240,14 +240,14 @@
         assertTrue(site.state.refusedInOutage > 0)
         site.state.outage = false
         site.run(20.0)
-        site.assertTold("aborted", shape.after(cancelled))
-        site.assertKept()
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @CsvSource("CHAIN,566", "DIAMOND,567")
-    fun `a job is cancelled while the state service is out, and what it awaits ends meanwhile`(shape: Shape, seed: Long) {
+    fun `a job is cancelled while the state service is out, and its dependency ends meanwhile`(shape: Shape, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         site.awaitRunning(1)
@@ -257,12 +257,12 @@
         site.run(1.0)
         site.cancel(id(cancelled))
         site.run(14.0)
-        assertTrue(site.user(cancelled).cancelledAt == null && site.user(1).completedAt != null, "the outage was too short")
+        assertTrue(site.user(cancelled).cancelledAtMs == null && site.user(1).completedAtMs != null, "the outage was too short")
         site.state.outage = false
         site.await(15.0) { site.user(cancelled).finished }
         site.run(SimSite.CANCEL_S)
-        site.assertKept()
-        if (site.user(cancelled).told == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertTold("done", shape.jobs)
+        site.assertRulesHold()
+        if (site.user(cancelled).status == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertStatus("done", shape.jobs)
     }
 
     @ParameterizedTest
@@ -273,18 +273,18 @@
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        val beforeThat = shape.after(cancelled).filter { site.user(it).told == "aborted" }
+        val beforeThat = shape.after(cancelled).filter { site.user(it).status == "aborted" }
         (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
         assertTrue(beforeThat.size < shape.after(cancelled).size, "all were told before")
         site.run(downS + SimSite.CANCEL_S)
-        site.assertTold("aborted", shape.after(cancelled))
-        site.assertKept()
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @CsvSource("FAN,574", "FAN,575", "FAN,579")
-    fun `the leader ends, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
+    fun `the leader crashes, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
         shape: Shape,
         seed: Long,
     ) {
@@ -293,7 +293,7 @@
         site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
         site.awaitRunning(90)
         shape.jobs.forEach { number ->
-            site.submit(SimSite.job(number, tasks = 1), (shape.awaits[number] ?: listOf(90)).map(::id)) { 5.0 }
+            site.submit(SimSite.job(number, tasks = 1), (shape.dependencies[number] ?: listOf(90)).map(::id)) { 5.0 }
         }
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         var interrupted = false
@@ -312,9 +312,9 @@
         assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
         site.run(8.0)
         site.state.outage = false
-        site.await(15.0) { site.user(1).cancelledAt != null }
+        site.await(15.0) { site.user(1).cancelledAtMs != null }
         site.run(SimSite.CANCEL_S)
-        site.assertKept()
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, 1)
     }
 
@@ -323,7 +323,7 @@
     fun `all controllers are down when a job's last task ends`(shape: Shape, seed: Long) {
         val site = SimSite(Simulation(seed))
         var down = 0
-        site.whenComplete = { user ->
+        site.onJobComplete = { user ->
             if (user.spec.id == id(1)) {
                 down++
                 (0 until site.nodes).forEach { site.crash(it, 4000.0) }
@@ -332,8 +332,8 @@
         site.submitAll(shape, workS = 6.0)
         site.run(60.0)
         assertTrue(down > 0, "no last task ended")
-        site.assertKept()
-        site.assertTold("done", shape.jobs)
+        site.assertRulesHold()
+        site.assertStatus("done", shape.jobs)
     }
 
     @ParameterizedTest
@@ -358,14 +358,14 @@
         site.serveController(refused)
         site.heal()
         site.run(SimSite.CANCEL_S - 25.0)
-        site.assertTold("aborted", shape.after(cancelled))
-        site.assertKept()
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @EnumSource(Shape::class)
-    fun `questions at all controllers right after a cancellation never go back`(shape: Shape) {
+    fun `polls of all controllers right after a cancellation never go back`(shape: Shape) {
         val site = SimSite(Simulation(591L + shape.ordinal))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -377,14 +377,14 @@
             site.run(0.05)
         }
         assertTrue(site.network.calls - asked >= 300)
-        site.assertTold("aborted", listOf(cancelled))
-        site.assertKept()
+        site.assertStatus("aborted", listOf(cancelled))
+        site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [601, 602])
-    fun `a job that names a cancelled one is accepted and ends cancelled, and what names that one too`(seed: Long) {
+    fun `a job that depends on a cancelled one is accepted and ends cancelled, and so do its dependents`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 2)) { 100.0 }
         site.submit(SimSite.job(2, tasks = 1)) { 4.0 }
@@ -400,27 +400,27 @@
         site.submit(SimSite.job(5, tasks = 2), listOf(id(1))) { 4.0 }
         site.submit(SimSite.job(6, tasks = 2), listOf(id(4), id(2))) { 4.0 }
         site.run(SimSite.CANCEL_S)
-        assertEquals(listOf(201, 201, 201, 201), (3..6).map { site.user(it).acceptedWith })
-        site.assertTold("aborted", listOf(1, 3, 4, 5, 6))
+        assertEquals(listOf(201, 201, 201, 201), (3..6).map { site.user(it).acceptedStatus })
+        site.assertStatus("aborted", listOf(1, 3, 4, 5, 6))
         site.assertNeverStarted(listOf(3, 4, 5, 6))
-        site.assertKept()
-        site.assertTold("done", listOf(2))
+        site.assertRulesHold()
+        site.assertStatus("done", listOf(2))
     }
 
     @ParameterizedTest
     @CsvSource("606,false", "607,false", "608,true", "609,true")
-    fun `a submission meets the cancellation or the end of the job that it names`(seed: Long, cancels: Boolean) {
+    fun `a submission races with the cancellation or the end of its dependency`(seed: Long, cancels: Boolean) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var met = 0
+        var raced = 0
 
         fun follow(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
-            met++
+            raced++
             site.submit(SimSite.job(200 + number, tasks = 1), listOf(id(100 + number))) { 3.0 }
         }
         if (!cancels) {
-            site.whenComplete = { user ->
-                if (user.awaits.isEmpty()) {
+            site.onJobComplete = { user ->
+                if (user.dependencies.isEmpty()) {
                     follow(
                         user.spec.id.text
                             .removePrefix("job-1")
@@ -441,15 +441,15 @@
             }
         }
         site.run(75.0)
-        assertEquals(24, met)
-        site.assertKept()
-        site.assertTold(if (cancels) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
+        assertEquals(24, raced)
+        site.assertRulesHold()
+        site.assertStatus(if (cancels) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
         if (cancels) site.assertNeverStarted((0 until 24).map { 200 + it })
     }
 
     // ---- what may be named ----
 
-    private fun calmSite(seed: Long): SimSite {
+    private fun faultFreeSite(seed: Long): SimSite {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 1)) { 150.0 }
         site.submit(SimSite.job(500, tasks = 1, service = true, spot = false)) { null }
@@ -458,8 +458,8 @@
     }
 
     @Test
-    fun `lists that are none are refused with 400`() {
-        val site = calmSite(611)
+    fun `malformed dependency lists are refused with 400`() {
+        val site = faultFreeSite(611)
         val malformed =
             listOf("\"job-1\"", "{\"job-1\":1}", "[1]", "[null]", "[\"\"]", "[\"job-\"]", "[\"task-1\"]", "[[\"job-1\"]]", "true", "7")
         val answers = malformed.associateWith { site.submitRaw(50, it)?.status }
@@ -469,8 +469,8 @@
     }
 
     @Test
-    fun `names never accepted, the job itself and services are refused with 422 by every controller`() {
-        val site = calmSite(612)
+    fun `unknown dependencies, the job itself and services are refused with 422 by every controller`() {
+        val site = faultFreeSite(612)
         val impossible = listOf("[\"job-999\"]", "[\"job-50\"]", "[\"job-500\"]", "[\"job-1\",\"job-999\"]", "[\"job-1\",\"job-500\"]")
         for (node in 0 until site.nodes) {
             val answers = impossible.associateWith { site.submitRaw(50, it, node)?.status }
@@ -480,31 +480,31 @@
     }
 
     @Test
-    fun `null and an empty list await nothing`() {
-        val site = calmSite(613)
+    fun `null and an empty list name no dependencies`() {
+        val site = faultFreeSite(613)
         // The users' part is played by hand, so that the field can be sent as it is here.
-        for ((number, awaits) in listOf(51 to "null", 52 to "[]")) {
+        for ((number, dependencies) in listOf(51 to "null", 52 to "[]")) {
             site.network.tamperRequest = { from, request ->
                 if (from == "users" && request.method == Method.POST && "\"job-$number\"" in request.body.decodeToString()) {
                     Request(
                         request.method,
                         request.path,
-                        (request.body.decodeToString().dropLast(1) + ",\"awaits\":$awaits}").encodeToByteArray(),
+                        (request.body.decodeToString().dropLast(1) + ",\"awaits\":$dependencies}").encodeToByteArray(),
                     )
                 } else {
                     request
                 }
             }
             site.submit(SimSite.job(number, tasks = 1)) { 4.0 }
-            site.await(5.0) { site.user(number).acceptedWith == 201 }
+            site.await(5.0) { site.user(number).acceptedStatus == 201 }
             site.awaitRunning(number)
         }
-        site.assertKept(200.0)
+        site.assertRulesHold(200.0)
     }
 
     @Test
-    fun `while the state service is out a name that is not known is no reason to refuse for good`() {
-        val site = calmSite(614)
+    fun `an unknown dependency is no reason for a final refusal while the state service is out`() {
+        val site = faultFreeSite(614)
         site.state.outage = true
         site.run(1.0)
         for (node in 0 until site.nodes) {
@@ -521,48 +521,48 @@
         val other = (refused + 1) % site.nodes
         assertEquals(422, site.submitRaw(50, "[\"job-999\"]", other)?.status)
         assertTrue(site.submitRaw(50, "[\"job-999\"]", refused)?.status in listOf(null, 503))
-        site.assertKept(240.0)
+        site.assertRulesHold(240.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [616, 617])
-    fun `a known job is answered with its state whatever the repeat awaits`(seed: Long) {
-        val site = calmSite(seed)
+    fun `a known job is answered with its status whatever dependencies the repeat names`(seed: Long) {
+        val site = faultFreeSite(seed)
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
         site.submit(SimSite.job(3, tasks = 1)) { 3.0 }
-        site.await(30.0) { site.user(2).accepted && site.user(3).told == "done" }
+        site.await(30.0) { site.user(2).accepted && site.user(3).status == "done" }
         val other = listOf("[]", "null", "[\"job-3\"]", "[\"job-999\"]", "[\"job-2\"]", "[\"job-3\",\"job-500\"]", "[5]", "\"job-1\"")
-        for (awaits in other) {
+        for (dependencies in other) {
             for ((number, status) in listOf(2 to "queued", 3 to "done")) {
-                val reply = site.submitRaw(number, awaits, node = site.sim.random.nextInt(site.nodes))
-                assertEquals(200, reply?.status, "job-$number with $awaits")
-                assertEquals(status, Json.read(reply!!.body)!!.stringOrNull("status"), "job-$number with $awaits")
+                val reply = site.submitRaw(number, dependencies, node = site.sim.random.nextInt(site.nodes))
+                assertEquals(200, reply?.status, "job-$number with $dependencies")
+                assertEquals(status, Json.read(reply!!.body)!!.stringOrNull("status"), "job-$number with $dependencies")
             }
         }
         // The repeats have changed nothing.
         site.assertNeverStarted(listOf(2))
         site.repeat(site.user(2))
-        site.assertKept(240.0)
-        site.assertTold("done", listOf(2))
+        site.assertRulesHold(240.0)
+        site.assertStatus("done", listOf(2))
     }
 
     // ---- what a blocked job takes and gets ----
 
     @ParameterizedTest
     @ValueSource(longs = [621, 622])
-    fun `a blocked job has no machines rented for it`(seed: Long) {
+    fun `no machines are launched for a blocked job`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
         site.awaitRunning(1)
         site.run(10.0)
-        val rented = site.machinesRented
+        val rented = site.machinesLaunched
         site.submit(SimSite.job(2, tasks = 6, cpus = 8.0, etaS = 40.0), listOf(id(1))) { 40.0 }
         site.run(45.0)
         assertTrue(site.isRunning(1) && site.user(2).accepted)
-        site.assertTold("queued", listOf(2))
-        assertEquals(rented, site.machinesRented)
-        site.assertKept()
-        assertTrue(site.machinesRented > rented, "it would have needed no machine anyway")
+        site.assertStatus("queued", listOf(2))
+        assertEquals(rented, site.machinesLaunched)
+        site.assertRulesHold()
+        assertTrue(site.machinesLaunched > rented, "it would have needed no machine anyway")
     }
 
     @ParameterizedTest
@@ -577,13 +577,13 @@
         site.submit(SimSite.job(3, tasks = 29, etaS = 40.0)) { 40.0 }
         site.await(40.0) { site.runningTasks().keys.count { it.job == id(3) } == 29 }
         assertTrue(site.isRunning(1))
-        site.assertTold("queued", listOf(2))
-        site.assertKept(160.0)
+        site.assertStatus("queued", listOf(2))
+        site.assertRulesHold(160.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [628, 629])
-    fun `a blocked job has nothing recalled that another team has borrowed`(seed: Long) {
+    fun `a blocked job preempts nothing that another team has borrowed`(seed: Long) {
         val other = Team(TeamName("others"), 0.0, 200.0, 0.0, 0.0)
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, guaranteedCpus = 16.0), otherTeam = other)
         site.submit(SimSite.job(1, tasks = 1, etaS = 150.0)) { 150.0 }
@@ -600,7 +600,7 @@
         site.submit(SimSite.job(4, tasks = 6, etaS = 5.0)) { 5.0 }
         site.await(15.0) { site.isRunning(4) }
         assertTrue(borrowed.keys.any { it !in site.runningTasks() && it.index !in site.user(3).doneTasks }, "there was room for it")
-        site.assertKept(300.0)
+        site.assertRulesHold(300.0)
     }
 
     /** When the first of a chain begins, in seconds after its submission, while there is more normal work than room. */
@@ -610,9 +610,9 @@
         site.await(40.0) { site.runningTasks().size >= 16 }
         site.submit(SimSite.job(1, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 }
         site.submit(SimSite.job(2, tasks = 2, etaS = 5.0, dueS = 600.0, priority = lastPriority), listOf(id(1))) { 5.0 }
-        site.assertKept(300.0)
+        site.assertRulesHold(300.0)
         val first = site.user(1)
-        return (first.firstStartAt!! - first.askedAt) / 1000
+        return (first.firstStartAtMs!! - first.requestedAtMs) / 1000
     }
 
     @ParameterizedTest
@@ -625,6 +625,6 @@
 
     private companion object {
         /** How soon a released job begins where there is room for it or a machine has to be rented. */
-        const val PROMPT_MS = 30_000.0
+        const val MAX_RELEASE_DELAY_MS = 30_000.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/MixedTroublesTest.kt
+++ b/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
@@ -7,11 +7,11 @@
 import java.util.stream.LongStream
 
 /** Two or three troubles at once, by seed, four times a day, while users submit, ask and cancel. */
-class MixedTroublesTest {
+class RandomFaultsTest {
     private fun follower(number: Int) = JobId("job-${100 + number}")
 
     /** Beside the usual load, jobs that await one or two of it, and mostly one of their own kind before them. */
-    private fun pipelines(site: SimSite) = repeat(FOLLOWERS) { number ->
+    private fun submitPipelines(site: SimSite) = repeat(FOLLOWERS) { number ->
         site.after(number * 9.0 + 2.0) {
             val random = site.sim.random
             val earlier = (1..number * 2 + 1).shuffled(random).take(1 + random.nextInt(2)).map { JobId("job-$it") }
@@ -24,7 +24,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken whatever meets`(seed: Long) {
+    fun `no rule is broken by random compound faults`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 3 == 0L) 5 else 3, scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0))
         val random = site.sim.random
         site.services(5)
@@ -44,23 +44,23 @@
                 site.submit(spec) { work.getOrPut(it) { 3.0 + random.nextDouble() * 25 } }
             }
         }
-        pipelines(site)
+        submitPipelines(site)
         site.run(22.0)
-        var met = 0
+        var faults = 0
         repeat(4) {
             val chosen = SiteFault.entries.shuffled(random).take(2 + random.nextInt(2))
-            met += chosen.size
+            faults += chosen.size
             chosen.forEach { fault -> site.after(random.nextDouble() * 3.0) { fault.begin(site, 2.0 + random.nextDouble() * 20.0) } }
             repeat(3) { site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${1 + random.nextInt(24)}")) } }
             if (random.nextInt(3) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${500 + random.nextInt(5)}")) }
             if (random.nextInt(2) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(follower(random.nextInt(FOLLOWERS))) }
             site.run(20.0)
         }
-        assertTrue(met >= 8)
-        assertTrue(site.users.values.count { it.awaits.isNotEmpty() && it.accepted } >= FOLLOWERS / 2, "few jobs awaited others")
+        assertTrue(faults >= 8)
+        assertTrue(site.users.values.count { it.dependencies.isNotEmpty() && it.accepted } >= FOLLOWERS / 2, "few jobs awaited others")
         site.run(6.0)
-        site.network.copyOneIn = 0
-        site.assertKept(240.0)
+        site.network.duplicateOneIn = 0
+        site.assertRulesHold(240.0)
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -91,30 +91,30 @@
         site.submit(SimSite.job(1, tasks = 40)) { 6.0 }
         site.run(15.0)
         // The user is told so, though nothing was written.
-        site.network.swallows = { it.path.endsWith("/cancel") }
-        site.users.getValue(JobId("job-1")).cancelledAt = site.sim.nowMs
+        site.network.drops = { it.path.endsWith("/cancel") }
+        site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
         site.run(20.0)
         site.assertSees("started_cancelled")
     }
 
     @Test
-    fun `a job left waiting beside room`() {
+    fun `a job left waiting despite free capacity`() {
         // Controllers believe that the team is at its limit.
-        val site = SimSite(Simulation(406), toldCpusMax = 2.0)
+        val site = SimSite(Simulation(406), configuredCpusMax = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         site.submit(SimSite.job(2, tasks = 4)) { 5.0 }
-        site.calmSince = site.sim.nowMs
+        site.faultFreeSinceMs = site.sim.nowMs
         site.run(130.0)
         site.assertSees("left_waiting")
     }
 
     @Test
     fun `a class of which less than half is served`() {
-        val site = SimSite(Simulation(407), toldCpusMax = 2.0)
+        val site = SimSite(Simulation(407), configuredCpusMax = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         repeat(4) { number -> site.submit(SimSite.job(2 + number, tasks = 4)) { 5.0 } }
         site.run(100.0)
-        site.checkServed()
+        site.checkStartDelays()
         site.assertSees("unserved")
     }
 
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -27,14 +27,14 @@
      */
     @ParameterizedTest
     @ValueSource(longs = [2501, 2502, 2503, 2504, 2505, 2506])
-    fun `tasks lost in a takeover start again in time though a controller comes back meanwhile`(seed: Long) {
+    fun `tasks lost in a shard takeover restart in time although a controller returns meanwhile`(seed: Long) {
         val site = siteWithServices(seed)
         val down = site.leader()!!
         site.crash(down, backAfterMs = 55_000.0 + RETURN_MS)
         site.run(55.0)
         assertEquals(48, site.runningTasks().size)
         val cut = site.anyOther(down)
-        site.mute(site.workerNames().filter { site.ownerOf(it) == cut })
+        site.loseRequestsFrom(site.workerNames().filter { site.ownerOf(it) == cut })
         site.cutController(cut, "workers")
         site.sim.after(RETURN_MS - 500.0) { site.loseNothing() }
         var lostReplicaS = 0.0
@@ -45,13 +45,13 @@
         assertEquals(48, site.runningTasks().size)
         assertTrue(lostReplicaS > 0.0, "no lease ran out")
         assertTrue(lostReplicaS < MAX_LOST_REPLICA_S, "$lostReplicaS s of replicas were lost")
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     /** It stands still for a minute, longer than any lease, and goes on with all that it had wanted to send. */
     @ParameterizedTest
     @ValueSource(longs = [2511, 2512, 2513, 2514])
-    fun `a controller that was silent for a minute breaks nothing and gets its part again`(seed: Long) {
+    fun `a controller that was unreachable for a minute breaks no rule and regains its shards`(seed: Long) {
         val site = siteWithServices(seed)
         val silent = site.leader()!!
         site.arrays(20)
@@ -67,13 +67,13 @@
         site.run(80.0)
         val owners = site.workerNames().map(site::ownerOf).toSet()
         assertTrue(silent in owners, "it has no workers again: $owners")
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     /** The next one goes silent as the former comes back, twice. */
     @ParameterizedTest
     @ValueSource(longs = [2521, 2522, 2523, 2524])
-    fun `controllers that go silent in turn break nothing`(seed: Long) {
+    fun `controllers that become unreachable in turn break no rule`(seed: Long) {
         val site = siteWithServices(seed)
         site.arrays(20)
         repeat(3) { number ->
@@ -82,7 +82,7 @@
             site.run(61.0 + site.sim.random.nextInt(4))
         }
         site.run(10.0)
-        site.assertKept()
+        site.assertRulesHold()
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/RulesTest.kt
@@ -40,7 +40,7 @@
         site.heal()
         site.state.outage = false
         site.run(180.0)
-        site.checkForgotten()
+        site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
         assertTrue(site.starts > 0, "nothing ran")
         val unfinished = site.users.values
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `a quiet day serves every job and leaves only final records`() {
+    fun `a scenario without faults serves every job and leaves only final records`() {
         val site = SimSite(Simulation(1))
         load(site)
         site.run(120.0)
@@ -61,7 +61,7 @@
 
     @Test
     fun `the referee sees tasks that run twice when controllers do not wait for the lease`() {
-        val site = SimSite(Simulation(3), toldLeaseS = 2.0)
+        val site = SimSite(Simulation(3), configuredLeaseS = 2.0)
         // What may be stopped for the service leaves room for it at once.
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
@@ -79,7 +79,7 @@
 
     @Test
     fun `the referee sees a team beyond its limit`() {
-        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), toldCpusMax = 60.0)
+        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredCpusMax = 60.0)
         site.submit(SimSite.job(1, tasks = 20)) { 30.0 }
         site.run(30.0)
         assertTrue(site.breaches.any { it.startsWith("quota") }, "${site.breaches}")
@@ -91,7 +91,7 @@
         site.submit(SimSite.job(1, tasks = 4)) { 300.0 }
         site.run(25.0)
         // The user believes it is cancelled, though nobody was asked.
-        site.users.getValue(JobId("job-1")).cancelledAt = site.sim.nowMs
+        site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
         site.run(SimSite.CANCEL_S + 5.0)
         assertTrue(site.breaches.any { it.startsWith("ran_cancelled") }, "${site.breaches}")
     }
@@ -112,7 +112,7 @@
     }
 
     @Test
-    fun `the workers of a cut controller find another before their leases run out`() {
+    fun `the workers of an isolated controller find another before their leases expire`() {
         val site = SimSite(Simulation(7))
         site.submit(SimSite.job(1, tasks = 24, service = true, spot = false)) { null }
         site.run(40.0)
@@ -129,7 +129,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [11, 12, 13, 14, 15, 16, 17, 18])
-    fun `no rule is broken by random troubles`(seed: Long) {
+    fun `no rule is broken by random faults`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
         load(site)
--- a/src/test/kotlin/copperglade/sim/Days.kt
+++ b/src/test/kotlin/copperglade/sim/Scenarios.kt
@@ -22,16 +22,16 @@
     network.lateWriteOneIn = 0
     state.outage = false
     (0 until nodes).forEach(::serveController)
-    calmSince = sim.nowMs
+    faultFreeSinceMs = sim.nowMs
     run(forS)
 }
 
 /** All troubles end; by the end of [forS] nothing may be left undone, unanswered, waiting or broken. */
-fun SimSite.assertKept(forS: Double = 120.0) {
+fun SimSite.assertRulesHold(forS: Double = 120.0) {
     recover(forS)
-    checkForgotten()
-    checkServed()
-    checkOrphans()
+    checkAnswered()
+    checkStartDelays()
+    checkCancelledDependents()
     assertEquals(emptyList<String>(), breaches)
     assertTrue(starts > 0, "nothing ran")
     val unfinished = users.values.filter { it.work(0) != null && !it.finished }.map { it.spec.id }
@@ -40,9 +40,9 @@
 
 fun SimSite.assertSees(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "not seen: $breaches")
 
-/** Lets time pass until [holds], for [mostS] at the most. */
-fun SimSite.await(mostS: Double, holds: () -> Boolean) {
-    val end = sim.nowMs + mostS * 1000
+/** Lets time pass until [holds], for [timeoutS] at the most. */
+fun SimSite.await(timeoutS: Double, holds: () -> Boolean) {
+    val end = sim.nowMs + timeoutS * 1000
     while (!holds() && sim.nowMs < end) run(0.2)
-    assertTrue(holds(), "did not come about within $mostS s")
+    assertTrue(holds(), "did not come about within $timeoutS s")
 }
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -61,19 +61,19 @@
     private val scale: SiteScale = SiteScale(),
     private val slowMachine: String? = null,
     /** The lease that the controllers are told; another than the workers' own only to see the referee at work. */
-    private val toldLeaseS: Double = scale.leaseSeconds,
-    private val toldCpusMax: Double = scale.teamCpus,
-    private val toldCancelS: Double = scale.cancelSeconds,
+    private val configuredLeaseS: Double = scale.leaseSeconds,
+    private val configuredCpusMax: Double = scale.teamCpus,
+    private val configuredCancelS: Double = scale.cancelSeconds,
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
     /** Another limit of staleness for the controllers of the first zone, only to see the referee at work. */
-    private val outsideLimitS: Double? = null,
+    private val stalenessLimitOverrideS: Double? = null,
     /** The state service's limits as each node is told them when it starts. */
     private val limitsOf: (node: Int) -> StateLimits = { scale.stateLimits },
     /** So many jobs were over before this day began. */
     endedBefore: Int = 0,
     /** Whether controllers take a fault in a decision as a real process does; else the test fails with it. */
-    private val takesFaults: Boolean = false,
+    private val faultsEndProcess: Boolean = false,
     /** Told of every message between the processes and users of this site. */
     wireObserver: WireObserver = WireObserver {},
 ) : World {
@@ -93,10 +93,10 @@
     )
 
     /** How many times as long as usual the machine of this number takes to come up; null: it never does. */
-    var bootFactor: (Int) -> Double?
-        get() = cloud.bootFactor
+    var bootTimeFactor: (Int) -> Double?
+        get() = cloud.bootTimeFactor
         set(factor) {
-            cloud.bootFactor = factor
+            cloud.bootTimeFactor = factor
         }
 
     /** Requests that the cloud refused for coming too fast. */
@@ -104,7 +104,7 @@
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, User>()
     private val pipelines = PipelineReferee(users, { sim.nowMs }, scale.cancelSeconds * 1000, ::breach)
-    private val onMachine = HashMap<TaskId, StandInWorker>()
+    private val runningOn = HashMap<TaskId, StandInWorker>()
 
     /** By job, where its tasks on machines are; by team, what they use. */
     private val tasksOf = HashMap<JobId, HashMap<TaskId, String>>()
@@ -115,41 +115,43 @@
         private set
 
     /** Jobs whose users were told that they are cancelled. */
-    val confirmedCancellations: Int get() = users.values.count { it.cancelledAt != null }
+    val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMs != null }
 
     /** Nothing stands between the controllers, so that each knows of a cancellation before its user does. */
-    var knowsAtOnce = false
+    var cancellationsKnownImmediately = false
 
     /** What a user has been told and does. */
-    inner class User(val spec: JobSpec, val awaits: List<JobId>, val work: (Int) -> Double?) {
+    inner class User(val spec: JobSpec, val dependencies: List<JobId>, val work: (Int) -> Double?) {
         /** When the user was told that the job is accepted, and with which HTTP status. */
-        var acceptedAt: Double? = null
-        var acceptedWith = 0
-        val accepted get() = acceptedAt != null
-        var told = "unknown"
-        var cancelAskedAt: Double? = null
-        var cancelledAt: Double? = null
-        var answeredAt = 0.0
+        var acceptedAtMs: Double? = null
+        var acceptedStatus = 0
+        val accepted get() = acceptedAtMs != null
+        var status = "unknown"
+        var cancelRequestedAtMs: Double? = null
+        var cancelledAtMs: Double? = null
+        var lastAnswerAtMs = 0.0
         val doneTasks = HashSet<Int>()
-        val finished get() = told == "done" || told == "aborted"
+        val finished get() = status == "done" || status == "aborted"
 
         /** When the last of its tasks ended. */
-        var completedAt: Double? = null
-        val askedAt = sim.nowMs
-        var firstStartAt: Double? = null
+        var completedAtMs: Double? = null
+        val requestedAtMs = sim.nowMs
+        var firstStartAtMs: Double? = null
 
         /** When the answer came that was final; until one has come, the latest. */
-        var finishedAt = 0.0
+        var finishedAtMs = 0.0
 
         /** Since when some of it has waited without a start, though there was room within its team's limit. */
-        var leftSince: Double? = null
+        var waitingSinceMs: Double? = null
     }
 
     init {
         network.commandsSent = ::checkCommands
         network.listen(STATE, "state", worldLoop, state)
         network.listen(CLOUD, "cloud", worldLoop, cloud)
-        repeat(endedBefore) { state.put(Keys.ended(JobId("job-${ENDED_FROM + it}")), RecordCodec.encode(EndRecord(JobStatus.DONE, 1))) }
+        repeat(endedBefore) {
+            state.put(Keys.ended(JobId("job-${FIRST_ENDED_JOB + it}")), RecordCodec.encode(EndRecord(JobStatus.DONE, 1)))
+        }
         repeat(nodes) { startController(it) }
     }
 
@@ -170,11 +172,11 @@
         cloud = CLOUD,
         state = STATE,
         zones = ZONES,
-        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, toldCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
+        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
         heartbeatIntervalSeconds = scale.heartbeatIntervalSeconds,
-        leaseSeconds = toldLeaseS,
-        cancelSeconds = toldCancelS,
+        leaseSeconds = configuredLeaseS,
+        cancelSeconds = configuredCancelS,
         stateRequestsPerSecond = limitsOf(node).requestsPerSecond,
         stateWritesPerSecond = limitsOf(node).writesPerSecond,
         valueKb = limitsOf(node).valueKb,
@@ -186,10 +188,16 @@
 
     fun startController(node: Int) {
         if (controllers[node]?.second?.alive == true) return
-        val loop = SimLoop(sim, drift = node * DRIFT)
-        if (takesFaults) loop.guard = FaultBarrier { crash(node) }::run
-        val its = if (outsideLimitS != null && node % 2 == 0) OperatorSettings(stalenessLimit = outsideLimitS.seconds) else operatorSettings
-        val controller = Controller(loop, network.callerOf(name(node), loop), settings(node), its, ProcessHeap.maxBytes) { violation ->
+        val loop = SimLoop(sim, drift = node * CLOCK_DRIFT_PER_NODE)
+        if (faultsEndProcess) loop.guard = FaultBarrier { crash(node) }::run
+        val memberSettings =
+            if (stalenessLimitOverrideS != null && node % 2 == 0) {
+                OperatorSettings(stalenessLimit = stalenessLimitOverrideS.seconds)
+            } else {
+                operatorSettings
+            }
+        val caller = network.callerOf(name(node), loop)
+        val controller = Controller(loop, caller, settings(node), memberSettings, ProcessHeap.maxBytes) { violation ->
             breach("invariant", "${violation.invariant}: ${violation.detail}")
         }
         controllers[node] = controller to loop
@@ -232,7 +240,7 @@
     fun slowClock(node: Int, rate: Double) = controllers.getValue(node).second.slowDown(rate)
 
     /** What the controllers say no longer reaches the machine; what it says still reaches them. */
-    fun muffleMachine(index: Int): String? {
+    fun cutTrafficToMachine(index: Int): String? {
         val worker = workers.keys.elementAtOrNull(index) ?: return null
         (0 until nodes).forEach { network.cutOneWay(name(it), worker) }
         return worker
@@ -252,7 +260,7 @@
     }
 
     /** Machines that reach no controller, while direct commands reach them, and their answers come back. */
-    fun mute(workers: Collection<String>) {
+    fun loseRequestsFrom(workers: Collection<String>) {
         network.loses = { it.from in workers && !it.answer }
     }
 
@@ -306,7 +314,7 @@
 
     fun workerNames(): List<String> = workers.keys.toList()
 
-    val machinesRented: Int get() = cloud.rentedInAll
+    val machinesLaunched: Int get() = cloud.launchedInAll
 
     fun heal() = network.heal()
 
@@ -337,7 +345,7 @@
         if (machine !in cloudMachines) cloudMachines += machine
         val endpoint = Endpoint(machine.address.substringBefore(':'), 9000)
         val loop = SimLoop(sim, drift = sim.random.nextDouble() * 0.0005)
-        val speed = if (machine.name == slowMachine) SLOW else 1.0
+        val speed = if (machine.name == slowMachine) SLOW_MACHINE_SPEED else 1.0
         val site = WorkerSite(scale.heartbeatIntervalSeconds, scale.leaseSeconds, (0 until nodes).map { MemberId(name(it)) to client(it) })
         val worker = StandInWorker(
             loop,
@@ -377,14 +385,14 @@
         starts++
         startsOf.merge(task.job, 1, Int::plus)
         startsOn.merge(worker.name, 1, Int::plus)
-        val before = onMachine[task]
+        val before = runningOn[task]
         if (before != null && before !== worker) breach("ran_twice", "$task on ${worker.name} and ${before.name}")
-        onMachine[task] = worker
+        runningOn[task] = worker
         val user = users.getValue(task.job)
         if (!user.spec.allows(worker.type, worker.zone, worker.spot)) breach("wrong_place", "$task on ${worker.name}")
-        user.leftSince = null
+        user.waitingSinceMs = null
         pipelines.checkStart(user, task)
-        if (user.firstStartAt == null) user.firstStartAt = sim.nowMs
+        if (user.firstStartAtMs == null) user.firstStartAtMs = sim.nowMs
         val zones = tasksOf.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
         if (user.spec.oneZone && zones.distinct().size > 1) breach("wrong_place", "$task not in one zone")
         if (zones.count { it == worker.zone } > user.spec.perZoneLimit) breach("wrong_place", "$task not spread")
@@ -396,8 +404,8 @@
     }
 
     override fun ended(worker: StandInWorker, task: TaskId, done: Boolean) {
-        if (onMachine[task] === worker) {
-            onMachine.remove(task)
+        if (runningOn[task] === worker) {
+            runningOn.remove(task)
             val spec = users.getValue(task.job).spec
             tasksOf.getValue(task.job).remove(task)
             usedCpus.merge(spec.team, -spec.request.cpus, Double::plus)
@@ -407,22 +415,22 @@
             val user = users.getValue(task.job)
             user.doneTasks += task.index
             if (user.doneTasks.size == user.spec.tasks) {
-                if (user.completedAt == null) user.completedAt = sim.nowMs
-                whenComplete(user)
+                if (user.completedAtMs == null) user.completedAtMs = sim.nowMs
+                onJobComplete(user)
             }
         }
     }
 
     /** What users do at the moment at which the last task of a job ends. */
-    var whenComplete: (User) -> Unit = {}
+    var onJobComplete: (User) -> Unit = {}
 
     private fun checkCancelled() {
-        onMachine.keys.forEach(::checkCancelled)
+        runningOn.keys.forEach(::checkCancelled)
     }
 
     private fun checkCancelled(task: TaskId) {
-        val told = pipelines.cancelledAt(users.getValue(task.job)) ?: return
-        if (sim.nowMs - told > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
+        val cancelledAtMs = pipelines.cancelledAtMs(users.getValue(task.job)) ?: return
+        if (sim.nowMs - cancelledAtMs > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
     /** A start sent after its job's cancellation was confirmed, by somebody who must have known or had stopped knowing anything. */
@@ -431,27 +439,28 @@
         for (command in node.get("dispatches") ?: return) {
             if (command.stringOrNull("order") != "start") continue
             val task = TaskId.parse(command.stringOrNull("box")!!)!!
-            val told = users[task.job]?.let(pipelines::cancelledAt) ?: continue
-            if (knowsAtOnce || sim.nowMs - told > START_KNOWN_S * 1000) breach("started_cancelled", "$task")
+            val cancelledAtMs = users[task.job]?.let(pipelines::cancelledAtMs) ?: continue
+            val sinceMs = sim.nowMs - cancelledAtMs
+            if (cancellationsKnownImmediately || sinceMs > MAX_START_AFTER_CANCELLATION_S * 1000) breach("started_cancelled", "$task")
         }
     }
 
     /** From when on nothing may be left waiting; null while there are troubles. */
-    var calmSince: Double? = null
+    var faultFreeSinceMs: Double? = null
 
     /** No job waits for 90 s, with no start, while a machine that fits has room and its team is under its limit. */
-    private fun checkLeft() {
-        val calm = calmSince ?: return
+    private fun checkWaiting() {
+        val calm = faultFreeSinceMs ?: return
         for (user in users.values) {
-            val blocked = pipelines.releasedAt(user) == null || pipelines.mayEndWithAnother(user)
-            if (!user.accepted || user.finished || user.cancelAskedAt != null || blocked || !couldStart(user)) {
-                user.leftSince = null
+            val blocked = pipelines.releasedAtMs(user) == null || pipelines.dependencyCancelRequested(user)
+            if (!user.accepted || user.finished || user.cancelRequestedAtMs != null || blocked || !couldStart(user)) {
+                user.waitingSinceMs = null
                 continue
             }
-            val since = user.leftSince ?: sim.nowMs.also { user.leftSince = it }
-            if (sim.nowMs - maxOf(since, calm) > LEFT_S * 1000) {
+            val since = user.waitingSinceMs ?: sim.nowMs.also { user.waitingSinceMs = it }
+            if (sim.nowMs - maxOf(since, calm) > MAX_WAIT_WITH_CAPACITY_S * 1000) {
                 breach("left_waiting", "${user.spec.id}")
-                user.leftSince = null
+                user.waitingSinceMs = null
             }
         }
     }
@@ -471,30 +480,33 @@
     }
 
     /** Half of each class, team and class's largest jobs has begun within four minutes of their release. */
-    fun checkServed() {
+    fun checkStartDelays() {
         val counted = users.values.filter {
-            it.accepted && it.cancelAskedAt == null && pipelines.releasedAt(it) != null && !pipelines.mayEndWithAnother(it)
+            it.accepted && it.cancelRequestedAtMs == null && pipelines.releasedAtMs(it) != null && !pipelines.dependencyCancelRequested(it)
         }
         val groups = counted.groupBy { "class ${it.spec.load}" } + counted.groupBy { "team ${it.spec.team}" } +
-            counted.groupBy { it.spec.load }.map { (load, its) ->
-                "largest of $load" to its.sortedByDescending { it.spec.tasks }.take((its.size + LARGEST_OF - 1) / LARGEST_OF)
+            counted.groupBy { it.spec.load }.map { (load, members) ->
+                val largest = (members.size + LARGEST_JOBS_ONE_IN - 1) / LARGEST_JOBS_ONE_IN
+                "largest of $load" to members.sortedByDescending { it.spec.tasks }.take(largest)
+            }
+        for ((group, members) in groups) {
+            val served = members.count { user ->
+                user.firstStartAtMs?.let { it - pipelines.releasedAtMs(user)!! <= MAX_START_DELAY_S * 1000 } ?: false
             }
-        for ((group, its) in groups) {
-            val served = its.count { user -> user.firstStartAt?.let { it - pipelines.releasedAt(user)!! <= BEGUN_S * 1000 } ?: false }
-            if (served * 2 < its.size) breach("unserved", "$served of ${its.size} of $group")
+            if (served * 2 < members.size) breach("unserved", "$served of ${members.size} of $group")
         }
     }
 
     /** To be called when all troubles have been over for 75 s: each job by itself must have had an answer since. */
-    fun checkForgotten() {
+    fun checkAnswered() {
         for (user in users.values) {
-            if (!user.accepted || user.told == "aborted") continue
-            if (sim.nowMs - user.answeredAt > FORGOTTEN_S * 1000) breach("forgotten", "${user.spec.id} gets no answer")
+            if (!user.accepted || user.status == "aborted") continue
+            if (sim.nowMs - user.lastAnswerAtMs > MAX_UNANSWERED_S * 1000) breach("forgotten", "${user.spec.id} gets no answer")
         }
     }
 
     /** To be called when all troubles have been over for longer than a cancellation may take. */
-    fun checkOrphans() = pipelines.checkEnd()
+    fun checkCancelledDependents() = pipelines.checkEnd()
 
     private fun breach(rule: String, what: String) {
         breaches += "$rule at ${"%.1f".format(sim.nowMs / 1000)}: $what"
@@ -504,30 +516,30 @@
 
     /** A repeat of the submission of a job, whose answer is looked at like a poll. */
     fun repeat(user: User) {
-        val askedAt = sim.nowMs
-        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.awaits))) { reply ->
-            if (reply?.status in REFUSED) breach("forgotten", "repeat of ${user.spec.id}: ${reply?.status}")
+        val requestedAtMs = sim.nowMs
+        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
+            if (reply?.status in REFUSAL_STATUSES) breach("forgotten", "repeat of ${user.spec.id}: ${reply?.status}")
             if (reply?.status == 201) breach("forgotten", "${user.spec.id} accepted once more")
-            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
+            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
         }
     }
 
-    /** Submits a job that waits for [awaits], which have been submitted before; it is sent once they are known to be accepted. */
-    fun submit(spec: JobSpec, awaits: List<JobId> = emptyList(), work: (Int) -> Double?) {
-        val user = User(spec, awaits, work)
+    /** Submits a job that waits for [dependencies], which have been submitted before; it is sent once they are known to be accepted. */
+    fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), work: (Int) -> Double?) {
+        val user = User(spec, dependencies, work)
         users[spec.id] = user
         ask(user)
     }
 
     private fun ask(user: User) {
         if (user.accepted) return
-        if (user.awaits.any { users[it]?.accepted == false }) return later(1.0) { ask(user) }
-        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.awaits))) { reply ->
+        if (user.dependencies.any { users[it]?.accepted == false }) return later(1.0) { ask(user) }
+        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
             when (reply?.status) {
                 200, 201 -> {
-                    user.acceptedAt = sim.nowMs
-                    user.acceptedWith = reply.status
-                    user.answeredAt = sim.nowMs
+                    user.acceptedAtMs = sim.nowMs
+                    user.acceptedStatus = reply.status
+                    user.lastAnswerAtMs = sim.nowMs
                     later(5.0) { poll(user) }
                 }
                 // Refused as what it is not; a known job is answered with its state whatever else.
@@ -540,20 +552,20 @@
     /** A question beside the usual ones. */
     fun poll(id: JobId, node: Int = anyNode()) {
         val user = users.getValue(id)
-        val askedAt = sim.nowMs
+        val requestedAtMs = sim.nowMs
         requestAt(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == 404) breach("forgotten", "$id is unknown")
-            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
+            if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
         }
     }
 
     private fun poll(user: User) {
-        val askedAt = sim.nowMs
+        val requestedAtMs = sim.nowMs
         request(Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
             if (reply?.status == 404) breach("forgotten", "${user.spec.id} is unknown")
             if (reply?.status == 200) {
-                user.answeredAt = sim.nowMs
-                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
+                user.lastAnswerAtMs = sim.nowMs
+                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
             }
             // Also what is long done is asked for to the end.
             later(if (user.finished) 15.0 else 5.0) { poll(user) }
@@ -561,27 +573,27 @@
     }
 
     /** A question that was asked before the final answer came may still be answered as things were then: two at a time. */
-    private fun learn(user: User, status: String, askedAt: Double) {
+    private fun learn(user: User, status: String, requestedAtMs: Double) {
         val final = status == "done" || status == "aborted"
-        if (user.finished && !final && askedAt < user.finishedAt) return
-        if (user.finished && status != user.told) breach("went_back", "${user.spec.id}: ${user.told}, then $status")
-        if (!user.finished) user.finishedAt = sim.nowMs
+        if (user.finished && !final && requestedAtMs < user.finishedAtMs) return
+        if (user.finished && status != user.status) breach("went_back", "${user.spec.id}: ${user.status}, then $status")
+        if (!user.finished) user.finishedAtMs = sim.nowMs
         if (status == "done" && user.doneTasks.size < user.spec.tasks) breach("not_done", "${user.spec.id}")
-        if (status == "aborted" && user.cancelledAt == null) user.cancelledAt = sim.nowMs
-        user.told = status
+        if (status == "aborted" && user.cancelledAtMs == null) user.cancelledAtMs = sim.nowMs
+        user.status = status
         pipelines.checkAnswer(user)
     }
 
     fun cancel(id: JobId) {
         val user = users[id] ?: return
         if (!user.accepted || user.finished) return
-        if (user.cancelAskedAt == null) user.cancelAskedAt = sim.nowMs
-        val askedAt = sim.nowMs
+        if (user.cancelRequestedAtMs == null) user.cancelRequestedAtMs = sim.nowMs
+        val requestedAtMs = sim.nowMs
         request(Request(Method.POST, "/submissions/$id/cancel")) { reply ->
             if (reply?.status ==
                 200
             ) {
-                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
+                learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
             } else {
                 later(1.0) { cancel(id) }
             }
@@ -591,14 +603,14 @@
     /** Users repeat submissions, cancel what is done, ask for what nobody sent, and send what can't run or lacks a field. */
     fun oddRequest() {
         val known = users.values.filter { it.accepted }
-        val number = ODD_FROM + sim.random.nextInt(10_000)
+        val number = FIRST_ODD_JOB + sim.random.nextInt(10_000)
         when (sim.random.nextInt(5)) {
-            0 -> known.filter { !it.finished }.randomly()?.let(::repeat)
-            1 -> known.filter { it.told == "done" }.randomly()?.let { user ->
-                val askedAt = sim.nowMs
+            0 -> known.filter { !it.finished }.pickRandom()?.let(::repeat)
+            1 -> known.filter { it.status == "done" }.pickRandom()?.let { user ->
+                val requestedAtMs = sim.nowMs
                 request(Request(Method.POST, "/submissions/${user.spec.id}/cancel")) { reply ->
                     if (reply?.status == 404) breach("forgotten", "cancel of ${user.spec.id}")
-                    if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, askedAt)
+                    if (reply?.status == 200) learn(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
                 }
             }
             2 -> request(Request(Method.GET, "/submissions/job-$number")) { if (it?.status == 200) breach("invented", "job-$number") }
@@ -616,7 +628,7 @@
         }
     }
 
-    private fun <T> List<T>.randomly(): T? = if (isEmpty()) null else this[sim.random.nextInt(size)]
+    private fun <T> List<T>.pickRandom(): T? = if (isEmpty()) null else this[sim.random.nextInt(size)]
 
     /** One request through a random controller, as the load balancer would send it. */
     fun request(request: Request, done: (Reply?) -> Unit) = requestAt(anyNode(), request, done)
@@ -635,32 +647,32 @@
             if (sim.nowMs >= next) {
                 next = sim.nowMs + 500
                 checkCancelled()
-                checkLeft()
+                checkWaiting()
                 pipelines.overdue().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
             }
         }
     }
 
-    fun runningTasks(): Map<TaskId, StandInWorker> = onMachine
+    fun runningTasks(): Map<TaskId, StandInWorker> = runningOn
 
     companion object {
         const val HEARTBEAT_S = 1.5
         const val LEASE_S = 10.0
         const val CANCEL_S = 30.0
-        const val SLOW = 0.25
-        const val DRIFT = 0.0001
-        const val FORGOTTEN_S = 75.0
-        const val ENDED_FROM = 100_000
-        const val ODD_FROM = 700_000
-        val REFUSED = listOf(400, 404, 422)
-        const val LEFT_S = 90.0
-        const val BEGUN_S = 240.0
-        const val LARGEST_OF = 5
+        const val SLOW_MACHINE_SPEED = 0.25
+        const val CLOCK_DRIFT_PER_NODE = 0.0001
+        const val MAX_UNANSWERED_S = 75.0
+        const val FIRST_ENDED_JOB = 100_000
+        const val FIRST_ODD_JOB = 700_000
+        val REFUSAL_STATUSES = listOf(400, 404, 422)
+        const val MAX_WAIT_WITH_CAPACITY_S = 90.0
+        const val MAX_START_DELAY_S = 240.0
+        const val LARGEST_JOBS_ONE_IN = 5
         const val CHECKPOINT_S = 20.0
         const val FAILS_AFTER_S = 1.0
 
         /** Who neither reads the state service nor hears the others stops starting tasks this soon, and a little for the clocks. */
-        const val START_KNOWN_S = 3.2
+        const val MAX_START_AFTER_CANCELLATION_S = 3.2
         val ZONES = listOf("north", "south")
         val TEAM = TeamName("team")
         private val STATE = Endpoint("10.2.0.1", 2379)
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -126,23 +126,23 @@
 
     // ---- copies ----
 
-    /** One in so many of the workers' reports arrives once more, up to [latestCopyMs] later; 0: none. */
-    var copyOneIn = 0
-    var latestCopyMs = 60_000
-    var copiesDelivered = 0
+    /** One in so many of the workers' reports arrives once more, up to [maxDuplicateDelayMs] later; 0: none. */
+    var duplicateOneIn = 0
+    var maxDuplicateDelayMs = 60_000
+    var duplicatesDelivered = 0
         private set
 
     /** What becomes of a report before it arrives once more; other than itself only to see the referee at work. */
     var forge: (ByteArray) -> ByteArray = { it }
 
-    private fun copy(from: String, to: Endpoint, request: Request) {
-        sim.after(500.0 + sim.random.nextInt(latestCopyMs)) {
+    private fun deliverDuplicate(from: String, to: Endpoint, request: Request) {
+        sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMs)) {
             val present = hosts[to]
             if (present != null && present.loop.alive) {
-                copiesDelivered++
-                val copy = Request(request.method, request.path, forge(request.body))
-                observe(WireStep.COPY_DELIVERED, from, present.name, copy)
-                present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
+                duplicatesDelivered++
+                val deliverDuplicate = Request(request.method, request.path, forge(request.body))
+                observe(WireStep.COPY_DELIVERED, from, present.name, deliverDuplicate)
+                present.handler.handle(deliverDuplicate) { observe(WireStep.ANSWER_DISCARDED, present.name, from, deliverDuplicate, it) }
             }
         }
     }
@@ -154,7 +154,7 @@
         private set
 
     /** Requests that never arrive anywhere. */
-    var swallows: (Request) -> Boolean = { false }
+    var drops: (Request) -> Boolean = { false }
 
     /** Messages that are lost on the way. */
     var loses: (Passage) -> Boolean = { false }
@@ -234,10 +234,10 @@
         loop.after(timeout) { finish(null) }
         val request = tamperRequest(name, original)
         observe(WireStep.REQUEST_SENT, name, hostName(to), request)
-        if (copyOneIn > 0 && request.path == "/checkin" && sim.random.nextInt(copyOneIn) == 0) copy(name, to, request)
+        if (duplicateOneIn > 0 && request.path == "/checkin" && sim.random.nextInt(duplicateOneIn) == 0) deliverDuplicate(name, to, request)
         if (request.path == "/do") commandsSent(request.body)
         val host = hosts[to]
-        if (swallows(request)) return@HttpClient
+        if (drops(request)) return@HttpClient
         if (host == null || !host.loop.alive) {
             loop.after(2.milliseconds) { finish(null) }
             return@HttpClient
@@ -257,7 +257,7 @@
                 return@travel answer(Reply(UNAVAILABLE))
             }
             val late = path == "/multi" && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
-            if (late) return@travel carryOutLate(name, to, request)
+            if (late) return@travel applyLate(name, to, request)
             hosts[to]?.let { present ->
                 present.loop.whenAwake {
                     if (present.loop.alive) {
@@ -273,7 +273,7 @@
         }
     }
 
-    private fun carryOutLate(from: String, to: Endpoint, request: Request) = sim.after(2_000.0 + sim.random.nextInt(10_000)) {
+    private fun applyLate(from: String, to: Endpoint, request: Request) = sim.after(2_000.0 + sim.random.nextInt(10_000)) {
         lateWrites++
         observe(WireStep.LATE_WRITE, from, hostName(to), request)
         hosts[to]?.handler?.handle(request) { reply ->
--- a/src/test/kotlin/copperglade/sim/SiteFault.kt
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -18,7 +18,7 @@
     ALL_CONTROLLERS_CRASH({ _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } }),
     CONTROLLER_FROZEN({ seconds -> freezeController(anyNode(), seconds * 1000) }),
     COMMANDS_LOST({ seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } }),
-    MACHINES_MUTED({ seconds -> mute(someWorkers()).also { after(seconds) { loseNothing() } } }),
+    MACHINES_MUTED({ seconds -> loseRequestsFrom(someWorkers()).also { after(seconds) { loseNothing() } } }),
     HEARTBEATS_HELD_BACK({ seconds -> holdHeartbeats(someWorkers()).also { after(seconds) { heal() } } }),
     MACHINES_HANG({ seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } }),
     MACHINE_KILLED({ _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) }),
@@ -28,8 +28,8 @@
         after(seconds) { network.lateWriteOneIn = 0 }
     }),
     LATE_HEARTBEAT_COPIES({ seconds ->
-        network.copyOneIn = 3
-        after(seconds) { network.copyOneIn = 0 }
+        network.duplicateOneIn = 3
+        after(seconds) { network.duplicateOneIn = 0 }
     }),
     MESSAGES_DELAYED({ seconds ->
         network.delayMs = { if (it.path == "/do" || it.from == "state") sim.random.nextInt(900).toDouble() else 0.0 }
--- a/src/test/kotlin/copperglade/soak/SoakReferee.kt
+++ b/src/test/kotlin/copperglade/soak/SoakReferee.kt
@@ -17,16 +17,16 @@
  */
 class SoakReferee(private val now: () -> Long, private val cancelMs: Long, private val cpusMax: Double) {
     /** A job as its user and the machines see it. */
-    class SeenJob(val spec: JobSpec, val awaits: List<JobId>) {
+    class SeenJob(val spec: JobSpec, val dependencies: List<JobId>) {
         var accepted = false
-        var told: String? = null
-        var cancelAsked = false
+        var status: String? = null
+        var cancelRequested = false
         var cancelledAtMs: Long? = null
         var acceptedAtMs: Long? = null
         var finishedAtMs: Long? = null
-        var answeredAtMs = 0L
+        var lastAnswerAtMs = 0L
         val doneTasks = HashSet<Int>()
-        val finished: Boolean get() = told == DONE || told == ABORTED
+        val finished: Boolean get() = status == DONE || status == ABORTED
         val complete: Boolean get() = doneTasks.size == spec.tasks
     }
 
@@ -55,10 +55,10 @@
 
     private fun predecessorsOf(job: SeenJob): Set<SeenJob> {
         val all = LinkedHashSet<SeenJob>()
-        val open = ArrayDeque(job.awaits)
+        val open = ArrayDeque(job.dependencies)
         while (open.isNotEmpty()) {
             val next = jobs[open.removeFirst()] ?: continue
-            if (all.add(next)) open += next.awaits
+            if (all.add(next)) open += next.dependencies
         }
         return all
     }
@@ -72,7 +72,7 @@
     }
 
     /** Whether the job need not be done: it, or one that it needs, was called off. */
-    fun isCalledOff(job: SeenJob): Boolean = job.cancelAsked || predecessorsOf(job).any { it.cancelAsked }
+    fun isCalledOff(job: SeenJob): Boolean = job.cancelRequested || predecessorsOf(job).any { it.cancelRequested }
 
     fun started(task: TaskId, place: Place) {
         starts++
@@ -104,19 +104,19 @@
     }
 
     /** [status] is what a user was told of [id] in answer to a question asked at [askedAtMs]. */
-    fun told(id: JobId, status: String, askedAtMs: Long) {
+    fun recordStatus(id: JobId, status: String, askedAtMs: Long) {
         val job = jobs.getValue(id)
-        job.answeredAtMs = now()
+        job.lastAnswerAtMs = now()
         val final = status == DONE || status == ABORTED
         // Of two questions under way at a time, the one asked first may be answered as things were then.
         if (job.finished && !final && askedAtMs < (job.finishedAtMs ?: 0)) return
-        if (status != job.told) event("told $id $status")
-        if (job.finished && status != job.told) breach("went_back", "$id: ${job.told}, then $status")
+        if (status != job.status) event("told $id $status")
+        if (job.finished && status != job.status) breach("went_back", "$id: ${job.status}, then $status")
         if (status == DONE && !job.complete) breach("not_done", "$id has ${job.doneTasks.size} of ${job.spec.tasks} tasks done")
         if (status == ABORTED && !isCalledOff(job)) breach("went_back", "$id is cancelled by nobody")
         if (!job.finished && final) job.finishedAtMs = now()
         if (status == ABORTED && job.cancelledAtMs == null) job.cancelledAtMs = now()
-        job.told = status
+        job.status = status
         val since = cancelledAt(job)
         if (!final && since != null && now() - since > cancelMs) breach("orphaned", "$id is called $status")
     }
@@ -125,7 +125,7 @@
         val job = jobs.getValue(id)
         job.accepted = true
         if (job.acceptedAtMs == null) job.acceptedAtMs = now()
-        job.answeredAtMs = now()
+        job.lastAnswerAtMs = now()
         event("accepted $id")
     }
 
@@ -141,18 +141,18 @@
         for (task in running.keys) {
             val job = jobs[task.job] ?: continue
             val finishedAt = job.finishedAtMs ?: continue
-            if (now() - finishedAt > cancelMs) breach("orphaned", "$task runs long after its job was called ${job.told}")
+            if (now() - finishedAt > cancelMs) breach("orphaned", "$task runs long after its job was called ${job.status}")
         }
     }
 
-    /** To be called once all troubles have been over since [calmSinceMs], for long enough. */
-    fun checkEnd(calmSinceMs: Long) {
+    /** To be called once all troubles have been over since [faultFreeSinceMs], for long enough. */
+    fun checkEnd(faultFreeSinceMs: Long) {
         for ((id, job) in jobs) {
             if (!job.accepted) continue
-            if (job.answeredAtMs < calmSinceMs) breach("forgotten", "$id has had no answer since the troubles ended")
+            if (job.lastAnswerAtMs < faultFreeSinceMs) breach("forgotten", "$id has had no answer since the troubles ended")
             val since = cancelledAt(job)
-            if (since != null && now() - since > cancelMs && job.told != ABORTED) breach("orphaned", "$id was last called ${job.told}")
-            if (!job.spec.isService && !isCalledOff(job) && !job.finished) breach("left_waiting", "$id was last called ${job.told}")
+            if (since != null && now() - since > cancelMs && job.status != ABORTED) breach("orphaned", "$id was last called ${job.status}")
+            if (!job.spec.isService && !isCalledOff(job) && !job.finished) breach("left_waiting", "$id was last called ${job.status}")
         }
     }
 
--- a/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
@@ -18,26 +18,26 @@
 
     private fun place(machine: String, zone: String = "north") = SoakReferee.Place(machine, "box", zone, spot = false, incarnation = Any())
 
-    private fun submit(number: Int, awaits: List<Int> = emptyList(), tasks: Int = 1, zone: String? = null): JobId {
+    private fun submit(number: Int, dependencies: List<Int> = emptyList(), tasks: Int = 1, zone: String? = null): JobId {
         val spec = SimSite.job(number, tasks = tasks, zone = zone)
-        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, awaits.map { JobId("job-$it") })
+        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, dependencies.map { JobId("job-$it") })
         referee.accepted(spec.id)
         return spec.id
     }
 
-    private fun tell(job: JobId, status: String) = referee.told(job, status, nowMs)
+    private fun tell(job: JobId, status: String) = referee.recordStatus(job, status, nowMs)
 
     private fun cancel(job: JobId) {
-        referee.jobs.getValue(job).cancelAsked = true
+        referee.jobs.getValue(job).cancelRequested = true
         tell(job, "aborted")
     }
 
     private fun assertSeen(vararg rules: String) = assertEquals(rules.toList(), referee.breaches.map { it.rule })
 
     @Test
-    fun `a quiet pipeline breaks nothing`() {
+    fun `a pipeline without faults breaks no rule`() {
         val before = submit(1)
-        val after = submit(2, awaits = listOf(1))
+        val after = submit(2, dependencies = listOf(1))
         for (job in listOf(before, after)) {
             referee.started(TaskId(job, 0), first)
             tell(job, "running")
@@ -46,7 +46,7 @@
         }
         nowMs += CANCEL_MS * 2
         referee.check()
-        referee.checkEnd(calmSinceMs = 0)
+        referee.checkEnd(faultFreeSinceMs = 0)
         assertSeen()
         assertEquals(2, referee.starts)
     }
@@ -73,9 +73,9 @@
     }
 
     @Test
-    fun `a task that starts long after the cancellation of what it waits for`() {
+    fun `a task that starts long after the cancellation of its dependency`() {
         val before = submit(1)
-        val after = submit(2, awaits = listOf(1))
+        val after = submit(2, dependencies = listOf(1))
         referee.started(TaskId(before, 0), first)
         referee.ended(TaskId(before, 0), first, done = true)
         cancel(before)
@@ -85,18 +85,18 @@
     }
 
     @Test
-    fun `a task before what it waits for`() {
+    fun `a task that starts before its dependency is done`() {
         submit(1)
-        submit(2, awaits = listOf(1))
-        val last = submit(3, awaits = listOf(2))
+        submit(2, dependencies = listOf(1))
+        val last = submit(3, dependencies = listOf(2))
         referee.started(TaskId(last, 0), first)
         assertSeen("too_early")
     }
 
     @Test
-    fun `a job that is not called cancelled with the one before it`() {
+    fun `a job that is not reported cancelled with its dependency`() {
         val before = submit(1)
-        val after = submit(2, awaits = listOf(1))
+        val after = submit(2, dependencies = listOf(1))
         cancel(before)
         tell(after, "queued")
         assertSeen()
@@ -134,12 +134,12 @@
         val askedAt = nowMs
         nowMs += 10
         cancel(job)
-        referee.told(job, "queued", askedAt)
+        referee.recordStatus(job, "queued", askedAt)
         assertSeen()
     }
 
     @Test
-    fun `a job that is called done too soon`() {
+    fun `a job that is reported done too soon`() {
         tell(submit(1, tasks = 2), "done")
         assertSeen("not_done")
     }
@@ -162,12 +162,12 @@
         val job = submit(1)
         referee.refused(job, 404)
         nowMs += 10
-        referee.checkEnd(calmSinceMs = nowMs)
+        referee.checkEnd(faultFreeSinceMs = nowMs)
         assertSeen("forgotten", "forgotten", "left_waiting")
     }
 
     @Test
-    fun `what nobody submitted, and what can't be accepted`() {
+    fun `a job that nobody submitted, and one that can't be accepted`() {
         referee.started(TaskId(JobId("job-9"), 0), first)
         referee.acceptedBad("job-8")
         assertSeen("invented", "accepted_bad")
@@ -179,7 +179,7 @@
         assertEquals(
             listOf(7, 3, 300, 5, 60, 64, 2).toString(),
             with(options) {
-                listOf(firstSeed, runs, workers, nodes, troubleS, heapMb, atOnce).toString()
+                listOf(firstSeed, runs, workers, nodes, faultPhaseS, heapMb, atOnce).toString()
             },
         )
         for (bad in listOf(
--- a/src/test/kotlin/copperglade/soak/SoakRun.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRun.kt
@@ -34,7 +34,7 @@
     }
 
     private fun play(site: SoakSite): SoakResult {
-        val schedule = SoakTroubles.schedule(Random(seed), options.troubleS * MS)
+        val schedule = SoakFaults.schedule(Random(seed), options.faultPhaseS * MS)
         val users = SoakUsers(site)
         site.controllers.forEach { it.start() }
         if (!awaitHealthy(site)) return result(site, schedule, Verdict.INCONCLUSIVE, "the controllers did not come up")
@@ -44,11 +44,11 @@
             watch(site)
         }
         Thread.sleep(SETTLING_MS)
-        site.onLoop { schedule.forEach { due -> site.loop.after(due.atMs.milliseconds) { due.trouble.begin(site, due.forMs) } } }
-        Thread.sleep(options.troubleS * 1000L + LAST_TROUBLE_MS)
-        val calmSince = site.onLoop { endTroubles(site, users) }
-        awaitCalm(site)
-        return site.onLoop { judge(site, schedule, calmSince) }
+        site.onLoop { schedule.forEach { due -> site.loop.after(due.atMs.milliseconds) { due.fault.begin(site, due.forMs) } } }
+        Thread.sleep(options.faultPhaseS * 1000L + MAX_FAULT_TAIL_MS)
+        val faultFreeSinceMs = site.onLoop { endFaults(site, users) }
+        awaitCompletion(site)
+        return site.onLoop { judge(site, schedule, faultFreeSinceMs) }
     }
 
     private fun awaitHealthy(site: SoakSite): Boolean {
@@ -83,7 +83,7 @@
         site.loop.after(TICK_MS.milliseconds) { watch(site) }
     }
 
-    private fun endTroubles(site: SoakSite, users: SoakUsers): Long {
+    private fun endFaults(site: SoakSite, users: SoakUsers): Long {
         site.network.heal()
         site.state.outage = false
         site.controllers.forEach { it.resume() }
@@ -93,19 +93,19 @@
         return site.loop.now().ms
     }
 
-    private fun awaitCalm(site: SoakSite) {
+    private fun awaitCompletion(site: SoakSite) {
         val began = System.nanoTime()
-        Thread.sleep(MIN_CALM_MS)
-        while (System.nanoTime() - began < MAX_CALM_MS * NANOS_PER_MS &&
+        Thread.sleep(MIN_FAULT_FREE_MS)
+        while (System.nanoTime() - began < MAX_FAULT_FREE_MS * NANOS_PER_MS &&
             site.onLoop { site.referee.unfinished().isNotEmpty() }
         ) {
             Thread.sleep(TICK_MS)
         }
     }
 
-    private fun judge(site: SoakSite, schedule: List<Scheduled>, calmSince: Long): SoakResult {
+    private fun judge(site: SoakSite, schedule: List<ScheduledFault>, faultFreeSinceMs: Long): SoakResult {
         val referee = site.referee
-        referee.checkEnd(calmSince)
+        referee.checkEnd(faultFreeSinceMs)
         val fault = site.fault
         return when {
             fault != null -> result(site, schedule, Verdict.INCONCLUSIVE, "the harness itself failed: $fault")
@@ -122,14 +122,14 @@
         }
     }
 
-    private fun result(site: SoakSite, schedule: List<Scheduled>, verdict: Verdict, why: String): SoakResult {
+    private fun result(site: SoakSite, schedule: List<ScheduledFault>, verdict: Verdict, why: String): SoakResult {
         val referee = site.referee
         val ends = site.controllers.flatMap { it.ownEnds }
         val refused = logsOf().sumOf { log ->
             Files.lines(log).use { lines -> lines.filter { "violation=" in it && " count=" in it }.count() }
         }
-        val figures = "jobs ${referee.jobs.size}, done ${referee.jobs.values.count { it.told == "done" }}, " +
-            "cancelled ${referee.jobs.values.count { it.told == "aborted" }}, starts ${referee.starts}, troubles ${schedule.size}, " +
+        val figures = "jobs ${referee.jobs.size}, done ${referee.jobs.values.count { it.status == "done" }}, " +
+            "cancelled ${referee.jobs.values.count { it.status == "aborted" }}, starts ${referee.starts}, troubles ${schedule.size}, " +
             "messages disturbed ${site.network.disturbed}, own ends ${ends.size}${if (ends.isEmpty()) "" else " with status $ends"}, " +
             "actions refused by the last check $refused, longest stall $longestStallMs ms"
         if (verdict == Verdict.PASSED) {
@@ -140,7 +140,7 @@
         return SoakResult(seed, verdict, why, figures, folder)
     }
 
-    private fun keep(referee: SoakReferee, schedule: List<Scheduled>, verdict: Verdict, why: String, figures: String) {
+    private fun keep(referee: SoakReferee, schedule: List<ScheduledFault>, verdict: Verdict, why: String, figures: String) {
         val summary =
             listOf("seed $seed: $verdict, $why", figures, "", "schedule:") + schedule.map { "$it" } + "" + "breaches:" +
                 referee.breaches.map { "$it" }
@@ -159,9 +159,9 @@
         const val NANOS_PER_MS = 1_000_000L
         const val TICK_MS = 200L
         const val SETTLING_MS = 5_000L
-        const val LAST_TROUBLE_MS = 4_000L
-        const val MIN_CALM_MS = 18_000L
-        const val MAX_CALM_MS = 100_000L
+        const val MAX_FAULT_TAIL_MS = 4_000L
+        const val MIN_FAULT_FREE_MS = 18_000L
+        const val MAX_FAULT_FREE_MS = 100_000L
         const val MAX_STALL_MS = 1_200L
         const val HEALTH_TRIES = 30
         const val HEALTH_INTERVAL_MS = 700L
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -35,7 +35,7 @@
         val earlier = referee.jobs.values
             .filter { it.accepted && it.spec.kind != JobKind.SERVICE }
             .takeLast(RECENT)
-        val awaits = if (service ||
+        val dependencies = if (service ||
             random.nextInt(3) == 0
         ) {
             emptyList()
@@ -44,7 +44,7 @@
         }
         val most = 6 + site.options.workers / 10
         val spec = SimSite.job(number, tasks = 1 + random.nextInt(if (service) 3 else most), cpus = 2.0, service = service, etaS = 5.0)
-        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, awaits)
+        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, dependencies)
         send(spec.id)
         if (random.nextInt(CANCEL_ONE_IN) == 0) site.loop.after(random.nextInt(LATEST_CANCEL_MS).milliseconds) { cancel(spec.id) }
     }
@@ -53,7 +53,7 @@
 
     private fun send(id: JobId) {
         val job = referee.jobs.getValue(id)
-        site.ask(anyNode(), Request(Method.POST, "/submissions", submissionBody(job.spec, job.awaits))) { reply ->
+        site.ask(anyNode(), Request(Method.POST, "/submissions", submissionBody(job.spec, job.dependencies))) { reply ->
             when (reply?.status) {
                 HttpStatus.OK, HttpStatus.CREATED -> {
                     if (!job.accepted) {
@@ -81,7 +81,7 @@
         site.ask(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == HttpStatus.NOT_FOUND) referee.refused(id, reply.status)
             val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
-            if (status != null) referee.told(id, status, askedAt)
+            if (status != null) referee.recordStatus(id, status, askedAt)
         }
     }
 
@@ -91,14 +91,14 @@
             if (submitting) site.loop.after(RETRY) { cancel(id) }
             return
         }
-        job.cancelAsked = true
+        job.cancelRequested = true
         val askedAt = site.loop.now().ms
         site.ask(anyNode(), Request(Method.POST, "/submissions/$id/cancel")) { reply ->
             val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
             if (status == null) {
                 site.loop.after(RETRY) { cancel(id) }
             } else {
-                referee.told(id, status, askedAt)
+                referee.recordStatus(id, status, askedAt)
                 repeat(site.options.nodes) { askOnce(id, it) }
             }
         }
@@ -106,7 +106,7 @@
 
     /** Services run until they are cancelled: all of them, for the end. */
     fun cancelServices() = referee.jobs
-        .filterValues { it.spec.kind == JobKind.SERVICE && it.accepted && !it.finished && !it.cancelAsked }
+        .filterValues { it.spec.kind == JobKind.SERVICE && it.accepted && !it.finished && !it.cancelRequested }
         .keys
         .forEach(::cancel)
 
--- a/src/test/kotlin/copperglade/standin/StandInCloud.kt
+++ b/src/test/kotlin/copperglade/standin/StandInCloud.kt
@@ -47,7 +47,7 @@
     }
 
     /** How many times as long as usual the machine of this number takes to come up; null: it never does. */
-    var bootFactor: (Int) -> Double? = { 1.0 }
+    var bootTimeFactor: (Int) -> Double? = { 1.0 }
     private val machines = LinkedHashMap<String, Machine>()
     private val answers = HashMap<String, List<String>>()
 
@@ -103,7 +103,7 @@
     }
 
     private var created = 0
-    val rentedInAll: Int get() = created
+    val launchedInAll: Int get() = created
 
     private fun create(type: CloudType, zone: String, spot: Boolean): Machine {
         val number = ++created
@@ -117,7 +117,7 @@
                 loop.now(),
             )
         machines[machine.name] = machine
-        val factor = bootFactor(number) ?: return machine
+        val factor = bootTimeFactor(number) ?: return machine
         loop.after((type.bootSeconds * factor).seconds) {
             if (!machine.gone) {
                 machine.up = true
