--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -1,109 +1,126 @@
 package copperglade.agents
 
-import copperglade.protocol.Command
 import copperglade.protocol.Heartbeat
-import copperglade.protocol.WorkerWire
-import copperglade.safety.ActionGuard
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
+import copperglade.transport.Clock
+
+/** What becomes of a worker's heartbeat. */
+sealed interface HeartbeatOutcome {
+    /** It is acknowledged with [body], which renews the worker's lease if it arrives. */
+    class Acknowledged(val body: ByteArray) : HeartbeatOutcome
+
+    /** It is not acknowledged, so that the worker's lease runs on towards its end. */
+    data class NotAcknowledged(val reason: Reason) : HeartbeatOutcome
+
+    /** Why a heartbeat is not acknowledged. */
+    enum class Reason {
+        /** Its machine was removed, and it is from before that or from a worker that has restarted. */
+        MACHINE_REMOVED,
+
+        /** It is a late copy, or the worker has restarted with low numbers: only its reply to a command can tell. */
+        DUPLICATE,
+
+        /** It may be from before the worker restarted, and the machine doesn't answer commands. */
+        UNVERIFIED_AND_SILENT,
+
+        /** Earlier responses don't reach the worker: it shows none of the fencing tokens that they carried. */
+        RESPONSES_DO_NOT_ARRIVE,
+
+        /** Its machine is not a fenced machine of this owner, or another owner has commanded it since. */
+        NOT_OURS_TO_EXTEND,
+    }
+}
 
 /**
- * Decides which of the workers' own reports are believed, and how each is answered.
+ * Decides which of the workers' own heartbeats are trusted, and whether each is acknowledged.
  *
- * An answer of 200 renews the worker's lease, so it must be reckoned with whether it arrives or not. Invariants: a late copy
- * of a report gets no answer and changes nothing; no 200 lacks the stops of the cancelled tasks that the report shows
- * ([ActionGuard.stopsFor]). They guard against tasks that outlive their job's cancellation, or run twice because an old report was
- * taken for new.
+ * An acknowledgement renews the worker's lease, so it counts as if it had arrived. Invariant: a late copy of a heartbeat is not
+ * acknowledged and changes nothing. Guards against tasks that run twice because an old heartbeat was taken for a new one.
  */
 class HeartbeatHandler(
     private val state: ShardState,
     private val tracker: MachineTracker,
     private val commands: WorkerCommands,
+    private val responses: HeartbeatResponses,
+    private val timeouts: HeartbeatTimeouts,
+    private val clock: Clock,
 ) {
-    private val loop = state.context.loop
-
-    /**
-     * Takes a worker's own report and answers it; null where it must not be answered with 200. The caller has checked
-     * that we may act.
-     */
-    fun handleHeartbeat(heartbeat: Heartbeat): ByteArray? {
+    /** Handles a worker's own heartbeat. The caller has checked that the controller may act. */
+    fun handle(heartbeat: Heartbeat): HeartbeatOutcome {
         if (tracker.isFromRemovedMachine(heartbeat)) {
             tracker.probeRemovedMachine(heartbeat)
-            return null
+            return notAcknowledged(HeartbeatOutcome.Reason.MACHINE_REMOVED)
         }
         val known = state.machines[heartbeat.machine]
-        if (known != null && known.isUnverified(heartbeat)) return answerUnverified(known, heartbeat)
-        if (known != null && known.isDuplicate(heartbeat)) {
-            // A late copy, or a machine that began anew with low numbers: only its answer to a question of ours tells.
-            commands.fence(known)
-            return null
+        return when {
+            known != null && known.sequence.isUnverified(heartbeat) -> handleUnverified(known, heartbeat)
+            known != null && known.sequence.isDuplicate(heartbeat) -> {
+                commands.sendFencingToken(known)
+                notAcknowledged(HeartbeatOutcome.Reason.DUPLICATE)
+            }
+            else -> handleTrusted(heartbeat)
         }
-        val machine = tracker.receive(heartbeat)
-        machine.recordHeartbeat(heartbeat, loop.now())
-        if (answersDoNotArrive(machine)) {
-            commands.fence(machine)
-            return null
-        }
-        return answerTrusted(machine, heartbeat)
     }
 
-    private fun answerTrusted(machine: Machine, heartbeat: Heartbeat): ByteArray {
-        machine.leaseRenewedAt = loop.now()
-        if (!state.open || !state.isFenced(machine)) {
-            machine.unacknowledgedReplies++
-            commands.fence(machine)
-            return answer(heartbeat)
+    private fun handleTrusted(heartbeat: Heartbeat): HeartbeatOutcome {
+        val machine = tracker.receive(heartbeat)
+        machine.recordHeartbeat(heartbeat, clock.now())
+        if (responsesDoNotArrive(machine)) {
+            commands.sendFencingToken(machine)
+            return notAcknowledged(HeartbeatOutcome.Reason.RESPONSES_DO_NOT_ARRIVE)
         }
-        machine.unacknowledgedReplies = 0
-        return answer(heartbeat, commands.forReply(machine))
+        machine.renewLease(clock.now())
+        if (!state.isOpen || !state.isFenced(machine)) {
+            machine.unacknowledgedResponses++
+            commands.sendFencingToken(machine)
+            return HeartbeatOutcome.Acknowledged(responses.withoutCommands(heartbeat))
+        }
+        machine.unacknowledgedResponses = 0
+        return HeartbeatOutcome.Acknowledged(responses.withDueCommands(machine, heartbeat))
     }
 
     /**
-     * Answers a worker while we may act no more but know of nobody else who would: its lease goes on, and nothing is
-     * commanded but the end of what is cancelled. Null where somebody else has given it commands, or where the machine is
-     * not a fenced one of ours.
+     * A heartbeat that may be from before the worker restarted is not accepted. While the machine replies to commands its lease must go
+     * on; one that doesn't is not acknowledged.
      */
-    fun extendWorkerLease(heartbeat: Heartbeat): ByteArray? {
-        val known = state.machines[heartbeat.machine]?.takeIf { state.open && state.isFenced(it) } ?: return null
-        if (heartbeat.fencingToken > state.fencingToken || known.isUnverified(heartbeat) || known.isDuplicate(heartbeat)) return null
-        tracker.receive(heartbeat).recordHeartbeat(heartbeat, loop.now())
-        known.leaseRenewedAt = loop.now()
-        return answer(heartbeat)
+    private fun handleUnverified(machine: Machine, heartbeat: Heartbeat): HeartbeatOutcome {
+        commands.sendFencingToken(machine)
+        if (clock.now() >= machine.lastContactAt + timeouts.heartbeatTimeout) {
+            return notAcknowledged(HeartbeatOutcome.Reason.UNVERIFIED_AND_SILENT)
+        }
+        machine.recordUnverifiedHeartbeat(clock.now())
+        machine.renewLease(clock.now())
+        return HeartbeatOutcome.Acknowledged(responses.withoutCommands(heartbeat))
     }
 
     /**
-     * The report may be from before the machine began to count anew. It is not taken in, but while the machine answers our
-     * questions, its lease must go on; a machine that doesn't gets no 200.
+     * Handles a heartbeat while the controller may no longer act but knows of no other that would: the worker's lease goes on, and
+     * nothing is commanded but the end of what is cancelled. Not acknowledged where another owner has given the worker commands, or
+     * where the machine is not a fenced one of this owner.
      */
-    private fun answerUnverified(machine: Machine, heartbeat: Heartbeat): ByteArray? {
-        commands.fence(machine)
-        if (loop.now() >= machine.lastContactAt + state.context.heartbeatTimeout) return null
-        machine.recordUnverifiedHeartbeat(loop.now())
-        machine.leaseRenewedAt = loop.now()
-        return answer(heartbeat)
+    fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome {
+        val known = state.machines[heartbeat.machine]?.takeIf { state.isOpen && state.isFenced(it) }
+        val mayExtend = known != null && heartbeat.fencingToken <= state.fencingToken &&
+            !known.sequence.isUnverified(heartbeat) && !known.sequence.isDuplicate(heartbeat)
+        if (!mayExtend) return notAcknowledged(HeartbeatOutcome.Reason.NOT_OURS_TO_EXTEND)
+        val machine = tracker.receive(heartbeat)
+        machine.recordHeartbeat(heartbeat, clock.now())
+        machine.renewLease(clock.now())
+        return HeartbeatOutcome.Acknowledged(responses.withoutCommands(heartbeat))
     }
 
     /**
-     * Whether our answers don't reach a worker whose reports come: it takes up no token of ours. A 200 sent is no proof of
-     * arrival, but it must be reckoned with; so the worker gets none any more, and its lease surely runs out.
+     * Whether the responses don't reach a worker whose heartbeats arrive: it shows no token of this owner. Each response that was sent
+     * may have renewed the lease, so the worker gets none any more, and its lease certainly expires.
      */
-    private fun answersDoNotArrive(machine: Machine): Boolean =
-        state.open && !state.isFenced(machine) && machine.unacknowledgedReplies >= MAX_UNACKNOWLEDGED_REPLIES
+    private fun responsesDoNotArrive(machine: Machine): Boolean =
+        state.isOpen && !state.isFenced(machine) && machine.unacknowledgedResponses >= MAX_UNACKNOWLEDGED_RESPONSES
 
-    /** Every answer of 200 is made here: see [ActionGuard.stopsFor] for what none of them may lack. */
-    private fun answer(heartbeat: Heartbeat, commands: List<Command> = emptyList()): ByteArray {
-        val guard = state.context.guard
-        val stops = guard.stopsFor(heartbeat)
-        val others = commands.filterNot { command ->
-            command is Command.Stop && stops.any { it.attempt == command.attempt && it.task == command.task }
-        }
-        val approved = guard.approveAnswer(heartbeat, stops + others)
-        state.context.audit.commanded(heartbeat.machine, state.fencingToken, approved, way = "answer")
-        state.context.audit.answered(heartbeat.machine, state.fencingToken, stops.size)
-        return WorkerWire.answer(state.fencingToken, approved)
-    }
+    private fun notAcknowledged(reason: HeartbeatOutcome.Reason) = HeartbeatOutcome.NotAcknowledged(reason)
 
     private companion object {
-        const val MAX_UNACKNOWLEDGED_REPLIES = 4
+        const val MAX_UNACKNOWLEDGED_RESPONSES = 4
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -1,41 +1,44 @@
 package copperglade.agents
 
 import copperglade.protocol.MonotonicTime
+import copperglade.tasks.FailureEvidence
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
-import kotlin.time.Duration.Companion.seconds
-
-/** Judges which machines of a shard may be given tasks, and which had better be replaced. */
-class MachineHealth(private val state: ShardState) {
-    private val context = state.context
 
+/** Judges which machines of a shard may be given tasks, and which should be replaced. */
+class MachineHealth(
+    private val state: ShardState,
+    private val failureEvidence: FailureEvidence,
+    private val timeouts: HeartbeatTimeouts,
+) {
     /**
-     * Whether tasks may be placed on [machine]. None are where a command has just gone unanswered: they might be bound
-     * there for a whole lease. Nor where the worker's own reports stay out, though direct commands are answered: its lease
-     * is running out.
+     * Whether tasks may be placed on [machine]. Not where a command has just gone unanswered, since they might be bound there for a
+     * whole lease; nor where the worker's own heartbeats stay away though direct commands are answered, since its lease is running out.
      */
     fun isUsable(machine: Machine, now: MonotonicTime): Boolean =
-        isSound(machine, now) && !machine.unresponsive && now < machine.lastHeartbeatAt + context.heartbeatTimeout
+        isHealthy(machine, now) && !machine.channel.unresponsive && now < machine.lastHeartbeatAt + timeouts.heartbeatTimeout
 
-    /** Whether [machine] is worth its rent: one that has not obeyed a command for a lease will not. */
+    /** Whether [machine] is worth its price: one that has answered no command for a lease is not expected to recover. */
     fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
-        isSound(machine, now) && machine.unresponsiveSince?.let { now < it + context.leaseS.seconds } ?: true
+        isHealthy(machine, now) && machine.channel.unresponsiveSince?.let { now < it + timeouts.lease } ?: true
 
     /**
-     * How many of the shard's machines have missed a report. A worker whose report has gone unanswered for 4 s asks another
-     * controller, and is sent back for 4 s more if the shard still has its owner by then.
+     * How many of the shard's machines are unreachable: more than a heartbeat is overdue. A worker whose heartbeat goes unanswered for
+     * 4 s turns to another controller, so this shows well before its lease expires.
      */
     fun countUnreachable(now: MonotonicTime): Int {
-        val limit = context.heartbeatIntervals(MISSED_HEARTBEATS)
+        val limit = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEATS)
         return state.machines.values.count { now >= it.lastContactAt + limit }
     }
 
-    private fun isSound(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
-        !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) && !isSilent(machine, now)
+    private fun isHealthy(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
+        !machine.deleting && !machine.evictionNoticed && !failureEvidence.blamesMachine(machine.name) && !isSilent(machine, now)
 
-    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.lastContactAt + context.heartbeatTimeout
+    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.lastContactAt + timeouts.heartbeatTimeout
 
     private companion object {
-        const val MISSED_HEARTBEATS = 1.6
+        /** Heartbeat intervals without contact after which a machine counts as unreachable. */
+        const val UNREACHABLE_HEARTBEATS = 1.6
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -3,124 +3,134 @@
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.ShardState
+import copperglade.transport.Clock
 import org.slf4j.LoggerFactory
 
 /**
- * Follows which machines a shard has: from a worker's first report until its lease has run out or the machine is deleted.
+ * Tracks which machines a shard has: from a worker's first heartbeat until its lease has expired or the machine is deleted.
  *
- * Invariants: of a machine only the newest report counts, by session and sequence number, unless it has proved that it counts from
- * the start again; a dropped machine comes back only by its answer to a question of ours. They guard against late copies
- * of reports, which may arrive minutes after they were sent and would show tasks and room that are gone.
+ * Invariants: of a machine only the newest heartbeat counts, by agent epoch and sequence number, unless its worker has proved that
+ * it counts from the start again; a removed machine comes back only by its reply to a probe. They guard against late copies of
+ * heartbeats, which may arrive minutes after they were sent and would show tasks and free capacity that are gone.
  */
 class MachineTracker(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
-    private val commands: WorkerCommands,
     private val observer: TaskObserver,
-    private val unresolved: UnresolvedStarts,
-) {
-    private val context = state.context
-    private val loop = context.loop
+    private val client: WorkerClient,
+    private val history: MachineHistory,
+    private val timeouts: HeartbeatTimeouts,
+    private val clock: Clock,
+) : CommandReplyListener {
     private val machines = state.machines
-    private val removedMachines = RemovedMachines(loop)
+    private val removedMachines = RemovedMachines(clock)
 
-    /** Dropped machines that have just been asked whether they live. */
+    /** Removed machines with a probe in flight. */
     private val probed = HashSet<MachineName>()
 
-    /** Takes in a report if it is new; the machine that it is of. */
+    /** Accepts [heartbeat], the worker's own or a reply, if it is news, and returns the machine it is from. */
     fun receive(heartbeat: Heartbeat): Machine {
         val machine = machines.getOrPut(heartbeat.machine) { discover(heartbeat) }
         val epochBefore = machine.epoch
-        if (machine.update(heartbeat, loop.now())) {
-            if (machine.epoch > epochBefore) releaseAll(machine, "session ${machine.epoch} began")
-            if (state.open && state.isFenced(machine)) observer.match(machine)
+        if (machine.update(heartbeat, clock.now())) {
+            if (machine.epoch > epochBefore) releaseAll(machine, "agent epoch ${machine.epoch} began")
+            if (state.isOpen && state.isFenced(machine)) observer.reconcile(machine)
         }
         return machine
     }
 
     /**
-     * Takes in [heartbeat], the machine's answer to a command that was sent at [sentAt]. A machine that was asked after its
-     * last numbers were taken in, yet answers with none higher, counts from the start again.
+     * Accepts [heartbeat], [machine]'s reply to a command that was sent at [sentAt]. A worker that was asked after its newest heartbeat
+     * had been accepted, and yet replies with no higher numbers, counts from the start again.
      */
-    fun receiveReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        if (sentAt > machine.lastUpdateAt && !heartbeat.newerThan(machine.epoch, machine.sequenceNumber)) restarted(machine, heartbeat)
+    override fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
+        if (sentAt > machine.lastUpdateAt && !machine.sequence.isNews(heartbeat)) workerRestarted(machine, heartbeat)
         receive(heartbeat)
     }
 
-    /** Whether [heartbeat] is of a machine that was dropped, and from before that or from a count begun anew. */
+    /** Whether [heartbeat] is from a removed machine, and from before its removal or from a worker that counts from the start again. */
     fun isFromRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.covers(heartbeat)
 
-    /** Asks a machine that was dropped whether it lives; late copies of its reports get no answer. */
+    /** Asks the removed machine that [heartbeat] is from whether it lives; the heartbeat itself may be a late copy. */
     fun probeRemovedMachine(heartbeat: Heartbeat) {
-        if (!state.open || removedMachines.isPermanent(heartbeat.machine) || !probed.add(heartbeat.machine)) return
-        commands.probe(heartbeat.endpoint, heartbeat.epoch) { answer ->
-            probed -= heartbeat.machine
-            if (answer != null && answer.machine == heartbeat.machine && removedMachines.knows(answer.machine)) {
-                log.info("{} is back in session {}", answer.machine, answer.epoch)
-                val removedEpoch = removedMachines.epochOf(answer.machine)
-                receive(answer).markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
-                removedMachines.forget(answer.machine)
-            }
+        if (!state.isOpen || removedMachines.isPermanent(heartbeat.machine) || !probed.add(heartbeat.machine)) return
+        client.probe(heartbeat.endpoint, state.fencingToken, heartbeat.epoch) { reply -> onProbeReply(heartbeat.machine, reply) }
+    }
+
+    private fun onProbeReply(name: MachineName, reply: CommandReply) {
+        val answer = when (reply) {
+            is CommandReply.Answered -> reply.readHeartbeat()
+            CommandReply.TimedOut -> null
         }
+        probed -= name
+        if (answer == null || answer.machine != name || !removedMachines.knows(name)) return
+        log.info("machine_returned machine={} epoch={}", name, answer.epoch)
+        val removedEpoch = removedMachines.epochOf(name)
+        receive(answer).sequence.markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
+        removedMachines.forget(name)
     }
 
-    /** Drops machines that were last answered more than a lease ago: they have killed their tasks. */
-    fun dropExpired(now: MonotonicTime) {
+    /** Removes machines whose workers were last acknowledged more than a lease ago: they have ended their tasks. */
+    fun removeExpired(now: MonotonicTime) {
         for (machine in machines.values.toList()) {
-            unresolved.forgetExpired(machine, now)
-            if (now < machine.leaseRenewedAt + context.maxLease) continue
-            log.info("{} silent for longer than its lease, {} tasks lost", machine.name, machine.runs.size)
-            drop(machine)
+            if (now < machine.leaseRenewedAt + timeouts.maxLease) continue
+            log.info("machine_lease_expired machine={} tasks_lost={}", machine.name, machine.runs.size)
+            remove(machine)
         }
     }
 
-    /** Drops a machine that the cloud has deleted. Machine names are never given again. */
-    fun deleted(machine: Machine) {
-        drop(machine)
+    /** Removes a machine that the cloud has deleted. */
+    fun onDeleted(machine: Machine) {
+        remove(machine)
         removedMachines.deleted(machine.name)
     }
 
     private fun discover(heartbeat: Heartbeat): Machine {
-        val epochIsOurs = removedMachines.knows(heartbeat.machine)
-        val discovered =
-            Machine(heartbeat.machine, heartbeat.zone, heartbeat.spot, heartbeat.type, heartbeat.endpoint, loop.now(), epochIsOurs)
-        context.replica.images[state.name]
-            ?.value
-            ?.byMachine
-            ?.get(discovered.name)
-            ?.let(discovered::rememberImages)
+        val startedUnderCurrentOwner = removedMachines.knows(heartbeat.machine)
+        val discovered = Machine(
+            heartbeat.machine,
+            heartbeat.zone,
+            heartbeat.spot,
+            heartbeat.type,
+            heartbeat.endpoint,
+            clock.now(),
+            startedUnderCurrentOwner,
+        )
+        discovered.imageCache.addRecorded(state.recordedImages(discovered.name))
         return discovered
     }
 
     /**
-     * The machine's answer to a question of ours counts from the start again, so nothing that was on the machine is there
-     * any more. A start of unknown outcome may yet arrive and act, since the new session may have the number of the old: it
-     * stays bound.
+     * The worker's reply to a command counts from the start again, so no task that was on the machine is there any more. A start whose
+     * outcome is unknown may yet arrive and take effect, since the new agent epoch may have the number of the old: it stays bound.
      */
-    private fun restarted(machine: Machine, heartbeat: Heartbeat) {
-        log.info("{} began anew, {} tasks lost", machine.name, machine.runs.size)
-        machine.restart(heartbeat, loop.now())
+    private fun workerRestarted(machine: Machine, heartbeat: Heartbeat) {
+        log.info("worker_restarted machine={} tasks_lost={}", machine.name, machine.runs.size)
+        machine.restart(heartbeat, clock.now())
         for (run in machine.runs.toList()) {
-            val unresolvedStart = machine.hasUnresolvedStart(run.task, run.attempt)
-            if (unresolvedStart) run.restartAttempt(loop.now()) else lifecycle.lost(run, "${machine.name} began anew")
+            if (machine.channel.hasUnresolvedStart(run.task, run.attempt)) {
+                run.restartAttempt(clock.now())
+            } else {
+                lifecycle.release(run, "worker of ${machine.name} restarted")
+            }
         }
-        if (state.isFenced(machine)) observer.match(machine)
+        if (state.isFenced(machine)) observer.reconcile(machine)
     }
 
-    private fun drop(machine: Machine) {
+    private fun remove(machine: Machine) {
         machines.remove(machine.name)
-        context.profiles.forgetMachine(machine.name)
-        context.failureEvidence.forgetMachine(machine.name)
+        history.forget(machine.name)
         removedMachines.expired(machine.name, machine.epoch)
         releaseAll(machine, "${machine.name} is gone")
     }
 
-    private fun releaseAll(machine: Machine, why: String) = machine.runs.toList().forEach { lifecycle.lost(it, why) }
+    private fun releaseAll(machine: Machine, reason: String) = machine.runs.toList().forEach { lifecycle.release(it, reason) }
 
     private companion object {
-        val log = LoggerFactory.getLogger("owner")
+        val log = LoggerFactory.getLogger("agents")
     }
 }
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -7,21 +7,22 @@
 import kotlin.time.Duration.Companion.hours
 
 /**
- * Machines that were removed, so that late copies of their reports bring none of them back. Reports may arrive minutes
- * after they were sent; one of a machine that is gone would otherwise look like a machine with room.
+ * Machines that were removed from a shard, so that late copies of their heartbeats don't bring them back. A heartbeat may arrive
+ * minutes after it was sent; one of a machine that is gone would otherwise look like a machine with free capacity.
  *
  * Each is remembered for [RETENTION], however many there are: a bound on their number would forget the first of them while late
- * copies still come, just when a large part of the fleet is lost at once.
+ * copies still arrive, just when a large part of the fleet is lost at once.
  */
 class RemovedMachines(private val clock: Clock) {
     private class Removal(val epoch: Long, val at: MonotonicTime)
 
-    /** The highest session that a report may be of and still be old; the oldest removal first. */
+    /** The oldest removal first. */
     private val removals = LinkedHashMap<MachineName, Removal>()
 
+    /** How many removed machines are remembered. */
     val size: Int get() = removals.size
 
-    /** Its lease has surely run out: if it lives, it is in a later session. */
+    /** Records that the lease of [machine] has certainly expired: if it lives, it is in a later agent epoch than [epoch]. */
     fun expired(machine: MachineName, epoch: Long) {
         removals.remove(machine)
         removals[machine] = Removal(epoch, clock.now())
@@ -34,25 +35,31 @@
         while (oldest.hasNext() && now >= oldest.next().at + RETENTION) oldest.remove()
     }
 
-    /** Deleted; names are never given again. */
-    fun deleted(machine: MachineName) = expired(machine, Long.MAX_VALUE)
+    /** Records that [machine] was deleted; machine names are never reused. */
+    fun deleted(machine: MachineName) = expired(machine, DELETED)
 
+    /** Whether [machine] was removed. */
     fun knows(machine: MachineName): Boolean = machine in removals
 
+    /** The agent epoch in which [machine] was removed; 0 where it was not. */
     fun epochOf(machine: MachineName): Long = removals[machine]?.epoch ?: 0L
 
-    /** Whether [heartbeat] is from before the removal, or of a machine that counts from the start again. */
+    /** Whether [heartbeat] is from before its machine's removal, or from a worker that counts from the start again. */
     fun covers(heartbeat: Heartbeat): Boolean = removals[heartbeat.machine]?.let { heartbeat.epoch <= it.epoch } ?: false
 
-    /** Whether nothing can ever be heard of the machine again. */
-    fun isPermanent(machine: MachineName): Boolean = removals[machine]?.epoch == Long.MAX_VALUE
+    /** Whether [machine] was deleted and can never come back. */
+    fun isPermanent(machine: MachineName): Boolean = removals[machine]?.epoch == DELETED
 
+    /** Records that [machine] is back. */
     fun forget(machine: MachineName) {
         removals.remove(machine)
     }
 
     private companion object {
-        /** Far longer than any message was ever held up. */
+        /** Far longer than any message is ever held up. */
         val RETENTION = 1.hours
+
+        /** In place of an agent epoch: every heartbeat is from before the removal. */
+        const val DELETED = Long.MAX_VALUE
     }
 }
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -1,8 +1,8 @@
 package copperglade.agents
 
+import copperglade.observability.ActionAudit
 import copperglade.protocol.JobId
 import copperglade.protocol.JobSpec
-import copperglade.protocol.MonotonicTime
 import copperglade.protocol.TaskId
 import copperglade.storage.Assignment
 import copperglade.storage.Job
@@ -11,32 +11,30 @@
 import copperglade.tasks.RunState
 import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
+import copperglade.transport.Clock
 
 /**
- * Keeps a shard's runs in line with the records: a run for each of the shard's assignments, and none beside them.
+ * Keeps a shard's runs in line with the records: one run for each of the shard's assignments, and no others.
  *
- * Invariant: a task that was assigned before our grant counts as [RunState.MISSING] until no worker can hold it any more;
- * a former owner may have started it.
+ * Invariant: a task that was assigned before the grant is [RunState.MISSING] until no worker can hold it any more, since a former
+ * owner may have started it.
  */
 class RunReconciler(
     private val state: ShardState,
     private val stopper: RunStopper,
     private val backoff: RetryBackoff,
+    private val audit: ActionAudit,
+    private val clock: Clock,
 ) {
-    private val context = state.context
     private val runs = state.runs
 
-    /** By then, every worker that only a former owner answered has lost its lease. */
-    private val formerLeasesOverAt: MonotonicTime
-        get() = maxOf(state.grantedAt, context.formerIncarnations.over) + context.maxLease
-
-    /** Brings the runs of a job in line with its records. */
-    fun sync(job: Job) {
-        if (!state.open) return
+    /** Brings the runs of [job] in line with its records; no effect before the shard is open. */
+    fun reconcile(job: Job) {
+        if (!state.isOpen) return
         val live = job.live
         val spec = job.spec
         if (live == null || spec == null) {
-            drop(job.id)
+            removeJob(job.id)
             return
         }
         val assigned = HashSet<Int>()
@@ -48,46 +46,32 @@
             if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
         }
-        runs.of(job.id).filter { it.task.index !in assigned }.forEach(::forget)
+        runs.ofJob(job.id).filter { it.task.index !in assigned }.forEach(::forget)
     }
 
-    /** The run that follows [assignment]. One that was given back is replaced once its task is assigned here anew. */
+    /** The run that follows [assignment]. One that was returned to the leader is replaced once its task is assigned here again. */
     private fun runFor(job: Job, spec: JobSpec, acceptedAtMs: Long, assignment: Assignment): Run {
         val task = TaskId(job.id, assignment.task)
         val known = runs[task]
-        val assignedAnew = known != null && known.generation != assignment.generation && known.state == RunState.GONE
-        if (known != null && !assignedAnew) return known
-        val first = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
-        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, first, context.loop.now(), runs::onStateChanged)
+        val assignedAgain = known != null && known.generation != assignment.generation && known.state == RunState.GONE
+        if (known != null && !assignedAgain) return known
+        val initialState = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
+        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, initialState, clock.now(), runs::onStateChanged)
         newRun.restarted = job.restarted(assignment.task)
         runs.add(newRun)
         return newRun
     }
 
-    /** The job is over, or nothing is known of it any more. */
-    fun drop(job: JobId) {
-        runs.of(job).forEach(::forget)
+    /** Removes the runs of [job], which has ended or is no longer known. */
+    fun removeJob(job: JobId) {
+        runs.ofJob(job).forEach(::forget)
         backoff.forget(job)
     }
 
-    /** The record of its outcome stands; whatever its machine still reports of it is removed as an unknown task. */
+    /** The outcome is recorded; whatever the machine's worker still reports of the task is removed as an unknown task. */
     private fun forget(run: Run) {
-        context.audit.forgotten(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
+        audit.forgotten(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
         run.unbind()
         runs.remove(run)
     }
-
-    /**
-     * Lets tasks that no worker reports be started, once every worker that could hold one has been heard under our token
-     * or has lost its lease. The cloud's list of machines can't shorten the wait: it lags.
-     */
-    fun releaseMissing(now: MonotonicTime) {
-        val missing = runs.missing
-        if (missing.isEmpty() || now < formerLeasesOverAt) return
-        if (state.machines.values.any { !state.isFenced(it) && !it.startedUnderCurrentOwner }) return
-        for (run in missing) {
-            run.transitionTo(RunState.WAITING, "on no worker", now)
-            if (context.guard.isCancelled(run.task.job)) stopper.stop(run, StopReason.CANCELLED)
-        }
-    }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
@@ -0,0 +1,66 @@
+package copperglade.agents
+
+import copperglade.protocol.ExitCause
+import copperglade.tasks.FailingJobs
+import copperglade.tasks.Machine
+import copperglade.tasks.OutcomeLog
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunLifecycle
+import copperglade.tasks.RunState
+import copperglade.tasks.ShardState
+import copperglade.transport.Clock
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration
+
+/** Decides what follows from the exit of a task: it is done, or is started again later, preferably on another machine. */
+class TaskExitHandler(
+    private val state: ShardState,
+    private val lifecycle: RunLifecycle,
+    private val outcomes: OutcomeLog,
+    private val backoff: RetryBackoff,
+    private val failingJobs: FailingJobs,
+    private val profiles: ProfileRecorder,
+    private val clock: Clock,
+) {
+    /** The worker of [machine] reports that the task of [run] has exited for [cause]. */
+    fun onExit(run: Run, machine: Machine, cause: ExitCause) {
+        when (cause) {
+            ExitCause.DONE -> {
+                profiles.record(run, machine)
+                failingJobs.recordCompletion(run.task.job, machine.name)
+                lifecycle.finish(run, RunState.DONE, "completed")
+            }
+            ExitCause.ERROR -> onFailure(run, machine)
+            ExitCause.STOPPED -> lifecycle.release(run, "stopped")
+            ExitCause.NO_CAPACITY, ExitCause.BUSY, ExitCause.UNKNOWN_JOB, ExitCause.OTHER -> {
+                log.info("start_refused task={} machine={} cause={}", run.task, machine.name, cause)
+                retryElsewhere(run, machine, backoff.delayAfterRefusal())
+            }
+        }
+    }
+
+    private fun onFailure(run: Run, machine: Machine) {
+        log.info("task_failed task={} machine={}", run.task, machine.name)
+        val job = run.task.job
+        run.failures++
+        if (!failingJobs.isRecorded(job)) failingJobs.recordFailure(job, machine.name, clock.now())
+        if (job in failingJobs) {
+            backoff.recordFailure(job, clock.now())
+            outcomes.recordFailingJob(run)
+        }
+        retryElsewhere(run, machine, backoff.delayAfterFailures(run.failures))
+    }
+
+    /** Lets [run] start again after [delay], on another machine; once half of the shard's machines have been tried, on any. */
+    private fun retryElsewhere(run: Run, machine: Machine, delay: Duration) {
+        if (run.avoidedMachines.size * 2 >= state.machines.size) run.avoidedMachines.clear()
+        run.avoidedMachines += machine.name
+        run.earliestStartAt = clock.now() + delay
+        lifecycle.release(run, "failed")
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("agents")
+    }
+}
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -2,144 +2,104 @@
 
 import copperglade.membership.Membership
 import copperglade.protocol.Command
-import copperglade.protocol.Endpoint
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.MonotonicTime
-import copperglade.protocol.WorkerWire
 import copperglade.tasks.Machine
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.RunState
 import copperglade.tasks.ShardState
 import copperglade.tasks.UnresolvedStart
-import copperglade.transport.HttpStatus
-import copperglade.transport.Method
-import copperglade.transport.Reply
-import copperglade.transport.Request
+import copperglade.transport.Clock
 import org.slf4j.LoggerFactory
-import kotlin.time.Duration.Companion.milliseconds
-import kotlin.time.Duration.Companion.seconds
+
+/** Told of the state with which a machine's worker answered a direct command. */
+fun interface CommandReplyListener {
+    /** [heartbeat] is [machine]'s answer to a command that was sent at [sentAt]. */
+    fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime)
+}
 
 /**
- * Sends commands to the workers of a shard, directly or with the answers to their reports.
+ * Sends direct commands to the workers of a shard. Commands that go with the responses to heartbeats are [HeartbeatResponses]' task.
  *
- * Invariants: a machine has one direct command under way at most; only a fenced machine is given starts, stops or removals;
- * direct commands go out only while [Membership.mayAct], asked at the moment of sending. They guard against commands of a
- * controller that has lost the shard, and against acting on what a former owner's commands may still change.
+ * Invariants: a machine has at most one direct command in flight; only a fenced machine is given starts, stops or removals; direct
+ * commands are sent only while [Membership.mayAct], checked at the moment of sending. They guard against commands of a controller
+ * that has lost the shard, and against acting on a state that a former owner's commands may still change.
  */
 class WorkerCommands(
     private val state: ShardState,
     private val planner: CommandPlanner,
     private val unresolved: UnresolvedStarts,
     private val lifecycle: RunLifecycle,
-    /** Takes in the report with which a machine answered a command that was sent at the given moment. */
-    private val heartbeatReceived: (Machine, Heartbeat, MonotonicTime) -> Unit,
+    private val client: WorkerClient,
+    private val membership: Membership,
+    private val clock: Clock,
+    private val replyListener: CommandReplyListener,
 ) {
-    private val context = state.context
-    private val loop = context.loop
-
-    /** Sends a machine whatever it is still to be told. */
+    /** Sends [machine] the commands that are due, or only the fencing token where its worker has not shown it. */
     fun sendDue(machine: Machine) {
-        if (!state.open || machine.commandInFlight || machine.deleting || !context.membership.mayAct) return
-        if (!state.isFenced(machine)) return fence(machine)
-        if (machine.unresponsive) fence(machine)
-        for (run in machine.runs.toList()) {
-            if (run.state == RunState.STOPPING && !run.confirmedByWorker &&
-                run.startSentAt == MonotonicTime.NEVER
-            ) {
-                lifecycle.lost(run, "never sent")
-            }
-        }
+        if (!state.isOpen || machine.channel.commandInFlight || machine.deleting || !membership.mayAct) return
+        if (!state.isFenced(machine)) return sendFencingToken(machine)
+        if (machine.channel.unresponsive) sendFencingToken(machine)
+        releaseNeverSent(machine)
         val commands = planner.dueCommands(machine)
         if (commands.any { it !is Command.Remove }) send(machine, commands)
     }
 
-    /** Shows a machine our fencing token, and asks it for a report, by a message without commands. */
-    fun fence(machine: Machine) {
-        if (!state.open || machine.commandInFlight || loop.now() < machine.commandSentAt + CommandPlanner.RESEND_INTERVAL) return
-        send(machine, emptyList())
-    }
-
-    /** Asks the worker at [endpoint], of which nothing is known for certain, for a report; [done] gets null if none comes. */
-    fun probe(endpoint: Endpoint, epoch: Long, done: (Heartbeat?) -> Unit) {
-        if (!context.guard.approveSending("probe of $endpoint")) return done(null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(state.fencingToken, epoch, emptyList()))
-        context.http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
-            done(reply?.let { WorkerWire.parseHeartbeat(it.body) })
-        }
-    }
-
-    /**
-     * The commands that go out with the answer to a fenced machine's report. Where the direct way is broken, that is the
-     * other one; a command in an answer is never executed late. Removals go with it in any case: a message of its own for
-     * every finished task was a third of all commands.
-     */
-    fun forReply(machine: Machine): List<Command> {
-        val due = planner.dueCommands(machine)
-        val planned = when {
-            machine.unresponsive && !machine.commandInFlight -> due
-            removalsAreDue(machine) -> due.filterIsInstance<Command.Remove>()
-            else -> emptyList()
-        }
-        val commands = context.guard.approveCommands(machine.name, planned + unknownStops(machine, planned))
-        if (commands.isNotEmpty()) {
-            planner.markSent(machine, commands)
-            unresolved.begin(machine, commands, expiresAt = loop.now() + ANSWER_LIFETIME)
+    /** A run that was stopped before its start was sent is certainly not on the machine. */
+    private fun releaseNeverSent(machine: Machine) {
+        for (run in machine.runs.toList()) {
+            val neverSent = run.state == RunState.STOPPING && !run.confirmedByWorker && run.startSentAt == MonotonicTime.NEVER
+            if (neverSent) lifecycle.release(run, "never sent")
         }
-        return commands
     }
 
-    /** The direct way may be broken without our knowing yet; no lease is renewed without stopping what nobody follows any more. */
-    private fun unknownStops(machine: Machine, planned: List<Command>): List<Command> {
-        val stops = planner.unknownTaskCommands(machine, loop.now()).filterIsInstance<Command.Stop>()
-        return stops.filterNot { stop -> planned.any { it is Command.Stop && it.task == stop.task && it.attempt == stop.attempt } }
+    /** Shows [machine]'s worker the fencing token, and asks for its state, by a message without commands. */
+    fun sendFencingToken(machine: Machine) {
+        val channel = machine.channel
+        if (!state.isOpen || channel.commandInFlight || clock.now() < channel.commandSentAt + CommandPlanner.RESEND_INTERVAL) return
+        send(machine, emptyList())
     }
 
-    /**
-     * Every removal makes the worker report once more. So removals wait for a while, until the next start takes them along,
-     * but not where nothing else is left: a machine is idle only once it is empty.
-     */
-    private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.occupiesMachine } ||
-        loop.now() >= machine.lastRemovalSentAt + context.heartbeatIntervals(HEARTBEATS_PER_REMOVAL)
-
     private fun send(machine: Machine, planned: List<Command>) {
-        if (!context.membership.mayAct) return
-        val commands = context.guard.approveCommands(machine.name, planned)
-        context.audit.commanded(machine.name, state.fencingToken, commands, way = "direct")
+        if (!membership.mayAct) return
+        val commands = client.approve(machine.name, state.fencingToken, planned)
         planner.markSent(machine, commands)
-        val sentAt = loop.now()
-        machine.commandInFlight = true
-        machine.commandSentAt = sentAt
-        val body = WorkerWire.order(state.fencingToken, machine.epoch, commands)
+        val sentAt = clock.now()
+        machine.channel.commandSent(sentAt)
         val starts = unresolved.begin(machine, commands, expiresAt = null)
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, body)
-        context.http.call(machine.endpoint, request, COMMAND_TIMEOUT) { reply ->
-            machine.commandInFlight = false
-            machine.unresponsiveSince = if (reply == null) machine.unresponsiveSince ?: loop.now() else null
-            if (state.machines[machine.name] === machine) replied(machine, reply, starts, sentAt)
+        client.send(machine.endpoint, state.fencingToken, machine.epoch, commands) { reply -> onReply(machine, reply, starts, sentAt) }
+    }
+
+    private fun onReply(machine: Machine, reply: CommandReply, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
+        when (reply) {
+            CommandReply.TimedOut -> machine.channel.commandTimedOut(clock::now)
+            is CommandReply.Answered -> {
+                machine.channel.commandAnswered()
+                if (state.machines[machine.name] === machine) onAnswer(machine, reply, starts, sentAt)
+            }
         }
     }
 
-    private fun replied(machine: Machine, reply: Reply?, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
-        if (reply == null) return
-        if (reply.status == HttpStatus.OK || reply.status == HttpStatus.CONFLICT) unresolved.resolve(machine, starts)
-        val heartbeat = WorkerWire.parseHeartbeat(reply.body)
+    private fun onAnswer(machine: Machine, answer: CommandReply.Answered, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
+        if (answer.isFinal) unresolved.resolve(machine, starts)
+        val heartbeat = answer.readHeartbeat()
         if (heartbeat != null && heartbeat.machine == machine.name) {
             if (heartbeat.fencingToken > state.fencingToken) {
-                log.info("{} obeys a higher baton {} than ours, {}", machine.name, heartbeat.fencingToken, state.fencingToken)
+                log.info(
+                    "higher_fencing_token_seen machine={} worker_token={} own_token={}",
+                    machine.name,
+                    heartbeat.fencingToken,
+                    state.fencingToken,
+                )
             }
-            heartbeatReceived(machine, heartbeat, sentAt)
+            replyListener.onReply(machine, heartbeat, sentAt)
         } else {
-            log.warn("{} answered a command with {}", machine.name, reply.status)
+            log.warn("command_reply_unexpected machine={} status={}", machine.name, answer.status)
         }
         sendDue(machine)
     }
 
     private companion object {
-        const val HEARTBEATS_PER_REMOVAL = 2.0
-        val COMMAND_TIMEOUT = 1500.milliseconds
-
-        /** Workers drop answers that come later than 4 s after their report. */
-        val ANSWER_LIFETIME = 5.seconds
-        val log = LoggerFactory.getLogger("owner")
+        val log = LoggerFactory.getLogger("agents")
     }
 }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -13,7 +13,18 @@
 import copperglade.observability.ActionAudit
 import copperglade.observability.EventLoopMetrics
 import copperglade.observability.RequestLatency
+import copperglade.ownership.ActionControl
+import copperglade.ownership.HeartbeatRouter
+import copperglade.ownership.ImageRecordWriter
+import copperglade.ownership.MachineKnowledge
+import copperglade.ownership.MachineRetirement
+import copperglade.ownership.OwnedShards
+import copperglade.ownership.ShardConnections
+import copperglade.ownership.ShardOwnerFactory
 import copperglade.ownership.ShardOwnership
+import copperglade.ownership.ShardRecordWriter
+import copperglade.ownership.ShardTicker
+import copperglade.ownership.UnreachableWorkerWatch
 import copperglade.prediction.ProfileStore
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
@@ -40,7 +51,8 @@
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
-import copperglade.tasks.ShardContext
+import copperglade.tasks.FailureEvidence
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpCaller
 import copperglade.transport.HttpStatus
@@ -124,35 +136,33 @@
     )
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget = TokenBucket(settings.cloudRps * CLOUD_SHARE / zoneOfMember.size, 2.0, loop.now())
-    private val shardOwnership: ShardOwnership = ShardOwnership(
-        ShardContext(
-            loop,
-            http,
-            replica,
-            membership,
-            types,
-            profiles,
-            operatorSettings,
-            settings.heartbeatIntervalS,
-            settings.leaseS,
-            metrics,
-            formerIncarnations,
-            guard,
-            audit,
-        ),
-        store,
-        shardMap,
-        settings.cloud,
-        cloudBudget,
-        ::peersReachStateService,
+    private val failureEvidence = FailureEvidence(operatorSettings.machinesToBlameJob)
+    private val shardOwners = ShardOwnerFactory(
+        ShardConnections(loop, http, store),
+        replica,
+        ActionControl(membership, guard, audit),
+        MachineKnowledge(types, profiles, failureEvidence),
+        formerIncarnations,
+        HeartbeatTimeouts(settings.heartbeatIntervalS, settings.leaseS),
+        metrics,
+        operatorSettings.stragglerMargin,
     )
+    private val ownedShards = OwnedShards()
+    private val shardRecords = ShardRecordWriter(loop, store, replica, membership)
+    private val shardOwnership =
+        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwners, shardRecords, failureEvidence)
+    private val shardTicker = ShardTicker(loop, ownedShards, shardRecords, metrics)
+    private val unreachableWorkerWatch = UnreachableWorkerWatch(loop, store, ownedShards, shardOwnership)
+    private val imageRecords = ImageRecordWriter(loop, store, replica, membership, ownedShards)
+    private val heartbeatRouter = HeartbeatRouter(ownedShards, shardMap, replica, membership, ::peersReachStateService)
+    private val machineRetirement = MachineRetirement(ownedShards, membership, http, settings.cloud, cloudBudget, loop)
     private val peerStatusExchange = PeerStatusExchange(
         loop,
         http,
         store,
         settings.member,
         settings.peers,
-        { shardOwnership.machineCount },
+        { ownedShards.machineCount },
         { composeStatus() },
         { replica.leader?.value?.member },
         ::onPeerStatus,
@@ -200,7 +210,9 @@
         membership.start()
         leaseEndorsement.start()
         leadership.start()
-        shardOwnership.start()
+        shardTicker.start()
+        unreachableWorkerWatch.start()
+        imageRecords.start()
         peerStatusExchange.start()
         fleet.start()
         submissions.start()
@@ -244,7 +256,7 @@
             knownRevision = replica.knownRevision,
             stateSilentMs = loop.now().ms - store.lastGood.ms,
             isLeader = leading,
-            shards = shardOwnership.shardCapacities(),
+            shards = ownedShards.capacities(),
             release = if (leading) shardAssigner.release else emptyList(),
             retire = if (leading) fleet.retire else emptyList(),
             writesWanted = store.writesWanted,
@@ -257,7 +269,7 @@
         if (status.member == settings.member) ownStatus = status
         if (!status.isLeader) return
         shardOwnership.release(status.release)
-        shardOwnership.retire(status.retire)
+        machineRetirement.retire(status.retire)
     }
 
     private fun statusOf(member: MemberId): PeerStatus? =
@@ -310,7 +322,7 @@
             when {
                 heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserWire.error("not a worker's report"))
                 replica.state != ReplicaState.CURRENT -> JobService.later()
-                else -> shardOwnership.handleHeartbeat(heartbeat)
+                else -> heartbeatRouter.handle(heartbeat)
             },
         )
     }
--- /dev/null
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -0,0 +1,58 @@
+package copperglade.ownership
+
+import copperglade.membership.Membership
+import copperglade.protocol.Revision
+import copperglade.storage.Condition
+import copperglade.storage.Keys
+import copperglade.storage.RecordCodec
+import copperglade.storage.Replica
+import copperglade.storage.StateClient
+import copperglade.storage.Transaction
+import copperglade.storage.TransactionOutcome
+import copperglade.storage.Write
+import copperglade.storage.WritePriority
+import copperglade.transport.EventLoop
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Records which images the machines of the owned shards hold. The records are hints that save fetches after a takeover; nothing else
+ * depends on them, so they are written only while there is write budget to spare.
+ */
+class ImageRecordWriter(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val replica: Replica,
+    private val membership: Membership,
+    private val owned: OwnedShards,
+) {
+    fun start() = loop.again({ WRITE_INTERVAL }) {
+        if (membership.mayAct && store.writeLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
+    }
+
+    private fun write(shard: ShardOwner) {
+        val present = replica.images[shard.name]
+        val record = shard.imageRecord((store.limits.valueBytes * USABLE_PART_OF_VALUE).toInt())
+        if (record.byMachine == present?.value?.byMachine.orEmpty()) return
+        val value = RecordCodec.encode(record)
+        if (value.size > store.limits.valueBytes) return
+        val key = Keys.images(shard.name)
+        val conditions = listOf(
+            Condition(Keys.shard(shard.name), Revision(shard.fencingToken.number)),
+            Condition(key, present?.revision ?: Revision.ABSENT),
+        )
+        val transaction = Transaction(conditions, listOf(Write.Set(key, value)))
+        store.commit(WritePriority.CLEANUP, transaction) { outcome ->
+            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+        }
+    }
+
+    private companion object {
+        val WRITE_INTERVAL = 10.seconds
+
+        /** The estimate of a record's size is rough. */
+        const val USABLE_PART_OF_VALUE = 0.8
+
+        /** The part of the write budget that must be left. */
+        const val MIN_WRITE_LEVEL = 0.6
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/ownership/MachineRetirement.kt
@@ -0,0 +1,62 @@
+package copperglade.ownership
+
+import copperglade.membership.Membership
+import copperglade.protocol.CloudWire
+import copperglade.protocol.Endpoint
+import copperglade.protocol.MachineName
+import copperglade.storage.TokenBucket
+import copperglade.tasks.Machine
+import copperglade.transport.Clock
+import copperglade.transport.HttpCaller
+import copperglade.transport.HttpStatus
+import copperglade.transport.Method
+import copperglade.transport.Request
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.seconds
+
+/** Returns machines to the cloud that the leader no longer needs. */
+class MachineRetirement(
+    private val owned: OwnedShards,
+    private val membership: Membership,
+    private val http: HttpCaller,
+    private val cloud: Endpoint,
+    private val cloudBudget: TokenBucket,
+    private val clock: Clock,
+) {
+    private data class OwnedMachine(val shard: ShardOwner, val machine: Machine)
+
+    /** Has those of [names] deleted that are machines of owned shards and empty, as many as one request may hold. */
+    fun retire(names: List<MachineName>) {
+        if (!membership.mayAct) return
+        val retired = names.mapNotNull(::find).filter { mayRetire(it.machine) }.take(CloudWire.MAX_DELETED)
+        if (retired.isEmpty() || !cloudBudget.tryTake(1, clock.now())) return
+        retired.forEach {
+            it.machine.deleting = true
+            // For good: a deletion whose response is lost may still be carried out.
+            it.machine.draining = true
+        }
+        val body = CloudWire.deletion(retired.map { it.machine.name })
+        http.call(cloud, Request(Method.POST, "/machines/delete", body), DELETE_TIMEOUT) { reply ->
+            onReply(retired, deleted = reply?.status == HttpStatus.OK)
+        }
+    }
+
+    private fun find(name: MachineName): OwnedMachine? =
+        owned.all.firstNotNullOfOrNull { shard -> shard.machines[name]?.let { OwnedMachine(shard, it) } }
+
+    /** A message may be in flight to an empty machine, but no start: that would have bound a run. */
+    private fun mayRetire(machine: Machine): Boolean = machine.isEmpty && !machine.deleting
+
+    private fun onReply(retired: List<OwnedMachine>, deleted: Boolean) {
+        for ((shard, machine) in retired) {
+            machine.deleting = false
+            if (deleted && shard.machines[machine.name] === machine) shard.onDeleted(machine)
+        }
+        if (deleted) log.info("machines_deleted machines={}", retired.map { it.machine.name })
+    }
+
+    private companion object {
+        val DELETE_TIMEOUT = 5.seconds
+        val log = LoggerFactory.getLogger("ownership")
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
@@ -0,0 +1,104 @@
+package copperglade.ownership
+
+import copperglade.membership.Membership
+import copperglade.protocol.FencingToken
+import copperglade.protocol.Revision
+import copperglade.protocol.ShardName
+import copperglade.storage.Condition
+import copperglade.storage.Keys
+import copperglade.storage.RecordCodec
+import copperglade.storage.Replica
+import copperglade.storage.ShardRecord
+import copperglade.storage.StateClient
+import copperglade.storage.Transaction
+import copperglade.storage.TransactionOutcome
+import copperglade.storage.Write
+import copperglade.storage.WritePriority
+import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.milliseconds
+
+/**
+ * Writes the records of shards that this process owns: to get a higher fencing token, or to release the shard.
+ *
+ * Invariant: a shard's record has at most one write in flight, and until that is settled the shard is neither opened nor closed
+ * because of what the records say. Every write has the present fencing token as its condition.
+ */
+class ShardRecordWriter(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val replica: Replica,
+    private val membership: Membership,
+) {
+    private val inFlight = HashSet<ShardName>()
+
+    /** Called when a write is settled and its outcome is known from the records. */
+    var onSettled: () -> Unit = {}
+
+    /** Whether a write of the record of [shard] is not settled yet. */
+    fun isInFlight(shard: ShardName): Boolean = shard in inFlight
+
+    /** Claims the record of [shard] for a write that follows; false where one is in flight already. */
+    fun begin(shard: ShardName): Boolean = inFlight.add(shard)
+
+    /** Rewrites the record of [shard] for a higher fencing token, which ends whatever late copies of its commands could do. */
+    fun renewToken(shard: ShardOwner) {
+        val record = ownRecord() ?: return
+        if (!begin(shard.name)) return
+        write(shard.name, shard.fencingToken, set(shard.name, record)) { outcome ->
+            if (outcome is TransactionOutcome.Applied) {
+                log.info("shard_token_renewed shard={} fencing_token={} reason=unresolved_start", shard.name, outcome.revision)
+                shard.raiseToken(FencingToken(outcome.revision.number))
+            }
+            settle(shard.name)
+        }
+    }
+
+    /** Deletes the record of [shard], which was held under [token] and has been closed, after [begin]. */
+    fun release(shard: ShardName, token: FencingToken) = release(shard, token, Write.Delete(Keys.shard(shard)))
+
+    /** As [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
+    fun releaseUnreachable(shard: ShardName, token: FencingToken) =
+        release(shard, token, set(shard, ShardRecord.givenUpBy(membership.self)))
+
+    private fun release(shard: ShardName, token: FencingToken, write: Write) = write(shard, token, write) { outcome ->
+        if (outcome is TransactionOutcome.Applied) settle(shard) else restore(shard, token)
+    }
+
+    /**
+     * Writes the record again as it was, after a release whose outcome is unknown: that might be applied much later, when this process
+     * acts for the shard again. Repeated until the outcome is certain.
+     */
+    private fun restore(shard: ShardName, token: FencingToken) {
+        val record = ownRecord() ?: return settle(shard)
+        write(shard, token, set(shard, record)) { outcome ->
+            when (outcome) {
+                is TransactionOutcome.Applied, is TransactionOutcome.Conflict -> settle(shard)
+                TransactionOutcome.NoSuchLease, TransactionOutcome.Refused, TransactionOutcome.Unknown ->
+                    loop.after(RETRY_INTERVAL) { restore(shard, token) }
+            }
+        }
+    }
+
+    private fun ownRecord(): ShardRecord? = membership.incarnation?.let { ShardRecord(membership.self, it) }
+
+    private fun set(shard: ShardName, record: ShardRecord) = Write.Set(Keys.shard(shard), RecordCodec.encode(record))
+
+    private fun write(shard: ShardName, token: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
+        val transaction = Transaction(listOf(Condition(Keys.shard(shard), Revision(token.number))), listOf(write))
+        store.commit(WritePriority.LEASE, transaction) { outcome ->
+            done(outcome)
+            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+        }
+    }
+
+    private fun settle(shard: ShardName) = replica.readFresh {
+        inFlight -= shard
+        onSettled()
+    }
+
+    private companion object {
+        val RETRY_INTERVAL = 200.milliseconds
+        val log = LoggerFactory.getLogger("ownership")
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/ownership/ShardTicker.kt
@@ -0,0 +1,32 @@
+package copperglade.ownership
+
+import copperglade.observability.EventLoopMetrics
+import copperglade.transport.EventLoop
+import kotlin.time.Duration.Companion.microseconds
+import kotlin.time.Duration.Companion.milliseconds
+
+/** Lets the owned shards do what is due, several times a second. */
+class ShardTicker(
+    private val loop: EventLoop,
+    private val owned: OwnedShards,
+    private val records: ShardRecordWriter,
+    private val metrics: EventLoopMetrics,
+) {
+    fun start() = loop.again({ TICK_INTERVAL + TICK_INTERVAL_PER_MACHINE * owned.machineCount }) {
+        metrics.measure("shards") { tick() }
+    }
+
+    private fun tick() {
+        owned.all.toList().forEach {
+            it.tick()
+            if (it.needsHigherToken()) records.renewToken(it)
+        }
+    }
+
+    private companion object {
+        val TICK_INTERVAL = 100.milliseconds
+
+        /** The more machines there are, the more is batched, which bounds the processor time that ticks take. */
+        val TICK_INTERVAL_PER_MACHINE = 400.microseconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
@@ -0,0 +1,47 @@
+package copperglade.ownership
+
+import copperglade.protocol.MonotonicTime
+import copperglade.storage.StateClient
+import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.milliseconds
+
+/**
+ * Releases all shards when this controller reaches none of their workers, although the state service knows it well: its lease would
+ * keep the shards from others until the leases of all their workers had expired. It does so while those leases last.
+ */
+class UnreachableWorkerWatch(
+    private val loop: EventLoop,
+    private val store: StateClient,
+    private val owned: OwnedShards,
+    private val ownership: ShardOwnership,
+) {
+    private var checkedAt = MonotonicTime.NEVER
+    private var consecutiveChecks = 0
+
+    fun start() = loop.again({ CHECK_INTERVAL }, ::check)
+
+    private fun check() {
+        val now = loop.now()
+        // After a pause of this process every worker seems silent: what has arrived meanwhile is read first.
+        val onTime = now < checkedAt + CHECK_INTERVAL * 2
+        checkedAt = now
+        val shards = owned.open
+        val machines = shards.sumOf { it.machines.size }
+        val unreachable = machines >= MIN_MACHINES && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isSilent()
+        consecutiveChecks = if (unreachable && onTime) consecutiveChecks + 1 else 0
+        if (consecutiveChecks < CHECKS_TO_RELEASE) return
+        consecutiveChecks = 0
+        log.warn("shards_released reason=no_worker_reachable machines={}", machines)
+        ownership.releaseUnreachable(shards.map { it.name })
+    }
+
+    private companion object {
+        val CHECK_INTERVAL = 250.milliseconds
+        const val CHECKS_TO_RELEASE = 2
+
+        /** Fewer machines may well fail at once without the controller being at fault. */
+        const val MIN_MACHINES = 3
+        val log = LoggerFactory.getLogger("ownership")
+    }
+}
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -1,40 +1,46 @@
 package copperglade.placement
 
 import copperglade.agents.MachineHealth
+import copperglade.fleet.MachineTypeCatalog
 import copperglade.protocol.MachineAvailability
 import copperglade.protocol.MachineType
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.ShardCapacity
 import copperglade.storage.ImageRecord
+import copperglade.tasks.FailingJobs
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
+import copperglade.transport.Clock
 
 /**
  * Describes a shard's machines to others: their free and preemptible capacity to the leader, their cached images to a
  * later owner. Both are hints; whoever acts on one checks it against the records first.
  */
-class ShardSummary(private val state: ShardState, private val health: MachineHealth) {
-    private val context = state.context
-
+class ShardSummary(
+    private val state: ShardState,
+    private val health: MachineHealth,
+    private val types: MachineTypeCatalog,
+    private val failingJobs: FailingJobs,
+    private val clock: Clock,
+) {
     /**
      * The capacity of the shard's fenced machines. A machine whose worker has not seen our token is left out, since what
      * it reports may still change by a former owner's commands.
      */
     fun capacity(): ShardCapacity {
-        val now = context.loop.now()
+        val now = clock.now()
         val waiting = state.runs.waiting
-            .filter { now >= it.earliestStartAt && it.task.job !in context.failingJobs }
+            .filter { now >= it.earliestStartAt && it.task.job !in failingJobs }
             .mapTo(ArrayList()) { it.spec.request }
         val rooms = state.machines.values.filter(state::isFenced).mapNotNull { machine ->
-            context.types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
+            types[machine.typeName]?.let { roomOf(machine, it, waiting, now) }
         }
         return ShardCapacity(state.name, state.fencingToken, rooms)
     }
 
     private fun roomOf(machine: Machine, type: MachineType, waiting: MutableList<Resources>, now: MonotonicTime): MachineAvailability {
         val free = freeBeside(waiting, machine.freeCapacity(type, now, state::requestOf))
-        val empty = machine.runs.isEmpty() && machine.reportedTasks.isEmpty()
         return MachineAvailability(
             name = machine.name,
             type = machine.typeName,
@@ -42,7 +48,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (empty) now.ms - machine.idleSince.ms else 0,
+            idleMs = if (machine.isEmpty) now.ms - machine.idleSince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- /dev/null
+++ b/src/main/kotlin/copperglade/placement/StartEligibility.kt
@@ -0,0 +1,53 @@
+package copperglade.placement
+
+import copperglade.membership.Membership
+import copperglade.observability.ActionAudit
+import copperglade.protocol.MonotonicTime
+import copperglade.safety.ActionGuard
+import copperglade.tasks.FailingJobs
+import copperglade.tasks.Machine
+import copperglade.tasks.RetryBackoff
+import copperglade.tasks.Run
+import copperglade.tasks.RunTable
+import copperglade.transport.Clock
+
+/** Decides which of a shard's waiting runs may be started now, and which machines each of them must avoid. */
+class StartEligibility(
+    private val runs: RunTable,
+    private val membership: Membership,
+    private val guard: ActionGuard,
+    private val audit: ActionAudit,
+    private val failingJobs: FailingJobs,
+    private val backoff: RetryBackoff,
+    private val clock: Clock,
+) {
+    /** Whether this controller may start tasks at all now. */
+    val mayStartAny: Boolean get() = membership.mayStart
+
+    /** Whether [run]'s job is failing: one task of it is tried at a time, and nothing is preempted for it. */
+    fun isFailing(run: Run): Boolean = run.task.job in failingJobs
+
+    /** Whether [run] may be started as of [now], as far as its own retry delay, the records and its job's failures are concerned. */
+    fun mayStart(run: Run, now: MonotonicTime): Boolean {
+        if (now < run.earliestStartAt || isRefused(run)) return false
+        val job = run.task.job
+        return job !in failingJobs || (backoff.mayRetry(job, now) && runs.ofJob(job).none { it.occupiesMachine })
+    }
+
+    /** The leader that assigned the task may have known less than this controller, or may be of a version without dependencies. */
+    private fun isRefused(run: Run): Boolean {
+        val refusal = guard.refusalByRecords(run.task)
+        if (refusal != null && refusal != run.lastRefusal) audit.refused(run.task, refusal)
+        run.lastRefusal = refusal
+        return refusal != null
+    }
+
+    /**
+     * Whether [run] must avoid [machine], since its job has just failed there. A job with completed tasks avoids no machine as a whole:
+     * each of its failing tasks looks for another machine by itself.
+     */
+    fun mustAvoid(run: Run, machine: Machine): Boolean {
+        val job = run.task.job
+        return failingJobs.neverCompleted(job) && failingJobs.failedRecentlyOn(job, machine.name, clock.now())
+    }
+}
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,6 +1,8 @@
 package copperglade.placement
 
+import copperglade.fleet.MachineTypeCatalog
 import copperglade.prediction.Factors
+import copperglade.prediction.ProfileStore
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
@@ -10,17 +12,25 @@
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.protocol.secondsSince
+import copperglade.tasks.FailureEvidence
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
-import copperglade.tasks.ShardContext
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
 class RestartDecision(val run: Run, val target: MachineName)
 
 /** Looks for stragglers in one shard and weighs restarting them on another of its machines (section 6 and DESIGN). */
-class StragglerDetector(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
+class StragglerDetector(
+    private val profiles: ProfileStore,
+    private val types: MachineTypeCatalog,
+    private val failureEvidence: FailureEvidence,
+    private val timeouts: HeartbeatTimeouts,
+    private val stragglerMargin: Double,
+    private val requestOf: (TaskId) -> Resources?,
+) {
     private var nextLook = MonotonicTime.NEVER
     private var turns = 0
 
@@ -29,9 +39,9 @@
         nextLook = now + INTERVAL
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
-            val type = context.types[machine.typeName] ?: continue
-            val silent = now >= machine.lastContactAt + (context.heartbeatIntervalS * 2).seconds
-            if (machine.draining || machine.deleting || machine.evictionNoticed || context.failureEvidence.blamesMachine(machine.name) ||
+            val type = types[machine.typeName] ?: continue
+            val silent = now >= machine.lastContactAt + timeouts.heartbeatIntervals(2.0)
+            if (machine.draining || machine.deleting || machine.evictionNoticed || failureEvidence.blamesMachine(machine.name) ||
                 silent
             ) {
                 continue
@@ -52,8 +62,8 @@
     /** Past its job's average run time. */
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * context.operatorSettings.stragglerMargin
+        val average = profiles.averageRunS(run.task.job, run.spec.load) ?: return false
+        return elapsed > average * stragglerMargin
     }
 
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
@@ -62,11 +72,11 @@
     private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
         val home = run.machine ?: return null
         val elapsed = now.secondsSince(run.runningSince ?: return null)
-        val average = context.profiles.averageRunS(run.task.job, run.spec.load) ?: return null
+        val average = profiles.averageRunS(run.task.job, run.spec.load) ?: return null
         // A slow machine has done less of the task than the time says.
-        val done = elapsed * context.profiles.speedOf(home.name)
-        val similar = context.profiles.similar(run.spec.load, done)
-        val here = context.profiles.predict(home.name, factorsOn(home, run, home.runs.size), similar) ?: return null
+        val done = elapsed * profiles.speedOf(home.name)
+        val similar = profiles.similar(run.spec.load, done)
+        val here = profiles.predict(home.name, factorsOn(home, run, home.runs.size), similar) ?: return null
         val remaining = here.average - elapsed
         val fitting = machines.filter { machine ->
             val freeCapacity = free[machine.name]
@@ -74,8 +84,8 @@
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
-            val type = context.types[machine.typeName] ?: return@mapNotNull null
-            val prediction = context.profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
+            val type = types[machine.typeName] ?: return@mapNotNull null
+            val prediction = profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
             val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
             prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -6,23 +6,28 @@
 import copperglade.tasks.OutcomeLog
 import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
+import copperglade.transport.Clock
 
 /**
  * Restarts stragglers where [StragglerDetector] finds it worth the risk. A task is restarted once at most: that it was is
  * recorded with its outcome, so that a later owner does not restart it again.
  */
-class StragglerRestarts(private val state: ShardState, private val outcomes: OutcomeLog, private val stopper: RunStopper) {
-    private val watch = StragglerDetector(state.context, state::requestOf)
-
+class StragglerRestarts(
+    private val state: ShardState,
+    private val detector: StragglerDetector,
+    private val outcomes: OutcomeLog,
+    private val stopper: RunStopper,
+    private val clock: Clock,
+) {
     /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
-    fun restartWorthwhile(now: MonotonicTime) = watch.look(state.machines.values, now).forEach(::restart)
+    fun restartWorthwhile(now: MonotonicTime) = detector.look(state.machines.values, now).forEach(::restart)
 
     private fun restart(decision: RestartDecision) {
         val run = decision.run
         run.restartTarget = decision.target
         run.restarted = true
         run.stragglerRunSeconds = run.runningSince?.let {
-            state.context.loop
+            clock
                 .now()
                 .secondsSince(it)
         }
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -6,40 +6,43 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells faulty machines from jobs that were submitted with a mistake, by which job's tasks failed on which machine.
+ * Tells faulty machines from faulty jobs by which job's tasks have failed on which machine.
  *
- * One failure speaks against both. Failures of one job on several machines, where no other job fails, speak against the job;
+ * One failure speaks against both. Failures of one job on several machines on which no other job fails speak against the job;
  * failures of several jobs on one machine, none of which fails elsewhere as well, speak against the machine. A completed task
- * clears its job and its machine.
+ * clears both its job and its machine.
  *
- * Guards against two opposite errors: a job that fails everywhere would take one machine after another out of use, and a
- * faulty machine would go on ruining the tasks of jobs that are sound.
+ * Guards against two opposite errors: taking one machine after another out of use because of a job that fails everywhere, and
+ * letting a faulty machine go on failing the tasks of healthy jobs.
  *
- * @param machinesToBlameJob on how many machines, that fail for no other job, a job has to fail to be taken for failing.
+ * There is one instance for all shards of a process: the more machines it covers, the sooner a failing job is recognized.
+ *
+ * @param machinesToBlameJob a job is blamed once it has failed on this many machines that fail for no other job, or on one
+ *   more than that whatever else fails there.
  */
 class FailureEvidence(private val machinesToBlameJob: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
-    /** Once blamed, a job stays so until one of its tasks is completed, whatever fails beside it later. */
+    /** Once blamed, a job stays blamed until one of its tasks completes, whatever else fails on its machines later. */
     private val blamedJobs = HashSet<JobId>()
 
-    /** A task of [job] has failed on [machine]. */
-    fun failed(job: JobId, machine: MachineName, now: MonotonicTime) {
+    /** Records that a task of [job] has failed on [machine]. */
+    fun recordFailure(job: JobId, machine: MachineName, now: MonotonicTime) {
         machinesByJob.getOrPut(job) { HashSet() } += machine
         failuresByMachine.getOrPut(machine) { HashMap() }[job] = now
         if (failsEverywhere(job)) blamedJobs += job
     }
 
-    /** A task of [job] was completed on [machine]: neither of them fails always. */
-    fun completed(job: JobId, machine: MachineName) {
+    /** Records that a task of [job] has completed on [machine], which clears both. */
+    fun recordCompletion(job: JobId, machine: MachineName) {
         machinesByJob.remove(job)
         blamedJobs.remove(job)
         val cleared = failuresByMachine.remove(machine) ?: return
         blamedJobs += cleared.keys.filter(::failsEverywhere)
     }
 
-    /** Whether [job] fails wherever it runs, as far as is known here. */
+    /** Whether [job] fails wherever it runs, as far as this process has seen. */
     fun blamesJob(job: JobId): Boolean = job in blamedJobs
 
     private fun failsEverywhere(job: JobId): Boolean {
@@ -47,24 +50,24 @@
         return machines.size > machinesToBlameJob || machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= machinesToBlameJob
     }
 
-    /** Whether [machine] ruins the tasks of sound jobs and had better be replaced. */
+    /** Whether [machine] fails the tasks of healthy jobs and should be replaced. */
     fun blamesMachine(machine: MachineName): Boolean =
         failuresByMachine[machine].orEmpty().keys.count { !blamesJob(it) } >= JOBS_TO_BLAME_MACHINE
 
     /**
-     * Whether [job] has failed on [machine] so lately that its tasks had better go elsewhere. Other jobs may go there: where
-     * the machine is faulty that shows with the next of them, and where the job is failing the machine stays in use.
+     * Whether [job] has failed on [machine] so recently that its tasks should run elsewhere. Other jobs may still use the machine:
+     * if it is faulty, the next of them shows it, and if the job is failing, the machine stays in use.
      */
     fun shouldAvoid(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
         failuresByMachine[machine]?.get(job)?.let { now < it + AVOIDANCE_PERIOD } ?: false
 
-    /** The job is over: what is still open between it and the machines it failed on is not held against them. */
+    /** Drops the evidence that [job], which has ended, left against itself and against the machines on which it failed. */
     fun forgetJob(job: JobId) {
         blamedJobs.remove(job)
         machinesByJob.remove(job)?.forEach { failuresByMachine[it]?.remove(job) }
     }
 
-    /** The machine is gone. */
+    /** Drops the evidence against [machine], which no longer exists. */
     fun forgetMachine(machine: MachineName) {
         failuresByMachine.remove(machine)
     }
@@ -72,7 +75,7 @@
     private companion object {
         const val JOBS_TO_BLAME_MACHINE = 2
 
-        /** For so long a job's tasks are not placed on a machine where one of them has failed. */
+        /** How long a job's tasks keep away from a machine on which one of them has failed. */
         val AVOIDANCE_PERIOD = 10.seconds
     }
 }
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -13,218 +13,150 @@
 import copperglade.protocol.ReportedTaskState
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
-import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A start whose outcome nobody told: a late copy of it may act as long as session and fencing token still match, or until
- * [expiresAt] where it went out with an answer.
+ * A machine of a shard, as its worker last described it.
+ *
+ * The order of its heartbeats is kept in [sequence], what is on it in [load], what was sent to it in [channel], and the images that
+ * it holds in [imageCache].
+ *
+ * @param startedUnderCurrentOwner whether its present agent epoch certainly began under the present owner, so that no command
+ *   of a former owner can take effect.
  */
-class UnresolvedStart(
-    val task: TaskId,
-    val attempt: Attempt,
-    val epoch: Long,
-    val fencingToken: FencingToken,
-    val sentAt: MonotonicTime,
-    val expiresAt: MonotonicTime?,
-)
-
-/** A machine of a shard, as its worker last described it. */
 class Machine(
     val name: MachineName,
     val zone: String,
     val spot: Boolean,
     val typeName: String,
-    var endpoint: Endpoint,
+    endpoint: Endpoint,
     now: MonotonicTime,
-    /** Whether its present session surely began under the present owner, so that no former owner's command can act. */
     val startedUnderCurrentOwner: Boolean = false,
 ) {
-    var epoch = 0L
-        private set
-    var sequenceNumber = -1L
+    val sequence = HeartbeatSequence()
+    val channel = CommandChannel()
+    val imageCache = ImageCache()
+    private val load = MachineLoad()
+
+    /** Where its worker takes commands. */
+    var endpoint = endpoint
         private set
 
     /** The highest fencing token that the worker is known to have seen. */
     var fencingToken = FencingToken.NONE
         private set
-    var reportedTasks: List<ReportedTask> = emptyList()
-        private set
+
+    /** Whether the cloud has announced that it takes the machine back. */
     var evictionNoticed = false
         private set
+
+    /** When a heartbeat or reply was last accepted; the machine's discovery counts as one. */
     var lastContactAt = now
         private set
 
-    /** When the numbers of the latest report were taken in. */
+    /** When a heartbeat or reply was last accepted, or [MonotonicTime.NEVER]. */
     var lastUpdateAt = MonotonicTime.NEVER
         private set
 
-    /** The numbers of the latest report that the worker sent by itself. */
-    private var sentEpoch = 0L
-    private var sentSequenceNumber = -1L
-
-    /** When the worker's own reports last arrived; answers to direct commands say nothing of its lease. */
+    /** When the worker's own heartbeats last arrived; replies to direct commands say nothing about its lease. */
     var lastHeartbeatAt = MonotonicTime.NEVER
         private set
 
-    /** The highest numbers of an earlier life, before the machine began anew. */
-    private var formerEpoch = 0L
-    private var formerSequenceNumber = -1L
-
     /**
-     * When a report was last answered with 200, or a new session was heard of: the lease ends a lease's time after that at the
-     * latest. A session has its lease from its own beginning. A worker that reached no controller began a new one, was given
-     * tasks in it by direct commands, and was taken for gone by the answers to the session before, while they ran.
+     * The latest moment from which the worker's lease may count: when a heartbeat was last acknowledged, or a new agent epoch was
+     * first heard of, since an epoch has a lease from its own beginning.
      */
     var leaseRenewedAt = now
+        private set
 
-    /** Answers since the fencing token in them could have been taken up, had any arrived. */
-    var unacknowledgedReplies = 0
+    /** Acknowledged heartbeats since which the worker has not shown the fencing token that the responses carried. */
+    var unacknowledgedResponses = 0
+
+    /** Since when the worker has reported no task that has not exited. */
     var idleSince = now
-    private val runsByAttempt = LinkedHashMap<Attempt, Run>()
-
-    /** The runs bound to this machine. */
-    val runs: Collection<Run> get() = runsByAttempt.values
-    val unresolvedStarts = ArrayList<UnresolvedStart>()
-    val removalSentAt = HashMap<Attempt, MonotonicTime>()
-    var lastRemovalSentAt = MonotonicTime.NEVER
-    var commandInFlight = false
-    var commandSentAt = MonotonicTime.NEVER
-
-    /** Since when direct commands have gone unanswered; then commands go out with the answers to reports. */
-    var unresponsiveSince: MonotonicTime? = null
-    val unresponsive: Boolean get() = unresponsiveSince != null
+        private set
+
+    /** Whether the machine is being emptied: nothing is placed on it. */
     var draining = false
+
+    /** Whether the cloud has been asked to delete the machine and has not answered yet. */
     var deleting = false
-    private val images = LinkedHashMap<ImageName, Double>()
 
-    val cachedImages: List<ImageName> get() = images.keys.toList()
+    val epoch: Long get() = sequence.epoch
+    val runs: Collection<Run> get() = load.runs
+    val reportedTasks: List<ReportedTask> get() = load.reportedTasks
 
-    /**
-     * Whether a report is no newer than one that the worker has sent already. It sends one at a time, so it waits for
-     * no answer to this one any more: a late copy.
-     */
-    fun isDuplicate(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(sentEpoch, sentSequenceNumber)
+    /** Whether no run is bound to it and its worker reports no task. */
+    val isEmpty: Boolean get() = load.isEmpty
+    val cachedImages: List<ImageName> get() = imageCache.images
 
-    /**
-     * Whether a report may as well be of an earlier life of the machine, late: then only answers to our own questions
-     * tell how it is.
-     */
-    fun isUnverified(heartbeat: Heartbeat): Boolean = !heartbeat.newerThan(formerEpoch, formerSequenceNumber)
-
-    /** Reports up to these numbers may be of an earlier life. */
-    fun markUnverifiedUpTo(epoch: Long, sequenceNumber: Long) {
-        if (epoch < formerEpoch || (epoch == formerEpoch && sequenceNumber <= formerSequenceNumber)) return
-        formerEpoch = epoch
-        formerSequenceNumber = sequenceNumber
+    /** Records that the worker itself sent [heartbeat] and waits for the response. */
+    fun recordHeartbeat(heartbeat: Heartbeat, now: MonotonicTime) {
+        lastHeartbeatAt = now
+        sequence.recordHeartbeat(heartbeat)
     }
 
-    /** Reports come, though what they say is in doubt: a machine that began anew may count from the start for minutes. */
+    /** Records that a heartbeat has arrived whose content is unverified: the worker's lease is not running out unnoticed. */
     fun recordUnverifiedHeartbeat(now: MonotonicTime) {
         lastHeartbeatAt = now
     }
 
-    /** Takes note that the worker itself sent [heartbeat] and waits for the answer. */
-    fun recordHeartbeat(heartbeat: Heartbeat, now: MonotonicTime) {
-        lastHeartbeatAt = now
-        sentEpoch = heartbeat.epoch
-        sentSequenceNumber = heartbeat.sequenceNumber
+    /** Records that a heartbeat is being acknowledged, which renews the worker's lease if the response arrives. */
+    fun renewLease(now: MonotonicTime) {
+        leaseRenewedAt = now
     }
 
-    /** Takes in a report; false where a newer one is known already: it says nothing, not even that the machine lives. */
+    /**
+     * Accepts [heartbeat], the worker's own or the reply to a command. Returns false where a newer one is known already: then it
+     * changes nothing, and doesn't even show that the machine lives.
+     */
     fun update(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
-        if (!heartbeat.newerThan(epoch, sequenceNumber)) return false
-        take(heartbeat, now)
+        if (!sequence.isNews(heartbeat)) return false
+        apply(heartbeat, now)
         return true
     }
 
-    /** The machine has begun anew and counts from the start again. */
+    /** Accepts [heartbeat] from a worker that has restarted and counts from the start again. */
     fun restart(heartbeat: Heartbeat, now: MonotonicTime) {
-        markUnverifiedUpTo(epoch, sequenceNumber)
-        markUnverifiedUpTo(sentEpoch, sentSequenceNumber)
-        sentEpoch = 0
-        sentSequenceNumber = -1
+        sequence.restart()
         fencingToken = FencingToken.NONE
-        take(heartbeat, now)
+        apply(heartbeat, now)
     }
 
-    private fun take(heartbeat: Heartbeat, now: MonotonicTime) {
+    private fun apply(heartbeat: Heartbeat, now: MonotonicTime) {
         lastContactAt = now
         lastUpdateAt = now
         if (heartbeat.epoch != epoch) leaseRenewedAt = now
-        epoch = heartbeat.epoch
-        sequenceNumber = heartbeat.sequenceNumber
+        sequence.accept(heartbeat)
         if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
-        reportedTasks = heartbeat.reportedTasks
-        runChanged()
+        load.report(heartbeat.reportedTasks)
         evictionNoticed = heartbeat.noticeS != null
         endpoint = heartbeat.endpoint
-        unresolvedStarts.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
-        removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
+        channel.settle(epoch, fencingToken, reportedTasks)
         if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) idleSince = now
     }
 
-    fun attach(run: Run) {
-        runsByAttempt[run.attempt] = run
-        runChanged()
-    }
-
-    fun detach(run: Run) {
-        runsByAttempt.remove(run.attempt)
-        runChanged()
-    }
+    /** Binds [run] to the machine; called by [Run.bind]. */
+    fun attach(run: Run) = load.attach(run)
 
-    /** To be told when a run of this machine has changed its state. */
-    fun runChanged() {
-        freeComputedAt = MonotonicTime.NEVER
-    }
+    /** Releases [run] from the machine; called by [Run.unbind]. */
+    fun detach(run: Run) = load.detach(run)
 
-    fun runOf(reportedTask: ReportedTask): Run? = runsByAttempt[reportedTask.attempt]?.takeIf { it.task == reportedTask.task }
+    /** To be called when a run bound to the machine has changed its state. */
+    fun invalidateFreeCapacity() = load.invalidateFreeCapacity()
 
-    fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? = reportedTasks.firstOrNull { it.attempt == attempt && it.task == task }
+    /** The run that [reportedTask] is an attempt of, or null where none is bound here. */
+    fun runOf(reportedTask: ReportedTask): Run? = load.runOf(reportedTask)
 
-    fun hasUnresolvedStart(task: TaskId, attempt: Attempt): Boolean = unresolvedStarts.any { it.attempt == attempt && it.task == task }
+    /** How the worker reports [attempt] at [task], or null where it doesn't. */
+    fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? = load.reportedTask(task, attempt)
 
-    fun hasImage(image: Image): Boolean = image.name in images
+    /** Whether the machine is believed to hold [image]. */
+    fun hasImage(image: Image): Boolean = image.name in imageCache
 
+    /** Whether a task on the machine is fetching [image]. */
     fun isFetching(image: Image): Boolean = runs.any { it.spec.image.name == image.name && it.state == RunState.FETCHING }
 
-    /** What a former owner knew of its images; their sizes are not known any more. */
-    fun rememberImages(names: List<ImageName>) = names.forEach { images.putIfAbsent(it, 0.0) }
-
-    /** The worker keeps the most recently used images that its disk holds. */
-    fun recordImageUse(image: Image, cacheGb: Double) {
-        images.remove(image.name)
-        images[image.name] = image.gb
-        while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
-    }
-
-    private var freeComputedAt = MonotonicTime.NEVER
-    private var cachedFree = Resources.ZERO
-
-    /**
-     * What is free for further tasks, counting starts that have not arrived yet. Asked for ten times a second for every
-     * machine, so it is worked out only after a change, and now and then for strays, whose requests are others' records.
-     */
-    fun freeCapacity(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources {
-        if (now >= freeComputedAt + FREE_KEPT) {
-            cachedFree = workOutFree(type, requestOf)
-            freeComputedAt = now
-        }
-        return cachedFree
-    }
-
-    private fun workOutFree(type: MachineType, requestOf: (TaskId) -> Resources?): Resources {
-        var free = type.capacity
-        for (run in runs) if (run.occupiesMachine) free -= run.spec.request
-        for (reportedTask in reportedTasks) {
-            if (reportedTask.state == ReportedTaskState.EXITED || runOf(reportedTask) != null) continue
-            // A stray of a job that is over: nobody knows its size, so nothing fits beside it.
-            free -= requestOf(reportedTask.task) ?: type.capacity
-        }
-        return free
-    }
-
-    companion object {
-        private val FREE_KEPT = 500.milliseconds
-    }
+    /** The capacity that is free for further tasks, see [MachineLoad.freeCapacity]. */
+    fun freeCapacity(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources =
+        load.freeCapacity(type, now, requestOf)
 }
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -32,6 +32,7 @@
     private val store: StateClient,
     private val replica: Replica,
     private val shard: ShardState,
+    private val failingJobs: FailingJobs,
 ) {
     private val packer = RecordPacker(
         replica,
@@ -61,7 +62,7 @@
     }
 
     fun flush() {
-        if (dirtySince.isEmpty() || !shard.open) return
+        if (dirtySince.isEmpty() || !shard.isOpen) return
         val now = loop.now()
         val scarcity = 1.0 - store.writeLevel()
         val due = dirtySince.any { (place, since) ->
@@ -86,7 +87,7 @@
 
     private fun ownership() = Condition(Keys.shard(shard.name), Revision(shard.fencingToken.number))
 
-    private fun hasUnfinishedRuns(place: TaskRange): Boolean = shard.runs.of(place).any {
+    private fun hasUnfinishedRuns(place: TaskRange): Boolean = shard.runs.inRange(place).any {
         it.state != RunState.DONE &&
             it.state != RunState.GONE
     }
@@ -113,7 +114,7 @@
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(REFUSAL_RETRY_DELAY, again)
-                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.isOpen }, again)
                 else -> replica.readFresh { loop.after(CONFLICT_RETRY_DELAY, again) }
             }
         }
@@ -127,7 +128,7 @@
         val returned = HashMap<Int, BitSet>()
         present.returned.forEach { (generation, tasks) -> returned[generation] = tasks.clone() as BitSet }
         var changed = false
-        for (run in shard.runs.of(TaskRange(job.id, page))) {
+        for (run in shard.runs.inRange(TaskRange(job.id, page))) {
             val index = run.task.index
             val gone = run.state == RunState.GONE || (run.state == RunState.DONE && job.cancelled)
             if (run.state == RunState.DONE && !gone) {
@@ -144,7 +145,7 @@
                 restarted.set(index)
             }
         }
-        val failing = done.isEmpty && (present.failing || job.id in shard.context.failingJobs)
+        val failing = done.isEmpty && (present.failing || job.id in failingJobs)
         if (!changed && failing == present.failing) return null
         return OutcomeRecord(done, stillNeeded(returned, job.pages[page]?.value), restarted, present.version + 1, failing)
     }
--- a/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
+++ b/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
@@ -7,10 +7,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How long a task waits before it is started again: twice as long after each of its failures, up to a limit. Of a failing job
- * ([FailingJobs]) all failures count together, since its tasks are tried in turn.
+ * Exponential backoff: how long a task waits before it is started again, doubling with each of its failures up to a limit. For a
+ * failing job ([FailingJobs]) the failures of all its tasks count together, since its tasks are tried in turn.
  *
- * Guards against tasks that fail at once and would keep machines and workers busy with nothing but starts.
+ * Guards against tasks that fail at once and would otherwise keep machines and workers busy with nothing but starts.
  */
 class RetryBackoff {
     private class FailureHistory {
@@ -20,15 +20,14 @@
 
     private val historyByJob = HashMap<JobId, FailureHistory>()
 
-    /** The pause before the next start of a task that has failed [failures] times. */
-    fun delayAfterFailures(
-        failures: Int,
-    ): Duration = min(INITIAL_DELAY_SECONDS * (1 shl min(failures, MAX_DOUBLINGS)), MAX_DELAY_SECONDS).seconds
+    /** The delay before the next start of a task that has failed [failures] times. */
+    fun delayAfterFailures(failures: Int): Duration =
+        min(INITIAL_DELAY_SECONDS * (1 shl min(failures, MAX_DOUBLINGS)), MAX_DELAY_SECONDS).seconds
 
-    /** The pause after a machine has refused a start: that says nothing of the task. */
+    /** The delay after a machine has refused a start, which says nothing about the task. */
     fun delayAfterRefusal(): Duration = delayAfterFailures(1)
 
-    /** A task of the failing job [job] has failed once more. */
+    /** Records that a task of the failing job [job] has failed once more. */
     fun recordFailure(job: JobId, now: MonotonicTime) {
         val history = historyByJob.getOrPut(job) { FailureHistory() }
         history.failures++
@@ -38,7 +37,7 @@
     /** Whether a task of the failing job [job] may be tried again. */
     fun mayRetry(job: JobId, now: MonotonicTime): Boolean = historyByJob[job]?.let { now >= it.nextStartAt } ?: true
 
-    /** The job is over or no longer here. */
+    /** Drops the history of [job], which has ended or left the shard. */
     fun forget(job: JobId) {
         historyByJob.remove(job)
     }
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -6,44 +6,50 @@
 import copperglade.storage.TaskRange
 
 /**
- * The runs of a shard, by task and, where that is asked for all the time, by state. With hundreds of runs on a hundred
- * machines, looking through all of them ten times a second for the few that wait was a tenth of a fleet day's processor.
+ * The runs of a shard by task, with an index of those that wait or are missing: these are asked for several times a second and
+ * are few among all runs.
  */
 class RunTable {
-    /** By job, then by page of its records, then by task. */
+    /** By job, then by task range of its records, then by task index. */
     private val byJob = HashMap<JobId, HashMap<Int, HashMap<Int, Run>>>()
     private val waitingRuns = LinkedHashSet<Run>()
     private val missingRuns = LinkedHashSet<Run>()
 
-    /** Runs to be started. A copy: starting one changes the table. */
+    /** Runs to be started. A copy, since starting one changes the table. */
     val waiting: List<Run> get() = waitingRuns.toList()
+
+    /** Runs that have not been found yet. A copy, since releasing one changes the table. */
     val missing: List<Run> get() = missingRuns.toList()
 
-    operator fun get(task: TaskId): Run? = byJob[task.job]?.get(pageOf(task))?.get(task.index)
+    /** The run of [task], if it is assigned to the shard. */
+    operator fun get(task: TaskId): Run? = byJob[task.job]?.get(rangeOf(task))?.get(task.index)
 
-    fun of(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
+    /** All runs of [job]. */
+    fun ofJob(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
 
-    /** The runs of the tasks on one page of a job's records: outcomes are written page by page. */
-    fun of(place: TaskRange): Collection<Run> = byJob[place.job]?.get(place.page)?.values.orEmpty()
+    /** The runs of the tasks in [range]; outcomes are written by task range. */
+    fun inRange(range: TaskRange): Collection<Run> = byJob[range.job]?.get(range.page)?.values.orEmpty()
 
+    /** Adds [run], in place of the present run of the same task if there is one. */
     fun add(run: Run) {
-        val pages = byJob.getOrPut(run.task.job) { HashMap() }
-        pages.getOrPut(pageOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
+        val ranges = byJob.getOrPut(run.task.job) { HashMap() }
+        ranges.getOrPut(rangeOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
         addToIndex(run)
     }
 
+    /** Removes [run]. */
     fun remove(run: Run) {
         removeFromIndex(run)
-        val pages = byJob[run.task.job] ?: return
-        val page = pages[pageOf(run.task)] ?: return
-        page.remove(run.task.index)
-        if (page.isEmpty()) pages.remove(pageOf(run.task))
-        if (pages.isEmpty()) byJob.remove(run.task.job)
+        val ranges = byJob[run.task.job] ?: return
+        val range = ranges[rangeOf(run.task)] ?: return
+        range.remove(run.task.index)
+        if (range.isEmpty()) ranges.remove(rangeOf(run.task))
+        if (ranges.isEmpty()) byJob.remove(run.task.job)
     }
 
-    private fun pageOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
+    private fun rangeOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
 
-    /** To be told of every change of a run's state. */
+    /** To be called after every state transition of [run]; keeps the index in line. Runs that are not in the table are ignored. */
     fun onStateChanged(run: Run) {
         if (get(run.task) !== run) return
         removeFromIndex(run)
--- a/src/main/kotlin/copperglade/tasks/ShardState.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardState.kt
@@ -2,43 +2,45 @@
 
 import copperglade.protocol.Attempt
 import copperglade.protocol.FencingToken
+import copperglade.protocol.ImageName
 import copperglade.protocol.MachineName
+import copperglade.protocol.MonotonicTime
 import copperglade.protocol.Resources
 import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
+import copperglade.storage.Replica
 
 /**
- * What the parts of one shard's owner share: the shard's fencing tokens, its runs and its machines.
+ * The state of one owned shard: its fencing tokens, its runs and its machines.
  *
- * Invariants: [fencingToken] is always one of our own, and never lower than [grantToken]; attempt numbers are never used twice
- * under one token.
+ * Invariants: [fencingToken] is always one of this owner's own tokens, and never lower than [grantToken]; no attempt number is
+ * used twice under one token.
+ *
+ * @param grantToken the fencing token of the grant. What a worker reports after it has seen this token or a higher one is final.
+ * @param grantedAt when this owner was created. The shard's former owner may have acknowledged heartbeats until then.
  */
 class ShardState(
-    val context: ShardContext,
     val name: ShardName,
-    /** The fencing token of our grant. What a worker says after it has seen this one or a higher one is final. */
     val grantToken: FencingToken,
+    val grantedAt: MonotonicTime,
+    private val replica: Replica,
 ) {
-    private val loop = context.loop
     private val ownTokens = hashSetOf(grantToken)
     private var attempts = 0
     val runs = RunTable()
     val machines = HashMap<MachineName, Machine>()
 
-    /** When this owner was made. The shard's former owner may have answered workers until then. */
-    val grantedAt = loop.now()
-
-    /** The token under which commands go out now. */
+    /** The token under which commands are sent now. */
     var fencingToken = grantToken
         private set
 
-    /** Nothing is commanded until the records are known to be as new as the grant, nor once the shard is given up. */
-    var open = false
+    /** No command is sent before the records are known to be as new as the grant, nor after the shard has been released. */
+    var isOpen = false
 
-    /** Whether [fencingToken] is one of those that this owner has had: what bears it was assigned or commanded under our grant. */
+    /** Whether this owner has ever held [token]: whatever carries it was assigned or commanded under the present grant. */
     fun isOwnToken(token: FencingToken): Boolean = token in ownTokens
 
-    /** Takes up a higher token; late copies of commands under the old one are refused by workers that have seen the new one. */
+    /** Replaces the token by a higher one; workers that have seen it refuse late copies of commands under the old one. */
     fun raiseToken(next: FencingToken) {
         ownTokens += next
         fencingToken = next
@@ -49,16 +51,20 @@
     fun nextAttempt(): Attempt = Attempt.of(fencingToken, ++attempts)
 
     /**
-     * Whether the machine's worker has seen a token of ours. Only what it says after that is final: earlier owners'
-     * commands can't act any more.
+     * Whether the machine's worker has seen a token of this owner. Only what it reports after that is final: commands of earlier
+     * owners can't take effect any more.
      */
     fun isFenced(machine: Machine): Boolean = machine.fencingToken >= grantToken
 
-    /** What a task takes, by our runs or by the records; null where neither knows it. */
-    fun requestOf(task: TaskId): Resources? {
-        val run = runs[task]
-        return run?.spec?.request ?: context.replica.jobs[task.job]
-            ?.spec
-            ?.request
-    }
+    /** The resources that [task] requests, by the shard's runs or by the records; null where neither knows it. */
+    fun requestOf(task: TaskId): Resources? = runs[task]?.spec?.request ?: replica.jobs[task.job]
+        ?.spec
+        ?.request
+
+    /** The images that a former owner recorded for [machine]. */
+    fun recordedImages(machine: MachineName): List<ImageName> = replica.images[name]
+        ?.value
+        ?.byMachine
+        ?.get(machine)
+        .orEmpty()
 }
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -15,7 +15,7 @@
 
     private fun machine(number: Int) = MachineName("i-$number")
 
-    private fun fail(job: Int, machine: Int) = failureEvidence.failed(job(job), machine(machine), now)
+    private fun fail(job: Int, machine: Int) = failureEvidence.recordFailure(job(job), machine(machine), now)
 
     @Test
     fun `one failure only keeps the job from the machine for a while`() {
@@ -60,10 +60,10 @@
         fail(1, 1)
         fail(2, 1)
         fail(2, 2)
-        failureEvidence.completed(job(3), machine(1))
+        failureEvidence.recordCompletion(job(3), machine(1))
         assertFalse(failureEvidence.blamesMachine(machine(1)))
         assertTrue(failureEvidence.blamesJob(job(2)))
-        failureEvidence.completed(job(2), machine(3))
+        failureEvidence.recordCompletion(job(2), machine(3))
         assertFalse(failureEvidence.blamesJob(job(2)))
     }
 
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -33,10 +33,10 @@
             }
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
-            assertEquals(all.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.of(task.job).toSet())
+            assertEquals(all.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.ofJob(task.job).toSet())
             val place = TaskRange(task.job, task.index / Keys.TASKS_PER_RANGE)
             val onPage = all.values.filterTo(HashSet()) { run -> TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE) == place }
-            assertEquals(onPage, table.of(place).toSet())
+            assertEquals(onPage, table.inRange(place).toSet())
             assertEquals(all[task], table[task])
         }
     }
