--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -68,7 +68,13 @@
     private fun mayStart(run: Run) = guard.refusalToStart(run.task) == null
 
     /** A cancelled task gets no time to save a checkpoint. */
-    private fun graceSecondsFor(run: Run): Double = if (run.stopReason == StopReason.CANCELLED) NO_GRACE_SECONDS else run.spec.saveS
+    private fun graceSecondsFor(run: Run): Double = if (run.stopReason ==
+        StopReason.CANCELLED
+    ) {
+        NO_GRACE_SECONDS
+    } else {
+        run.spec.checkpointSeconds
+    }
 
     /** Records that [commands] are being sent to [machine]: none of them is due again before [RESEND_INTERVAL] has passed. */
     fun markSent(machine: Machine, commands: List<Command>) {
--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -3,7 +3,7 @@
 import copperglade.observability.ActionAudit
 import copperglade.protocol.Command
 import copperglade.protocol.Heartbeat
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.safety.ActionGuard
 import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
@@ -66,7 +66,7 @@
         val approved = guard.approveAnswer(heartbeat, stops + commands.withoutStopsIn(stops))
         audit.commanded(heartbeat.machine, state.fencingToken, approved, way = "answer")
         audit.answered(heartbeat.machine, state.fencingToken, stops.size)
-        return WorkerWire.answer(state.fencingToken, approved)
+        return WorkerMessageCodec.encodeHeartbeatReply(state.fencingToken, approved)
     }
 
     private companion object {
--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -1,8 +1,8 @@
 package copperglade.agents
 
-import copperglade.prediction.Factors
-import copperglade.prediction.Profile
 import copperglade.prediction.ProfileStore
+import copperglade.prediction.TaskFactors
+import copperglade.prediction.TaskProfile
 import copperglade.protocol.JobKind
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
@@ -20,11 +20,11 @@
         run.stragglerRunSeconds?.let {
             log.info("straggler_completed task={} machine={} run_s={} former_run_s={}", run.task, machine.name, seconds, it)
         }
-        profiles.record(Profile(machine.name, factors(run, machine), seconds))
+        profiles.record(TaskProfile(machine.name, factors(run, machine), seconds))
     }
 
     private fun factors(run: Run, machine: Machine) =
-        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -57,7 +57,7 @@
         if (known != null && !assignedAgain) return known
         val initialState = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
         val newRun = Run(task, spec, assignment.generation, acceptedAtMs, initialState, clock.now(), runs::onStateChanged)
-        newRun.restarted = job.restarted(assignment.task)
+        newRun.restarted = job.wasRestarted(assignment.task)
         runs.add(newRun)
         return newRun
     }
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskObserver.kt
@@ -55,10 +55,10 @@
             ReportedTaskState.FETCHING, ReportedTaskState.WAITING ->
                 if (!stopping) lifecycle.transition(run, RunState.FETCHING, "reported")
             ReportedTaskState.RUNNING -> {
-                types[machine.typeName]?.let { machine.imageCache.recordUse(run.spec.image, it.cacheGb) }
+                types[machine.typeName]?.let { machine.imageCache.recordUse(run.spec.image, it.imageCacheGb) }
                 if (!stopping) lifecycle.transition(run, RunState.RUNNING, "reported")
             }
-            ReportedTaskState.SAVING -> Unit
+            ReportedTaskState.CHECKPOINTING -> Unit
             ReportedTaskState.EXITED -> exits.onExit(run, machine, reported.cause ?: ExitCause.OTHER)
         }
     }
--- a/src/main/kotlin/copperglade/agents/WorkerClient.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerClient.kt
@@ -6,9 +6,9 @@
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.MachineName
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.safety.ActionGuard
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -25,12 +25,12 @@
         val isFinal: Boolean get() = status == HttpStatus.OK || status == HttpStatus.CONFLICT
 
         /** The worker's state, or null where the answer can't be read. */
-        fun readHeartbeat(): Heartbeat? = WorkerWire.parseHeartbeat(body)
+        fun readHeartbeat(): Heartbeat? = WorkerMessageCodec.decodeHeartbeat(body)
     }
 }
 
 /** Sends commands to workers by HTTP, checked by the [ActionGuard] and recorded in the [ActionAudit]. */
-class WorkerClient(private val http: HttpCaller, private val guard: ActionGuard, private val audit: ActionAudit) {
+class WorkerClient(private val http: HttpClient, private val guard: ActionGuard, private val audit: ActionAudit) {
     /** Those of [planned] that may be sent to [machine] directly, recorded as sent under [token]. */
     fun approve(machine: MachineName, token: FencingToken, planned: List<Command>): List<Command> {
         val commands = guard.approveCommands(machine, planned)
@@ -40,7 +40,7 @@
 
     /** Sends approved [commands] under [token] to the worker at [endpoint], for its agent epoch [epoch]. */
     fun send(endpoint: Endpoint, token: FencingToken, epoch: Long, commands: List<Command>, onReply: (CommandReply) -> Unit) {
-        val request = Request(Method.POST, WorkerWire.COMMAND_PATH, WorkerWire.order(token, epoch, commands))
+        val request = Request(Method.POST, WorkerMessageCodec.COMMAND_PATH, WorkerMessageCodec.encodeCommands(token, epoch, commands))
         http.call(endpoint, request, COMMAND_TIMEOUT) { reply ->
             onReply(reply?.let { CommandReply.Answered(it.status, it.body) } ?: CommandReply.TimedOut)
         }
--- a/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
+++ b/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.MemberId
 import copperglade.protocol.ShardName
-import copperglade.protocol.WorkerWire
+import copperglade.protocol.WorkerMessageCodec
 import copperglade.shards.ShardMap
 import copperglade.storage.Replica
 import copperglade.transport.HttpStatus
@@ -28,7 +28,7 @@
     fun handle(heartbeat: Heartbeat): Reply {
         val name = shardMap.of(heartbeat.machine, heartbeat.zone)
         val shard = owned[name] ?: return redirect(name)
-        if (membership.mayAct) return respond(shard.handleHeartbeat(heartbeat)) { Reply(HttpStatus.UNAVAILABLE) }
+        if (membership.mayAct) return respond(shard.handleHeartbeat(heartbeat)) { Reply(HttpStatus.SERVICE_UNAVAILABLE) }
         if (!membership.mayExtendWorkerLeases || peersReachStateService()) return redirect(name)
         return respond(shard.extendWorkerLease(heartbeat)) { redirect(name) }
     }
@@ -38,7 +38,7 @@
         is HeartbeatOutcome.NotAcknowledged -> otherwise()
     }
 
-    private fun redirect(shard: ShardName) = Reply(HttpStatus.MISDIRECTED, WorkerWire.sendOn(otherOwner(shard)))
+    private fun redirect(shard: ShardName) = Reply(HttpStatus.MISDIRECTED_REQUEST, WorkerMessageCodec.encodeRedirect(otherOwner(shard)))
 
     /** The other controller that owns [shard], if one does and is alive by the records. */
     private fun otherOwner(shard: ShardName): MemberId? {
--- a/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -26,7 +26,7 @@
     private val owned: OwnedShards,
 ) {
     fun start() = loop.again({ WRITE_INTERVAL }) {
-        if (membership.mayAct && store.writeLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
+        if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
     }
 
     private fun write(shard: ShardOwner) {
@@ -42,7 +42,7 @@
         )
         val transaction = Transaction(conditions, listOf(Write.Set(key, value)))
         store.commit(WritePriority.CLEANUP, transaction) { outcome ->
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
--- a/src/main/kotlin/copperglade/ownership/MachineRetirement.kt
+++ b/src/main/kotlin/copperglade/ownership/MachineRetirement.kt
@@ -1,13 +1,13 @@
 package copperglade.ownership
 
 import copperglade.membership.Membership
-import copperglade.protocol.CloudWire
+import copperglade.protocol.CloudApiCodec
 import copperglade.protocol.Endpoint
 import copperglade.protocol.MachineName
 import copperglade.storage.TokenBucket
 import copperglade.tasks.Machine
 import copperglade.transport.Clock
-import copperglade.transport.HttpCaller
+import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.Request
@@ -18,7 +18,7 @@
 class MachineRetirement(
     private val owned: OwnedShards,
     private val membership: Membership,
-    private val http: HttpCaller,
+    private val http: HttpClient,
     private val cloud: Endpoint,
     private val cloudBudget: TokenBucket,
     private val clock: Clock,
@@ -28,14 +28,14 @@
     /** Has those of [names] deleted that are machines of owned shards and empty, as many as one request may hold. */
     fun retire(names: List<MachineName>) {
         if (!membership.mayAct) return
-        val retired = names.mapNotNull(::find).filter { mayRetire(it.machine) }.take(CloudWire.MAX_DELETED)
+        val retired = names.mapNotNull(::find).filter { mayRetire(it.machine) }.take(CloudApiCodec.MAX_MACHINES_PER_DELETION)
         if (retired.isEmpty() || !cloudBudget.tryTake(1, clock.now())) return
         retired.forEach {
             it.machine.deleting = true
             // For good: a deletion whose response is lost may still be carried out.
             it.machine.draining = true
         }
-        val body = CloudWire.deletion(retired.map { it.machine.name })
+        val body = CloudApiCodec.encodeDeletion(retired.map { it.machine.name })
         http.call(cloud, Request(Method.POST, "/machines/delete", body), DELETE_TIMEOUT) { reply ->
             onReply(retired, deleted = reply?.status == HttpStatus.OK)
         }
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -1,19 +1,10 @@
 package copperglade.ownership
 
-import copperglade.agents.HeartbeatHandler
 import copperglade.agents.HeartbeatOutcome
-import copperglade.agents.MachineHealth
-import copperglade.agents.MachineTracker
-import copperglade.agents.MissingRunRelease
-import copperglade.agents.RunReconciler
-import copperglade.agents.TaskObserver
-import copperglade.agents.UnresolvedStarts
-import copperglade.agents.WorkerCommands
+import copperglade.agents.ShardAgents
 import copperglade.membership.Membership
 import copperglade.observability.EventLoopMetrics
-import copperglade.placement.ShardPlacement
-import copperglade.placement.ShardSummary
-import copperglade.placement.StragglerRestarts
+import copperglade.placement.ShardScheduling
 import copperglade.protocol.FencingToken
 import copperglade.protocol.Heartbeat
 import copperglade.protocol.JobId
@@ -30,33 +21,17 @@
 import copperglade.transport.Clock
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The parts of a shard's owner that deal with its machines' workers. */
-internal class ShardAgents(
-    val heartbeats: HeartbeatHandler,
-    val tracker: MachineTracker,
-    val observer: TaskObserver,
-    val commands: WorkerCommands,
-    val unresolvedStarts: UnresolvedStarts,
-    val health: MachineHealth,
-)
-
-/** The parts of a shard's owner that keep its runs in line with the records, and the records with its runs. */
-internal class ShardRuns(val reconciler: RunReconciler, val missing: MissingRunRelease, val outcomes: OutcomeLog)
-
-/** The parts of a shard's owner that decide what runs where, and describe the shard's machines to others. */
-internal class ShardScheduling(val placement: ShardPlacement, val stragglers: StragglerRestarts, val summary: ShardSummary)
-
 /**
  * The owner of one shard: picks machines for the shard's tasks, starts and stops them, and finds out what becomes of them. It
  * commands workers only while [Membership.mayAct], and only under fencing tokens of its own.
  *
- * The work is done by its parts, which this class calls in a fixed order; [ShardOwnerFactory] wires them.
+ * The work is done by its parts, which this class calls in a fixed order: [ShardAgents] and [ShardScheduling].
  */
 class ShardOwner internal constructor(
     private val state: ShardState,
     private val agents: ShardAgents,
-    private val runs: ShardRuns,
     private val scheduling: ShardScheduling,
+    private val outcomes: OutcomeLog,
     private val replica: Replica,
     private val membership: Membership,
     private val metrics: EventLoopMetrics,
@@ -94,10 +69,10 @@
     fun raiseToken(token: FencingToken) = state.raiseToken(token)
 
     /** Brings the runs of [job] in line with its records. */
-    fun reconcile(job: Job) = runs.reconciler.reconcile(job)
+    fun reconcile(job: Job) = agents.reconciler.reconcile(job)
 
     /** Removes the runs of [job], which is no longer known. */
-    fun removeJob(job: JobId) = runs.reconciler.removeJob(job)
+    fun removeJob(job: JobId) = agents.reconciler.removeJob(job)
 
     /** Handles a worker's own heartbeat. The caller has checked that this controller may act. */
     fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.handle(heartbeat)
@@ -111,7 +86,7 @@
      */
     fun tick() {
         if (!isOpen) return
-        metrics.measure("shard_outcomes") { runs.outcomes.flush() }
+        metrics.measure("shard_outcomes") { outcomes.flush() }
         val now = clock.now()
         metrics.measure("shard_placement") { scheduling.placement.place(now) }
         if (now < nextSweepAt) return
@@ -124,7 +99,7 @@
     private fun sweep(now: MonotonicTime) {
         agents.unresolvedStarts.forgetExpired(now)
         agents.tracker.removeExpired(now)
-        runs.missing.releaseDue(now)
+        agents.missingRuns.releaseDue(now)
         if (membership.mayAct) machines.values.toList().forEach(agents.commands::sendDue)
     }
 
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -4,6 +4,7 @@
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ShardName
 import copperglade.shards.ShardMap
+import copperglade.storage.CatchUpOutcome
 import copperglade.storage.Replica
 import copperglade.storage.ReplicaChanges
 import copperglade.storage.ReplicaListener
@@ -65,9 +66,12 @@
 
     /** Outcomes that the former owner wrote must be known before anything is started. */
     private fun openWhenCurrent(shard: ShardOwner) {
-        replica.readFresh { known ->
-            if (owned[shard.name] !== shard) return@readFresh
-            if (known) shard.open() else loop.after(RETRY_INTERVAL) { openWhenCurrent(shard) }
+        replica.catchUp { outcome ->
+            if (owned[shard.name] !== shard) return@catchUp
+            when (outcome) {
+                CatchUpOutcome.Current -> shard.open()
+                CatchUpOutcome.Unavailable -> loop.after(RETRY_INTERVAL) { openWhenCurrent(shard) }
+            }
         }
     }
 
--- a/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
@@ -59,7 +59,7 @@
 
     /** As [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
     fun releaseUnreachable(shard: ShardName, token: FencingToken) =
-        release(shard, token, set(shard, ShardRecord.givenUpBy(membership.self)))
+        release(shard, token, set(shard, ShardRecord.releasedBy(membership.self)))
 
     private fun release(shard: ShardName, token: FencingToken, write: Write) = write(shard, token, write) { outcome ->
         if (outcome is TransactionOutcome.Applied) settle(shard) else restore(shard, token)
@@ -88,11 +88,11 @@
         val transaction = Transaction(listOf(Condition(Keys.shard(shard), Revision(token.number))), listOf(write))
         store.commit(WritePriority.LEASE, transaction) { outcome ->
             done(outcome)
-            if (outcome is TransactionOutcome.Applied) replica.applied(transaction, outcome.revision)
+            if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
 
-    private fun settle(shard: ShardName) = replica.readFresh {
+    private fun settle(shard: ShardName) = replica.catchUp {
         inFlight -= shard
         onSettled()
     }
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -48,7 +48,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMs = if (machine.isEmpty) now.ms - machine.idleSince.ms else 0,
+            idleMillis = if (machine.isEmpty) now.ms - machine.idleSince.ms else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,11 +1,11 @@
 package copperglade.placement
 
 import copperglade.fleet.MachineTypeCatalog
-import copperglade.prediction.Factors
 import copperglade.prediction.ProfileStore
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
+import copperglade.prediction.TaskFactors
 import copperglade.protocol.JobKind
 import copperglade.protocol.MachineName
 import copperglade.protocol.MonotonicTime
@@ -28,7 +28,7 @@
     private val types: MachineTypeCatalog,
     private val failureEvidence: FailureEvidence,
     private val timeouts: HeartbeatTimeouts,
-    private val stragglerMargin: Double,
+    private val stragglerFactor: Double,
     private val requestOf: (TaskId) -> Resources?,
 ) {
     private var nextLook = MonotonicTime.NEVER
@@ -62,8 +62,8 @@
     /** Past its job's average run time. */
     private fun isLate(run: Run, now: MonotonicTime): Boolean {
         val elapsed = now.secondsSince(run.runningSince ?: return false)
-        val average = profiles.averageRunS(run.task.job, run.spec.load) ?: return false
-        return elapsed > average * stragglerMargin
+        val average = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
+        return elapsed > average * stragglerFactor
     }
 
     /** Services never finish, gangs run together or not at all, and once is enough for any task. */
@@ -72,7 +72,7 @@
     private fun decide(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): RestartDecision? {
         val home = run.machine ?: return null
         val elapsed = now.secondsSince(run.runningSince ?: return null)
-        val average = profiles.averageRunS(run.task.job, run.spec.load) ?: return null
+        val average = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
         // A slow machine has done less of the task than the time says.
         val done = elapsed * profiles.speedOf(home.name)
         val similar = profiles.similar(run.spec.load, done)
@@ -86,7 +86,7 @@
         val options = fitting.sortedByDescending { free.getValue(it.name).cpus }.take(MAX_OPTIONS).mapNotNull { machine ->
             val type = types[machine.typeName] ?: return@mapNotNull null
             val prediction = profiles.predict(machine.name, factorsOn(machine, run, machine.runs.size + 1), similar)
-            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerS.coerceAtLeast(TINY)
+            val fetchS = if (machine.hasImage(run.spec.image)) 0.0 else run.spec.image.gb / type.fetchGbPerSecond.coerceAtLeast(TINY)
             prediction?.let { RestartOption(machine.name, it, fetchS) }
         }
         return when (val verdict = RiskAssessment.weigh(options, remaining)) {
@@ -117,7 +117,7 @@
     }
 
     private fun factorsOn(machine: Machine, run: Run, neighbours: Int) =
-        Factors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
 
     private fun round(seconds: Double) = Math.round(seconds * 10) / 10.0
 
--- a/src/main/kotlin/copperglade/storage/Records.kt
+++ b/src/main/kotlin/copperglade/storage/Records.kt
@@ -13,15 +13,15 @@
 import copperglade.protocol.Json
 import copperglade.protocol.MachineName
 import copperglade.protocol.MemberId
-import copperglade.protocol.ParsedJob
+import copperglade.protocol.ParsedSubmission
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
 import copperglade.protocol.TaskId
-import copperglade.protocol.array
-import copperglade.protocol.flag
-import copperglade.protocol.long
-import copperglade.protocol.obj
-import copperglade.protocol.text
+import copperglade.protocol.booleanOrNull
+import copperglade.protocol.longOrNull
+import copperglade.protocol.stringOrNull
+import copperglade.protocol.writeJsonArray
+import copperglade.protocol.writeJsonObject
 import java.io.IOException
 import java.util.BitSet
 
@@ -93,13 +93,13 @@
 /** Who owns a shard; the revision of the record is the fencing token of the shard's workers. */
 data class ShardRecord(val member: MemberId, val incarnation: Incarnation) {
     /** Nobody owns it: [member] gave it up and had better not get it back at once. */
-    val givenUp: Boolean get() = incarnation == NO_LIFE
+    val released: Boolean get() = incarnation == NO_INCARNATION
 
     companion object {
         /** The state service's leases are numbered from 1. */
-        private val NO_LIFE = Incarnation(0)
+        private val NO_INCARNATION = Incarnation(0)
 
-        fun givenUpBy(member: MemberId) = ShardRecord(member, NO_LIFE)
+        fun releasedBy(member: MemberId) = ShardRecord(member, NO_INCARNATION)
     }
 }
 
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -17,10 +17,10 @@
  *
  * There is one instance for all shards of a process: the more machines it covers, the sooner a failing job is recognized.
  *
- * @param machinesToBlameJob a job is blamed once it has failed on this many machines that fail for no other job, or on one
+ * @param failingJobMachineThreshold a job is blamed once it has failed on this many machines that fail for no other job, or on one
  *   more than that whatever else fails there.
  */
-class FailureEvidence(private val machinesToBlameJob: Int) {
+class FailureEvidence(private val failingJobMachineThreshold: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
@@ -47,7 +47,8 @@
 
     private fun failsEverywhere(job: JobId): Boolean {
         val machines = machinesByJob[job] ?: return false
-        return machines.size > machinesToBlameJob || machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= machinesToBlameJob
+        return machines.size > failingJobMachineThreshold ||
+            machines.count { failuresByMachine[it].orEmpty().size <= 1 } >= failingJobMachineThreshold
     }
 
     /** Whether [machine] fails the tasks of healthy jobs and should be replaced. */
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -129,7 +129,7 @@
         sequence.accept(heartbeat)
         if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
         load.report(heartbeat.reportedTasks)
-        evictionNoticed = heartbeat.noticeS != null
+        evictionNoticed = heartbeat.evictionNoticeSeconds != null
         endpoint = heartbeat.endpoint
         channel.settle(epoch, fencingToken, reportedTasks)
         if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) idleSince = now
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -28,7 +28,7 @@
     fun ofJob(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
 
     /** The runs of the tasks in [range]; outcomes are written by task range. */
-    fun inRange(range: TaskRange): Collection<Run> = byJob[range.job]?.get(range.page)?.values.orEmpty()
+    fun inRange(range: TaskRange): Collection<Run> = byJob[range.job]?.get(range.index)?.values.orEmpty()
 
     /** Adds [run], in place of the present run of the same task if there is one. */
     fun add(run: Run) {
