--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -14,7 +14,7 @@
 /**
  * Composes the responses that acknowledge heartbeats and so renew the workers' leases, with the commands that they carry.
  *
- * Invariant: no such response lacks the stops of cancelled and ended tasks that the heartbeat reports ([ActionGuard.stopsFor]). Guards
+ * Invariant: no such response lacks the stops of cancelled and ended tasks that the heartbeat reports ([ActionGuard.requiredStops]). Guards
  * against tasks that outlive their job's cancellation.
  */
 class HeartbeatResponses(
@@ -62,10 +62,10 @@
         clock.now() >= machine.channel.lastRemovalSentAt + timeouts.heartbeatIntervals(HEARTBEATS_PER_REMOVAL)
 
     private fun compose(heartbeat: Heartbeat, commands: List<Command>): ByteArray {
-        val stops = guard.stopsFor(heartbeat)
+        val stops = guard.requiredStops(heartbeat)
         val approved = guard.approveAnswer(heartbeat, stops + commands.withoutStopsIn(stops))
-        audit.commanded(heartbeat.machine, state.fencingToken, approved, way = "answer")
-        audit.answered(heartbeat.machine, state.fencingToken, stops.size)
+        audit.recordCommands(heartbeat.machine, state.fencingToken, approved, channel = "answer")
+        audit.recordAnswer(heartbeat.machine, state.fencingToken, stops.size)
         return WorkerMessageCodec.encodeHeartbeatReply(state.fencingToken, approved)
     }
 
--- a/src/main/kotlin/copperglade/agents/MissingRunRelease.kt
+++ b/src/main/kotlin/copperglade/agents/MissingRunRelease.kt
@@ -22,7 +22,7 @@
 ) {
     /** By then, every worker that only a former owner acknowledged has lost its lease. */
     private val formerLeasesExpiredAt: MonotonicTime
-        get() = maxOf(state.grantedAt, formerIncarnations.over) + timeouts.maxLease
+        get() = maxOf(state.grantedAt, formerIncarnations.allStoppedAt) + timeouts.maxLease
 
     /**
      * Releases missing runs if every worker that could hold one has shown a token of this owner or has lost its lease. The cloud's list
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -41,7 +41,7 @@
         for (assignment in job.assignments()) {
             if (assignment.shard != state.name) continue
             assigned += assignment.task
-            val run = runFor(job, spec, live.value.acceptedAtMs, assignment)
+            val run = runFor(job, spec, live.value.acceptedAtMillis, assignment)
             run.updateSpec(spec)
             if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
@@ -50,13 +50,13 @@
     }
 
     /** The run that follows [assignment]. One that was returned to the leader is replaced once its task is assigned here again. */
-    private fun runFor(job: Job, spec: JobSpec, acceptedAtMs: Long, assignment: Assignment): Run {
+    private fun runFor(job: Job, spec: JobSpec, acceptedAtMillis: Long, assignment: Assignment): Run {
         val task = TaskId(job.id, assignment.task)
         val known = runs[task]
         val assignedAgain = known != null && known.generation != assignment.generation && known.state == RunState.GONE
         if (known != null && !assignedAgain) return known
         val initialState = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
-        val newRun = Run(task, spec, assignment.generation, acceptedAtMs, initialState, clock.now(), runs::onStateChanged)
+        val newRun = Run(task, spec, assignment.generation, acceptedAtMillis, initialState, clock.now(), runs::onStateChanged)
         newRun.restarted = job.wasRestarted(assignment.task)
         runs.add(newRun)
         return newRun
@@ -70,7 +70,7 @@
 
     /** The outcome is recorded; whatever the machine's worker still reports of the task is removed as an unknown task. */
     private fun forget(run: Run) {
-        audit.forgotten(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
+        audit.recordDroppedRun(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
         run.unbind()
         runs.remove(run)
     }
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -56,7 +56,7 @@
 
     private fun needsHigherToken(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
         start.expiresAt == null && start.fencingToken == state.fencingToken && now >= start.sentAt + TOKEN_RENEWAL_DELAY &&
-            (!machine.channel.unresponsive || guard.isOver(start.task.job))
+            (!machine.channel.unresponsive || guard.isEndedOrCancelled(start.task.job))
 
     private companion object {
         /** How long a start may stay unresolved before the fencing token is raised. */
--- a/src/main/kotlin/copperglade/agents/WorkerClient.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerClient.kt
@@ -34,7 +34,7 @@
     /** Those of [planned] that may be sent to [machine] directly, recorded as sent under [token]. */
     fun approve(machine: MachineName, token: FencingToken, planned: List<Command>): List<Command> {
         val commands = guard.approveCommands(machine, planned)
-        audit.commanded(machine, token, commands, way = "direct")
+        audit.recordCommands(machine, token, commands, channel = "direct")
         return commands
     }
 
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -41,7 +41,7 @@
         }
         val hopeless = HashSet<JobId>()
         val keptFor = HashSet<JobId>()
-        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMs }, { it.task.index }))) {
+        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMillis }, { it.task.index }))) {
             // Nothing makes room in a round, so what holds for one task of a job holds for the next. Weighing every machine again for
             // hundreds of tasks that wait took half of a controller's processor on a recorded day.
             if (run.task.job in hopeless) {
--- a/src/main/kotlin/copperglade/placement/StartEligibility.kt
+++ b/src/main/kotlin/copperglade/placement/StartEligibility.kt
@@ -37,7 +37,7 @@
     /** The leader that assigned the task may have known less than this controller, or may be of a version without dependencies. */
     private fun isRefused(run: Run): Boolean {
         val refusal = guard.refusalByRecords(run.task)
-        if (refusal != null && refusal != run.lastRefusal) audit.refused(run.task, refusal)
+        if (refusal != null && refusal != run.lastRefusal) audit.recordRefusal(run.task, refusal)
         run.lastRefusal = refusal
         return refusal != null
     }
--- a/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
@@ -67,7 +67,7 @@
         )
     }
 
-    fun withoutCapacity() = PeerStatus(
+    fun withoutCapacities() = PeerStatus(
         member,
         incarnation,
         knownRevision,
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -114,7 +114,7 @@
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(REFUSAL_RETRY_DELAY, again)
-                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.isOpen }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, isOwner = { shard.isOpen }, again)
                 else -> replica.catchUp { loop.after(CONFLICT_RETRY_DELAY, again) }
             }
         }
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -56,14 +56,14 @@
  * A task that is assigned to a shard, as the shard's owner follows it.
  *
  * @param generation the generation of the assignment: a task that is returned to the leader is returned under this generation.
- * @param acceptedAtMs when the job was accepted, in wall-clock milliseconds.
+ * @param acceptedAtMillis when the job was accepted, in wall-clock milliseconds.
  * @param onStateChanged called after every state transition.
  */
 class Run(
     val task: TaskId,
     spec: JobSpec,
     val generation: Int,
-    val acceptedAtMs: Long,
+    val acceptedAtMillis: Long,
     initialState: RunState,
     now: MonotonicTime,
     private val onStateChanged: (Run) -> Unit = {},
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -14,18 +14,19 @@
 import org.junit.jupiter.params.provider.ValueSource
 import java.util.Random
 
-/** The dependency graph against [PipelineModel], and what a plain model has no notion of: marks learned early, lost end records. */
+/** The dependency graph against [PipelineModel], and what the model doesn't cover: marks known early, lost end records. */
 class DependencyGraphTest {
     /** Jobs as a replica would hold them, and the records they are made from. */
-    private class Records(private val runS: Double = 0.0) {
+    private class Records(private val runSeconds: Double = 0.0) {
         val jobs = HashMap<JobId, Job>()
         val ends = HashMap<JobId, EndRecord>()
         var knownRevision = Revision(1)
-        val graph = DependencyGraph(jobs, ends::get, { knownRevision }, { 0L }) { runS }
+        val graph = DependencyGraph(jobs, ends::get, { knownRevision }, { 0L }) { runSeconds }
 
         fun accept(job: PipelineJob) {
             val spec = specOf(job)
-            jobs.getOrPut(job.id) { Job(job.id) }.live = StoredRecord(LiveRecord(spec, 0, cancelled = false, job.awaits.toList()), next())
+            jobs.getOrPut(job.id) { Job(job.id) }.live =
+                StoredRecord(LiveRecord(spec, 0, cancelled = false, job.dependencies.toList()), next())
             graph.update(listOf(job.id))
         }
 
@@ -41,20 +42,20 @@
             graph.update(listOf(id))
         }
 
-        /** Catches up with everything written so far; the watch brings the mark of [id] again. */
+        /** Everything written so far becomes known; the watch delivers the mark of [id] again. */
         fun catchUp(id: JobId) {
             next()
             graph.update(listOf(id))
         }
 
-        /** The job's end record takes the place of its live one, as the leader's closing transaction has it. */
+        /** Replaces the job's live record by its end record, as the leader's transaction does. */
         fun end(id: JobId) {
             val job = jobs.remove(id) ?: return
             ends[id] = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             graph.update(listOf(id))
         }
 
-        /** All live records are read anew, into new objects. */
+        /** Loads all live records again, into new objects. */
         fun reload() {
             val before = HashMap(jobs)
             jobs.clear()
@@ -85,8 +86,8 @@
 
     private fun id(number: Int) = JobId("job-$number")
 
-    private fun job(number: Int, vararg awaits: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
-        PipelineJob(id(number), awaits.map(::id).toSet(), priority, dueAtS)
+    private fun job(number: Int, vararg dependencies: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
+        PipelineJob(id(number), dependencies.map(::id).toSet(), priority, dueAtS)
 
     private fun statusByModel(model: PipelineModel, id: JobId): JobStatus = when {
         model.isDone(id) -> JobStatus.DONE
@@ -103,7 +104,7 @@
             assertEquals(model.isBlocked(id), job.blocked && !job.cancelled, "$id blocked")
             model.effectivePriority(id)?.let { assertEquals(it, job.spec?.priority, "$id priority") }
             if (!model.isDone(id) && !model.isAborted(id)) {
-                assertEquals(model.tightestDueS(id), job.deadline?.dueInS(1.0, 0), "$id due")
+                assertEquals(model.tightestDueS(id), job.deadline?.dueInSeconds(1.0, 0), "$id due")
             }
         }
     }
@@ -121,8 +122,8 @@
                 is RandomPipelines.Step.Cancel -> records.mark(step.id)
             }
             if (random.nextInt(4) == 0) {
-                val over = model.ids.filter { it in records.jobs && (model.isDone(it) || model.isAborted(it)) }
-                over.filter { random.nextInt(2) == 0 }.shuffled(random).forEach {
+                val finished = model.ids.filter { it in records.jobs && (model.isDone(it) || model.isAborted(it)) }
+                finished.filter { random.nextInt(2) == 0 }.shuffled(random).forEach {
                     records.end(it)
                     ended++
                 }
@@ -186,12 +187,12 @@
 
     @Test
     fun `what lies between a job and a deadline makes it due earlier`() {
-        val records = Records(runS = 10.0)
+        val records = Records(runSeconds = 10.0)
         records.accept(job(1, dueAtS = 500.0))
         records.accept(job(2, 1))
         records.accept(job(3, 2, priority = Priority.HIGH, dueAtS = 100.0))
         val jobs = (1..3).map { records.jobs.getValue(id(it)) }
-        assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInS(1.0, 0) })
+        assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInSeconds(1.0, 0) })
         assertEquals(listOf(Priority.HIGH, Priority.HIGH, Priority.HIGH), jobs.map { it.spec?.priority })
         assertEquals(
             Priority.NORMAL,
@@ -202,7 +203,7 @@
                 ?.priority,
         )
         records.mark(id(3))
-        assertEquals(500.0, jobs[0].deadline?.dueInS(1.0, 0))
+        assertEquals(500.0, jobs[0].deadline?.dueInSeconds(1.0, 0))
         assertEquals(Priority.NORMAL, jobs[0].spec?.priority)
     }
 
