--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -14,7 +14,7 @@
 import copperglade.tasks.StopReason
 
 /**
- * Places a shard's waiting runs on its machines and stops preempted work for them.
+ * Decides which of a shard's waiting runs may be placed now, and has a [Placer] place them.
  *
  * Invariant: nothing is placed unless [Membership.mayStart], which needs newer knowledge than keeping what runs. Guards
  * against starting tasks of a job that was cancelled meanwhile.
@@ -28,18 +28,10 @@
     private val eligibility: StartEligibility,
     types: MachineTypeCatalog,
 ) {
-    private val placedOn = LinkedHashSet<Machine>()
-    private val placer = Placer(
-        types,
-        state::requestOf,
-        start = ::start,
-        stop = { stopper.stop(it, StopReason.PREEMPTED) },
-        giveBack = { lifecycle.finish(it, RunState.GONE, "no room") },
-        mayPreempt = { !eligibility.isFailing(it) },
-        separated = eligibility::mustAvoid,
-    )
+    private val machinesWithStarts = LinkedHashSet<Machine>()
+    private val placer = Placer(types, state::requestOf, Actions())
 
-    /** Starts what waits and fits. Runs that find no room for too long are given back to the leader. */
+    /** Starts waiting runs that fit. Runs that have found no capacity for too long are given back to the leader. */
     fun place(now: MonotonicTime) {
         if (!eligibility.mayStartAny) return
         giveBackAllButOneTrial()
@@ -47,22 +39,32 @@
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        placedOn.forEach(commands::sendDue)
-        placedOn.clear()
+        machinesWithStarts.forEach(commands::sendDue)
+        machinesWithStarts.clear()
     }
 
-    /** Of a failing job one task waits here to be tried; the others would only hold room and their team's limit. */
+    /** One task of a failing job waits here for its trial; the others would only use up capacity and their team's quota. */
     private fun giveBackAllButOneTrial() {
         val failing = state.runs.waiting.filter(eligibility::isFailing)
         for ((job, runs) in failing.groupBy { it.task.job }) {
             val trialRuns = state.runs.ofJob(job).any { it.occupiesMachine }
-            runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "its job fails everywhere") }
+            runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "job_failing") }
         }
     }
 
-    private fun start(run: Run, machine: Machine) {
-        run.bind(machine, state.nextAttempt())
-        lifecycle.transition(run, RunState.STARTING, "placed")
-        placedOn += machine
+    private inner class Actions : PlacementActions {
+        override fun mayPreemptFor(run: Run): Boolean = !eligibility.isFailing(run)
+
+        override fun isSeparated(run: Run, machine: Machine): Boolean = eligibility.mustAvoid(run, machine)
+
+        override fun start(run: Run, machine: Machine) {
+            run.bind(machine, state.nextAttempt())
+            lifecycle.transition(run, RunState.STARTING, "placed")
+            machinesWithStarts += machine
+        }
+
+        override fun preempt(victim: Run) = stopper.stop(victim, StopReason.PREEMPTED)
+
+        override fun giveBack(run: Run) = lifecycle.finish(run, RunState.GONE, "no_capacity")
     }
 }
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -12,25 +12,21 @@
  * Restarts stragglers where [StragglerDetector] finds it worth the risk. A task is restarted once at most: that it was is
  * recorded with its outcome, so that a later owner does not restart it again.
  */
-class StragglerRestarts(
+class StragglerRestarts internal constructor(
     private val state: ShardState,
     private val detector: StragglerDetector,
     private val outcomes: OutcomeLog,
     private val stopper: RunStopper,
     private val clock: Clock,
 ) {
-    /** Weighs a few stragglers and stops those that are to run elsewhere; they start there once their worker confirms. */
-    fun restartWorthwhile(now: MonotonicTime) = detector.look(state.machines.values, now).forEach(::restart)
+    /** Assesses a few stragglers and stops those worth restarting; each starts on its target once its worker confirms the stop. */
+    fun restartWorthwhile(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
 
-    private fun restart(decision: RestartDecision) {
-        val run = decision.run
-        run.restartTarget = decision.target
+    private fun restart(restart: StragglerRestart) {
+        val run = restart.run
+        run.restartTarget = restart.target
         run.restarted = true
-        run.stragglerRunSeconds = run.runningSince?.let {
-            clock
-                .now()
-                .secondsSince(it)
-        }
+        run.stragglerRunSeconds = run.runningSince?.let { clock.now().secondsSince(it) }
         outcomes.record(run)
         stopper.stop(run, StopReason.RESTARTED)
     }
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -50,8 +50,8 @@
             replica,
             store.limits,
             Keys.assignmentRecords(kind),
-            { job, page -> job.assignmentRanges[page] },
-            { job, page -> job.assignmentRanges[page]?.let { RecordCodec.encode(it.value) } },
+            { job, range -> job.assignmentRanges[range] },
+            { job, range -> job.assignmentRanges[range]?.let { RecordCodec.encode(it.value) } },
         )
     }
     private val rangeBuilder = AssignmentRangeBuilder(replica)
