--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -90,9 +90,9 @@
     }
 
     private fun authority(): String {
-        val recordsAgeMs = loop.now().ms - replica.readTime.ms
-        return "records_age_ms=$recordsAgeMs revision=${replica.knownRevision} " +
-            "authority_ms=${membership.authorityRemainingMs} replica=${replica.state}"
+        val recordsAgeMillis = loop.now().ms - replica.readTime.ms
+        return "records_age_ms=$recordsAgeMillis revision=${replica.knownRevision} " +
+            "authority_ms=${membership.authorityRemainingMillis} replica=${replica.state}"
     }
 
     private fun basis(id: JobId): String {
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -33,12 +33,12 @@
     private val shardMap: ShardMap,
     private val zoneOfMember: Map<MemberId, String>,
     private val leaseEndorsement: LeaseEndorsement,
-    workerLeaseS: Double,
+    workerLeaseSeconds: Double,
 ) {
     private class Grant(val revision: Revision, val knownSince: MonotonicTime)
 
     /** For how long a shard stays with a new owner, however uneven the distribution is. */
-    private val minTenure: Duration = (workerLeaseS * MIN_TENURE_IN_WORKER_LEASES).seconds
+    private val minTenure: Duration = (workerLeaseSeconds * MIN_TENURE_IN_WORKER_LEASES).seconds
     private val grantsInFlight = HashSet<ShardName>()
 
     /** The last grant of each shard that this process knows of. */
@@ -68,7 +68,7 @@
 
     /** After a start of the whole cluster, the members that join first would otherwise get all shards. */
     private fun hasWaitedForMembers(): Boolean =
-        replica.members.size >= zoneOfMember.size || leadership.leadingForS > WAIT_FOR_MEMBERS_S
+        replica.members.size >= zoneOfMember.size || leadership.leadingForSeconds > WAIT_FOR_MEMBERS_SECONDS
 
     private fun recordGrants() {
         val now = loop.now()
@@ -169,7 +169,7 @@
     }
 
     private companion object {
-        const val WAIT_FOR_MEMBERS_S = 1.5
+        const val WAIT_FOR_MEMBERS_SECONDS = 1.5
         const val MIN_TENURE_IN_WORKER_LEASES = 1.5
         val EXCLUSION = 30.seconds
         val log = LoggerFactory.getLogger("shards")
