--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -1,6 +1,9 @@
 package copperglade.controller
 
 import copperglade.fleet.Autoscaler
+import copperglade.fleet.AutoscalerSettings
+import copperglade.fleet.CloudMachines
+import copperglade.fleet.MachineReports
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
@@ -134,20 +137,15 @@
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
+    private val cloudMachines = CloudMachines(loop, http, settings.cloud, cloudBudget, membership, types, settings.listLagSeconds)
     private val autoscaler = Autoscaler(
         loop,
-        http,
-        settings.cloud,
-        cloudBudget,
         replica,
         leadership,
-        membership,
         types,
-        settings.teams,
-        shardMap,
-        operatorSettings,
-        settings.listLagSeconds,
-        peerStatuses::statusOf,
+        cloudMachines,
+        MachineReports(replica, shardMap, peerStatuses::statusOf),
+        AutoscalerSettings(settings.teams, operatorSettings),
     )
     private val peerStatusExchange = PeerStatusExchange(
         loop,
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -38,7 +38,7 @@
             isLeader = leading,
             shards = shardOwnership.shardCapacities(),
             release = if (leading) shardAssigner.shardsToRelease else emptyList(),
-            retire = if (leading) autoscaler.retire else emptyList(),
+            retire = if (leading) autoscaler.machinesToRetire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
--- a/src/main/kotlin/copperglade/fleet/BootTimes.kt
+++ b/src/main/kotlin/copperglade/fleet/BootTimes.kt
@@ -8,51 +8,55 @@
 import kotlin.math.min
 
 /**
- * How long machines take to come up, by what the cloud's list has shown of each type.
+ * How long machines of each type take to boot, by what the cloud's listings have shown.
  *
- * Some machines take several times as long as usual, and a few never come up. One that is overdue no longer counts as on its
- * way, so that another is rented in its place; if it comes up after all it is used, or returned as idle.
+ * Some machines take several times as long as most, and a few never come up. An overdue machine no longer counts towards the
+ * fleet's capacity, so that another is rented in its place; if it comes up after all it is used, or scaled in as idle.
  */
-class BootTimes {
+internal class BootTimes {
     private val booting = HashSet<MachineName>()
-    private val recentS = HashMap<String, ArrayDeque<Double>>()
+    private val recentBootSeconds = HashMap<String, ArrayDeque<Double>>()
 
-    /** Takes note of which machines have come up since the last list. */
+    /** Records the boot times of [machines] that have come up since the last listing. */
     fun observe(machines: Map<MachineName, ListedMachine>) {
         for (machine in machines.values) {
             if (machine.status == MachineStatus.BOOTING) {
                 booting += machine.name
             } else if (booting.remove(machine.name) && machine.status == MachineStatus.RUNNING) {
-                remember(machine)
+                record(machine)
             }
         }
         booting.retainAll(machines.keys)
     }
 
-    private fun remember(machine: ListedMachine) {
-        val recent = recentS.getOrPut(machine.type) { ArrayDeque() }
+    /** Whether [machine], which is of [type], has been booting for so long that another should be rented in its place. */
+    fun isOverdue(machine: ListedMachine, type: MachineType): Boolean =
+        machine.status == MachineStatus.BOOTING && machine.ageSeconds > overdueAfterSeconds(type)
+
+    private fun record(machine: ListedMachine) {
+        val recent = recentBootSeconds.getOrPut(machine.type) { ArrayDeque() }
         recent.addLast(machine.ageSeconds)
-        if (recent.size > REMEMBERED) recent.removeFirst()
+        if (recent.size > MAX_SAMPLES_PER_TYPE) recent.removeFirst()
     }
 
-    /** From which age on a machine of [type] that is still booting is not reckoned with any more. */
-    fun overdueAfterS(type: MachineType): Double {
-        val slow = recentS[type.name]?.sorted()?.let { it[(it.size * SLOW_QUANTILE).toInt().coerceAtMost(it.lastIndex)] } ?: 0.0
-        return min(max(type.bootSeconds * USUAL_MAX, slow * SLOWER_THAN_SLOW), type.bootSeconds * MAX) + SLACK_S
+    private fun overdueAfterSeconds(type: MachineType): Double {
+        val slowBootSeconds = recentBootSeconds[type.name]
+            ?.sorted()
+            ?.let { it[(it.size * SLOW_QUANTILE).toInt().coerceAtMost(it.lastIndex)] } ?: 0.0
+        val expectedSeconds = max(type.bootSeconds * COMMON_MAX_BOOT_FACTOR, slowBootSeconds * SLOW_BOOT_MARGIN)
+        return min(expectedSeconds, type.bootSeconds * MAX_BOOT_FACTOR) + LISTING_DELAY_SECONDS
     }
 
     private companion object {
-        const val REMEMBERED = 20
+        const val MAX_SAMPLES_PER_TYPE = 20
         const val SLOW_QUANTILE = 0.9
-        const val SLOWER_THAN_SLOW = 1.2
-
-        /** By the protocol, boots usually take up to this many times what their type says. */
-        const val USUAL_MAX = 1.5
+        const val SLOW_BOOT_MARGIN = 1.2
 
-        /** Waiting for longer than this costs more than a machine rented in vain, whatever has been seen. */
-        const val MAX = 3.0
+        /** By the protocol, boots commonly take up to this multiple of what their type says. */
+        const val COMMON_MAX_BOOT_FACTOR = 1.5
 
-        /** The list is some seconds old. */
-        const val SLACK_S = 5.0
+        /** Waiting for longer costs more than a machine rented for nothing, whatever boot times were seen. */
+        const val MAX_BOOT_FACTOR = 3.0
+        const val LISTING_DELAY_SECONDS = 5.0
     }
 }
--- a/src/main/kotlin/copperglade/fleet/ConstrainedDemand.kt
+++ b/src/main/kotlin/copperglade/fleet/ConstrainedDemand.kt
@@ -9,65 +9,86 @@
 import kotlin.math.max
 import kotlin.math.min
 
-/** Where some jobs' tasks may run, and nowhere else. */
+/** Which machines a task may run on. */
 data class PlacementConstraint(val types: List<String>?, val zone: String?, val spotAllowed: Boolean) {
+    /** Whether it excludes machine types or zones. */
+    val isRestricted: Boolean get() = types != null || zone != null
+
     fun allows(type: String, machineZone: String, spot: Boolean): Boolean =
         (types == null || type in types) && (zone == null || zone == machineZone) && (!spot || spotAllowed)
 }
 
-/** CPUs that wait for room under a [PlacementConstraint], and the largest request among them. */
-class ConstrainedWork(var cpus: Double, var largest: Resources)
+/** CPUs that wait for capacity under a [PlacementConstraint], and the largest request among them. */
+class ConstrainedWork {
+    var cpus = 0.0
+        private set
+    var largestRequest = Resources.ZERO
+        private set
+
+    /** Adds [cpus] of tasks that request [request] each. */
+    fun add(cpus: Double, request: Resources) {
+        this.cpus += cpus
+        if (request.cpus > largestRequest.cpus) largestRequest = request
+    }
+}
 
 /**
- * Waiting work that can't use every machine. The fleet as a whole may be large enough while all of its room is elsewhere:
- * a job bound to a zone that had lost its machines, the rest of them full of services, waited for ever, since there were CPUs
- * enough in the other zone. Nor did a task of six CPUs ever start where two machines had four CPUs left each.
+ * Demand that only some machines can meet. The fleet as a whole may be large enough while all of its free capacity is where the
+ * waiting work may not run, or in pieces that are too small for a task.
  */
 object ConstrainedDemand {
+    private class WaitingJob(val job: Job, val spec: JobSpec, val constraint: PlacementConstraint) {
+        /** One machine is enough to end fragmentation; constrained tasks all need machines that they may use. */
+        val tasks: Int get() = if (constraint.isRestricted) job.wantedTasks - job.assignments().size else 1
+    }
+
     /**
+     * The waiting work by its constraint.
+     *
      * @param zoneOf the zone in which a job that must stay in one has begun.
-     * @param fragmented whether a task of the job has waited for long though all free pieces together would hold it.
+     * @param isFragmented whether a task of the job has waited for long though all free capacity together would hold it.
      */
     fun of(
         jobs: Collection<Job>,
         teams: Map<TeamName, Team>,
         zoneOf: (Job) -> String?,
-        fragmented: (Job) -> Boolean,
+        isFragmented: (Job) -> Boolean,
     ): Map<PlacementConstraint, ConstrainedWork> {
-        val bound = HashMap<PlacementConstraint, ConstrainedWork>()
-        val waitingJobs = jobs.filter { it.spec != null && it.wantedTasks > it.assignments().size && !it.blocked }
-        val fragmentedJobs = waitingJobs.filterTo(HashSet()) { !isBoundToPlace(it, zoneOf) && fragmented(it) }
-        if (fragmentedJobs.isEmpty() && waitingJobs.none { isBound(it.spec!!) }) return bound
-        val used = HashMap<TeamName, Double>()
-        for (job in jobs) job.spec?.let { used.merge(it.team, job.assignments().size * it.request.cpus, Double::plus) }
-        for (job in waitingJobs) {
-            val spec = job.spec ?: continue
-            if (job.cancelled || job.complete || job.failing) continue
-            val zone = spec.zone ?: if (spec.oneZone) zoneOf(job) else null
-            val isFragmented = zone == null && spec.types == null
-            if (isFragmented && job !in fragmentedJobs) continue
-            val waiting = if (isFragmented) 1 else job.wantedTasks - job.assignments().size
-            val limit = teams[spec.team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
-            val within = max(0.0, limit - (used[spec.team] ?: 0.0))
-            if (within < spec.request.cpus) continue
-            val cpus = min(within, max(1.0, waiting * DemandEstimate.atOnce(job, spec)) * spec.request.cpus)
-            val work = bound.getOrPut(PlacementConstraint(spec.types, zone, spec.spotAllowed)) { ConstrainedWork(0.0, Resources.ZERO) }
-            work.cpus += cpus
-            if (spec.request.cpus > work.largest.cpus) work.largest = spec.request
+        val workByConstraint = HashMap<PlacementConstraint, ConstrainedWork>()
+        val waitingJobs = jobs
+            .mapNotNull { waitingJob(it, zoneOf) }
+            .filter { it.constraint.isRestricted || isFragmented(it.job) }
+        if (waitingJobs.isEmpty()) return workByConstraint
+        val quotas = QuotaUsage(teams)
+        for (job in jobs) job.spec?.let { quotas.use(it.team, job.assignments().size * it.request.cpus) }
+        for (waiting in waitingJobs) {
+            val cpus = usableCpus(waiting, quotas) ?: continue
+            workByConstraint.getOrPut(waiting.constraint) { ConstrainedWork() }.add(cpus, waiting.spec.request)
         }
-        return bound
+        return workByConstraint
     }
 
-    /** Whether there are machines that the job's tasks can't use. */
-    private fun isBoundToPlace(job: Job, zoneOf: (Job) -> String?): Boolean {
-        val spec = job.spec ?: return false
-        return spec.zone != null || spec.types != null || (spec.oneZone && zoneOf(job) != null)
+    /** Null where the job has no unassigned tasks, or is blocked. */
+    private fun waitingJob(job: Job, zoneOf: (Job) -> String?): WaitingJob? {
+        val spec = job.spec ?: return null
+        if (job.wantedTasks <= job.assignments().size || job.blocked) return null
+        val zone = spec.zone ?: if (spec.oneZone) zoneOf(job) else null
+        return WaitingJob(job, spec, PlacementConstraint(spec.types, zone, spec.spotAllowed))
     }
 
-    private fun isBound(spec: JobSpec) = spec.zone != null || spec.types != null || spec.oneZone
+    /** The CPUs that the job's waiting tasks could use now; null where none of them may start. */
+    private fun usableCpus(waiting: WaitingJob, quotas: QuotaUsage): Double? {
+        val job = waiting.job
+        if (job.cancelled || job.complete || job.failing) return null
+        val taskCpus = waiting.spec.request.cpus
+        val quotaCpus = quotas.remainingCpus(waiting.spec.team)
+        if (quotaCpus < taskCpus) return null
+        val concurrentTasks = max(1.0, waiting.tasks * DemandEstimate.concurrentFraction(job, waiting.spec))
+        return min(quotaCpus, concurrentTasks * taskCpus)
+    }
 
-    /** CPUs of room that such work could have at once. */
-    fun freeCapacity(binding: PlacementConstraint, work: ConstrainedWork, capacities: Collection<MachineAvailability>): Double = capacities
-        .filter { it.usable && binding.allows(it.type, it.zone, it.spot) && work.largest.fitsIn(it.free) }
+    /** CPUs of free capacity that such work could have at once. */
+    fun freeCpus(constraint: PlacementConstraint, work: ConstrainedWork, machines: Collection<MachineAvailability>): Double = machines
+        .filter { it.usable && constraint.allows(it.type, it.zone, it.spot) && work.largestRequest.fitsIn(it.free) }
         .sumOf { it.free.cpus }
 }
--- /dev/null
+++ b/src/main/kotlin/copperglade/fleet/FragmentationCheck.kt
@@ -0,0 +1,31 @@
+package copperglade.fleet
+
+import copperglade.protocol.MachineAvailability
+import copperglade.protocol.Resources
+import copperglade.storage.Job
+import copperglade.transport.EventLoop
+
+/** Finds jobs whose tasks fit on none of [machines] although these have enough free capacity together. */
+internal class FragmentationCheck(private val loop: EventLoop, private val machines: Collection<MachineAvailability>) {
+    private data class ConstrainedRequest(val constraint: PlacementConstraint, val request: Resources)
+
+    /** Many jobs request the same under the same constraint. */
+    private val results = HashMap<ConstrainedRequest, Boolean>()
+
+    /** Whether [job] has waited for a while and its tasks fit on no machine because free capacity is fragmented. */
+    fun isFragmented(job: Job): Boolean {
+        val spec = job.spec ?: return false
+        if (loop.wallMillis() < job.startableSinceMs + MIN_WAIT_MILLIS) return false
+        val constraint = PlacementConstraint(spec.types, spec.zone, spec.spotAllowed)
+        return results.getOrPut(ConstrainedRequest(constraint, spec.request)) { isFragmentedFor(constraint, spec.request) }
+    }
+
+    private fun isFragmentedFor(constraint: PlacementConstraint, request: Resources): Boolean {
+        val allowed = machines.filter { it.usable && constraint.allows(it.type, it.zone, it.spot) }
+        return allowed.none { request.fitsIn(it.free) } && allowed.sumOf { it.free.cpus } >= request.cpus
+    }
+
+    private companion object {
+        const val MIN_WAIT_MILLIS = 20_000L
+    }
+}
--- a/src/main/kotlin/copperglade/fleet/MachineListing.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineListing.kt
@@ -5,112 +5,120 @@
 import copperglade.protocol.Json
 import copperglade.protocol.ListedMachine
 import copperglade.protocol.MachineName
+import copperglade.protocol.MachinePage
 import copperglade.protocol.MonotonicTime
 import copperglade.storage.TokenBucket
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
+import copperglade.transport.Reply
 import copperglade.transport.Request
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The cloud's list of machines, read again and again, page by page.
+ * The cloud's list of machines, read page by page at regular intervals.
  *
- * Every page is paid for from the cloud's budget, and readings become rarer as the list gets longer, so that renting and
- * returning keep most of the budget whatever the size of the fleet.
+ * Every page is taken from the cloud's request budget, and the interval grows with the list, so that renting and deleting
+ * machines keep most of the budget whatever the size of the fleet.
  */
-class MachineListing(
+internal class MachineListing(
     private val loop: EventLoop,
     private val http: HttpClient,
     private val cloud: Endpoint,
     private val budget: TokenBucket,
     /** Called when the whole list has been read. */
-    private val read: () -> Unit,
+    private val onComplete: () -> Unit,
 ) {
-    /** The machines by name, as of the last whole reading. */
+    /** A listing in progress. */
+    private class Listing {
+        val machines = HashMap<MachineName, ListedMachine>()
+        var pages = 0
+        var failures = 0
+    }
+
+    /** The machines by name, as of the last complete listing. */
     var machines: Map<MachineName, ListedMachine> = emptyMap()
         private set
 
-    /** When the list was last read whole. */
-    var readAt = MonotonicTime.NEVER
+    /** When the last complete listing ended; [MonotonicTime.NEVER] where [machines] is out of date. */
+    var completedAt = MonotonicTime.NEVER
         private set
 
-    private var beganAt = MonotonicTime.NEVER
-    private var reading: Reading? = null
-    private var pagesLastTime = 1
-
-    private class Reading {
-        val machines = HashMap<MachineName, ListedMachine>()
-        var pages = 0
-        var failures = 0
-    }
+    private var startedAt = MonotonicTime.NEVER
+    private var inProgress: Listing? = null
+    private var pagesOfLastListing = 1
 
-    /** How often the list is read: at most a part of the budget goes into it. */
-    val interval: Duration get() = maxOf(MIN_INTERVAL, (pagesLastTime / (budget.perSecond * BUDGET_PART)).seconds)
+    /** The time between the starts of two listings. */
+    val interval: Duration get() = maxOf(MIN_INTERVAL, (pagesOfLastListing / (budget.perSecond * BUDGET_SHARE)).seconds)
 
-    /** What was read is out of date; a reading under way is given up. */
-    fun forget() {
-        readAt = MonotonicTime.NEVER
-        beganAt = MonotonicTime.NEVER
-        reading = null
+    /** Marks [machines] as out of date and abandons a listing in progress. */
+    fun invalidate() {
+        completedAt = MonotonicTime.NEVER
+        startedAt = MonotonicTime.NEVER
+        inProgress = null
     }
 
-    /** Begins a reading if one is due. */
+    /** Starts a listing if one is due. */
     fun refresh(now: MonotonicTime) {
-        if (reading != null || now < beganAt + interval) return
-        beganAt = now
-        readPage(Reading().also { reading = it }, from = "")
+        if (inProgress != null || now < startedAt + interval) return
+        startedAt = now
+        requestPage(Listing().also { inProgress = it }, from = "")
     }
 
-    private fun readPage(current: Reading, from: String) {
-        if (reading !== current) return
+    private fun requestPage(listing: Listing, from: String) {
+        if (inProgress !== listing) return
         if (!budget.tryTake(1, loop.now())) {
-            loop.after(BUDGET_PAUSE) { readPage(current, from) }
+            loop.after(BUDGET_RETRY_DELAY) { requestPage(listing, from) }
             return
         }
         val request = Request(Method.GET, "/machines?from=$from&limit=${CloudApiCodec.MACHINES_PER_PAGE}")
-        http.call(cloud, request, TIMEOUT) { reply ->
-            val page = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeMachinePage(Json.read(it.body)) }
-            when {
-                reading !== current -> Unit
-                page == null -> tryAgain(current, from)
-                else -> {
-                    page.machines.forEach { current.machines[it.name] = it }
-                    current.pages++
-                    val last = page.machines.lastOrNull()
-                    if (page.more && last != null) readPage(current, last.name.text) else finish(current)
-                }
-            }
+        http.call(cloud, request, REQUEST_TIMEOUT) { reply -> onReply(listing, from, reply) }
+    }
+
+    private fun onReply(listing: Listing, from: String, reply: Reply?) {
+        val page = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeMachinePage(Json.read(it.body)) }
+        when {
+            inProgress !== listing -> Unit
+            page == null -> retryPage(listing, from)
+            else -> addPage(listing, page)
         }
     }
 
-    /** One page that doesn't come, of many, must not cost the others. */
-    private fun tryAgain(current: Reading, from: String) {
-        current.failures++
-        if (current.failures > MAX_FAILURES) {
-            reading = null
+    private fun addPage(listing: Listing, page: MachinePage) {
+        page.machines.forEach { listing.machines[it.name] = it }
+        listing.pages++
+        val last = page.machines.lastOrNull()
+        if (page.more && last != null) requestPage(listing, last.name.text) else complete(listing)
+    }
+
+    /** Requests a page again that failed, so that the pages read before it are not lost; abandons the listing after some failures. */
+    private fun retryPage(listing: Listing, from: String) {
+        listing.failures++
+        if (listing.failures > MAX_FAILURES) {
+            inProgress = null
         } else {
-            loop.after(RETRY) { readPage(current, from) }
+            loop.after(FAILURE_RETRY_DELAY) { requestPage(listing, from) }
         }
     }
 
-    private fun finish(current: Reading) {
-        reading = null
-        pagesLastTime = current.pages
-        machines = current.machines
-        readAt = loop.now()
-        read()
+    private fun complete(listing: Listing) {
+        inProgress = null
+        pagesOfLastListing = listing.pages
+        machines = listing.machines
+        completedAt = loop.now()
+        onComplete()
     }
 
     private companion object {
-        const val BUDGET_PART = 0.35
+        /** The share of the cloud's request budget that listings may take. */
+        const val BUDGET_SHARE = 0.35
         const val MAX_FAILURES = 3
         val MIN_INTERVAL = 2.seconds
-        val BUDGET_PAUSE = 100.milliseconds
-        val RETRY = 500.milliseconds
-        val TIMEOUT = 5.seconds
+        val BUDGET_RETRY_DELAY = 100.milliseconds
+        val FAILURE_RETRY_DELAY = 500.milliseconds
+        val REQUEST_TIMEOUT = 5.seconds
     }
 }
