--- a/src/main/kotlin/copperglade/controller/ClientRouter.kt
+++ b/src/main/kotlin/copperglade/controller/ClientRouter.kt
@@ -27,11 +27,9 @@
     override fun handle(request: Request, responder: Responder) {
         val path = request.path.substringBefore('?')
         when {
-            path == WorkerMessageCodec.HEARTBEAT_PATH -> requireMethod(
-                Method.POST,
-                request,
-                responder,
-            ) { handleHeartbeat(request, responder) }
+            path == WorkerMessageCodec.HEARTBEAT_PATH -> requireMethod(Method.POST, request, responder) {
+                handleHeartbeat(request, responder)
+            }
             path == UserApiCodec.JOBS_PATH -> requireMethod(Method.POST, request, responder) {
                 jobService.submit(request.body, submissionLatency.timed(responder))
             }
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -58,7 +58,7 @@
 
     /** Whether the list may still lack what a former leader has just rented. There was none in a cluster that has just started. */
     private fun mayLackRentedMachines(): Boolean =
-        leadership.leadingForS < cloud.settlingSeconds && replica.knownRevision.number > LAST_REVISION_OF_NEW_CLUSTER
+        leadership.leadingForSeconds < cloud.settlingSeconds && replica.knownRevision.number > LAST_REVISION_OF_NEW_CLUSTER
 
     /**
      * How long it takes until a machine rented now can do the work of one deleted now: its boot and the fetch of an image, on the
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -27,7 +27,7 @@
         val quotas = QuotaUsage(teams)
         var demand = Demand.NONE
         var largestTrial = Demand.NONE
-        for (job in jobs.filter { it.live != null }.sortedBy { it.live?.value?.acceptedAtMs }) {
+        for (job in jobs.filter { it.live != null }.sortedBy { it.live?.value?.acceptedAtMillis }) {
             val spec = job.spec ?: continue
             if (!isActive(job)) continue
             if (job.failing) {
@@ -64,7 +64,7 @@
      */
     fun concurrentFraction(job: Job, spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 1.0
-        val dueInSeconds = job.deadline?.dueInS(1.0, job.startableSinceMs)
+        val dueInSeconds = job.deadline?.dueInSeconds(1.0, job.startableSinceMillis)
         val availableSeconds = (dueInSeconds ?: (spec.estimatedSeconds * 2)) * USABLE_DEADLINE_FRACTION
         return if (availableSeconds <= spec.estimatedSeconds) 1.0 else spec.estimatedSeconds / availableSeconds
     }
--- a/src/main/kotlin/copperglade/fleet/FragmentationCheck.kt
+++ b/src/main/kotlin/copperglade/fleet/FragmentationCheck.kt
@@ -15,7 +15,7 @@
     /** Whether [job] has waited for a while and its tasks fit on no machine because free capacity is fragmented. */
     fun isFragmented(job: Job): Boolean {
         val spec = job.spec ?: return false
-        if (loop.wallMillis() < job.startableSinceMs + MIN_WAIT_MILLIS) return false
+        if (loop.wallMillis() < job.startableSinceMillis + MIN_WAIT_MILLIS) return false
         val constraint = PlacementConstraint(spec.types, spec.zone, spec.spotAllowed)
         return results.getOrPut(ConstrainedRequest(constraint, spec.request)) { isFragmentedFor(constraint, spec.request) }
     }
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -189,7 +189,7 @@
         is TransactionOutcome.Conflict -> replica.catchUp { settleIfCurrent(write) }
         // It may still be applied: if others got its share of the quota meanwhile, the team could exceed the quota.
         TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
-            unresolvedWrites.resolve(write.packedWrite, ours = { isCurrent(write) }) { settle(write) }
+            unresolvedWrites.resolve(write.packedWrite, isOwner = { isCurrent(write) }) { settle(write) }
     }
 
     private fun onApplied(write: AssignmentWrite, revision: Revision) {
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -113,7 +113,7 @@
             }
             when (outcome) {
                 TransactionOutcome.Refused -> loop.after(REFUSAL_RETRY_DELAY, again)
-                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, ours = { shard.open }, again)
+                TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, isOwner = { shard.open }, again)
                 else -> replica.catchUp { loop.after(CONFLICT_RETRY_DELAY, again) }
             }
         }
