--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -38,7 +38,7 @@
             isLeader = leading,
             shards = ownedShards.capacities(),
             shardsToRelease = if (leading) shardAssigner.shardsToRelease else emptyList(),
-            machinesToRetire = if (leading) autoscaler.retire else emptyList(),
+            machinesToRetire = if (leading) autoscaler.machinesToRetire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
