--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -53,7 +53,7 @@
 
     private fun blocksRun(start: UnresolvedStart, machine: Machine, now: MonotonicTime): Boolean =
         start.expiresAt == null && start.fencingToken == state.fencingToken && now >= start.sentAt + TOKEN_RENEWAL_DELAY &&
-            (!machine.unresponsive || context.guard.isOver(start.task.job))
+            (!machine.unresponsive || context.guard.isEndedOrCancelled(start.task.job))
 
     private companion object {
         /** How long a start may stay unresolved before the token is raised. */
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -105,7 +105,7 @@
     private fun send(machine: Machine, planned: List<Command>) {
         if (!context.membership.mayAct) return
         val commands = context.guard.approveCommands(machine.name, planned)
-        context.audit.commanded(machine.name, state.fencingToken, commands, way = "direct")
+        context.audit.recordCommands(machine.name, state.fencingToken, commands, channel = "direct")
         planner.markSent(machine, commands)
         val sentAt = loop.now()
         machine.commandInFlight = true
