--- a/src/main/kotlin/copperglade/storage/Change.kt
+++ b/src/main/kotlin/copperglade/storage/Change.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.Revision
 
 /** A change of one key. */
-sealed interface Change {
+internal sealed interface Change {
     val key: String
     val revision: Revision
 
@@ -13,7 +13,7 @@
 }
 
 /** The answer to a read of changes. */
-sealed interface ChangesOutcome {
+internal sealed interface ChangesOutcome {
     /** All changes up to [storeRevision], in their order. */
     class Received(val storeRevision: Revision, val changes: List<Change>) : ChangesOutcome
 
--- a/src/main/kotlin/copperglade/storage/Deadline.kt
+++ b/src/main/kotlin/copperglade/storage/Deadline.kt
@@ -21,14 +21,14 @@
         (submittedAtMillis - fromMillis) / MILLIS_PER_SECOND + multiple * deadlineSeconds - downstreamRunSeconds
 
     /** The same deadline for a job that has to be done [runSeconds] seconds earlier. */
-    fun earlierBy(runSeconds: Double) = Deadline(load, submittedAtMillis, deadlineSeconds, downstreamRunSeconds + runSeconds)
+    internal fun earlierBy(runSeconds: Double) = Deadline(load, submittedAtMillis, deadlineSeconds, downstreamRunSeconds + runSeconds)
 
     /** Whether the difference to [other] is too small to schedule jobs differently. */
-    fun isCloseTo(other: Deadline): Boolean =
+    internal fun isCloseTo(other: Deadline): Boolean =
         load == other.load && abs(dueInSeconds(1.0, submittedAtMillis) - other.dueInSeconds(1.0, submittedAtMillis)) < NEGLIGIBLE_SECONDS
 
     /** Whether this deadline falls before [other]. */
-    fun isTighterThan(other: Deadline): Boolean = dueInSeconds(1.0, 0) < other.dueInSeconds(1.0, 0)
+    internal fun isTighterThan(other: Deadline): Boolean = dueInSeconds(1.0, 0) < other.dueInSeconds(1.0, 0)
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -43,10 +43,10 @@
     private val releasedAtMillis = HashMap<JobId, Long>()
 
     /** Whether any job depends on [id]. */
-    fun isAwaited(id: JobId): Boolean = id in dependentsOf
+    internal fun isAwaited(id: JobId): Boolean = id in dependentsOf
 
     /** Dependencies whose end records have to be looked up. */
-    fun unknownDependencies(): List<JobId> = outcomes.filterValues { it == DependencyOutcome.UNKNOWN }.keys.toList()
+    internal fun unknownDependencies(): List<JobId> = outcomes.filterValues { it == DependencyOutcome.UNKNOWN }.keys.toList()
 
     /** Whether the state of [id] depends, directly or through other jobs, on one whose end record has not been looked up yet. */
     fun hasUnknownDependencies(id: JobId): Boolean {
@@ -81,7 +81,7 @@
     private fun isCancelledForCertain(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownRevision())
 
     /** Applies that the records of [changes] have changed; returns the jobs whose state, priority or deadline has changed with them. */
-    fun update(changes: Collection<JobId>): Set<JobId> {
+    internal fun update(changes: Collection<JobId>): Set<JobId> {
         val relevant = changes.filter { it in dependentsOf || it in dependenciesOf || hasDependencies(it) }
         if (relevant.isEmpty()) return emptySet()
         val urgencyChanged = LinkedHashSet<JobId>()
@@ -98,7 +98,7 @@
     }
 
     /** Rebuilds the graph after all jobs were loaded again. Final outcomes are kept. */
-    fun rebuild() {
+    internal fun rebuild() {
         dependenciesOf.clear()
         dependentsOf.clear()
         outcomes.values.removeIf { !it.final }
--- a/src/main/kotlin/copperglade/storage/EncodedRecord.kt
+++ b/src/main/kotlin/copperglade/storage/EncodedRecord.kt
@@ -11,19 +11,19 @@
  */
 @JvmInline
 value class EncodedRecord(private val node: JsonNode) {
-    fun live(): LiveRecord? = RecordCodec.decodeLive(node)
+    internal fun live(): LiveRecord? = RecordCodec.decodeLive(node)
 
-    fun ended(): EndRecord? = RecordCodec.decodeEnd(node)
+    internal fun ended(): EndRecord? = RecordCodec.decodeEnd(node)
 
-    fun shard(): ShardRecord? = RecordCodec.decodeShard(node)
+    internal fun shard(): ShardRecord? = RecordCodec.decodeShard(node)
 
-    fun member(): MemberRecord? = RecordCodec.decodeMember(node)
+    internal fun member(): MemberRecord? = RecordCodec.decodeMember(node)
 
-    fun leader(): LeaderRecord? = RecordCodec.decodeLeader(node)
+    internal fun leader(): LeaderRecord? = RecordCodec.decodeLeader(node)
 
-    fun images(): ImageRecord = RecordCodec.decodeImages(node)
+    internal fun images(): ImageRecord = RecordCodec.decodeImages(node)
 
-    fun peerStatus(): ByteArray? = RecordCodec.decodePeerStatus(node)
+    internal fun peerStatus(): ByteArray? = RecordCodec.decodePeerStatus(node)
 
     /** Calls [action] for each entry of a packed record, in their order; entries of unreadable names are left out. */
     internal inline fun forEachEntry(action: (TaskRange, EncodedEntry) -> Unit) {
@@ -32,7 +32,7 @@
 
     companion object {
         /** The value that [bytes] hold, or null where they aren't JSON. */
-        fun parse(bytes: ByteArray): EncodedRecord? = Json.read(bytes)?.let(::EncodedRecord)
+        internal fun parse(bytes: ByteArray): EncodedRecord? = Json.read(bytes)?.let(::EncodedRecord)
     }
 }
 
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -94,13 +94,13 @@
     }
 
     /** Sets or, with null, removes the assignments of a task range. */
-    fun setAssignmentRange(rangeIndex: Int, entry: PackedEntry<AssignmentRange>?) {
+    internal fun setAssignmentRange(rangeIndex: Int, entry: PackedEntry<AssignmentRange>?) {
         assigned = null
         if (entry == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = entry
     }
 
     /** Sets or, with null, removes the outcomes of a task range in a shard. Tasks that were done stay done. */
-    fun setOutcome(range: ShardTaskRange, entry: PackedEntry<OutcomeRecord>?) {
+    internal fun setOutcome(range: ShardTaskRange, entry: PackedEntry<OutcomeRecord>?) {
         assigned = null
         if (entry == null) outcomeEntries.remove(range) else outcomeEntries[range] = entry
         entry?.let { done.or(it.value.done) }
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -39,7 +39,7 @@
     fun ended(job: JobId) = "$ENDED$job"
 
     /** What [key] names, or null for a kind that only a later version knows. May throw where the key is malformed. */
-    fun parse(key: String): ParsedKey? {
+    internal fun parse(key: String): ParsedKey? {
         if (key == LEADER) return ParsedKey.Leader
         if (key.startsWith(ENDED)) return JobId.parse(key.substring(ENDED.length))?.let { ParsedKey.Ended(it) }
         if (!key.startsWith(CURRENT)) return null
--- a/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.Revision
 
 /** A packed record as it is known: its revision, and the task ranges that it has entries of. */
-class PackedRecord(val revision: Revision, val ranges: Set<TaskRange>)
+internal class PackedRecord(val revision: Revision, val ranges: Set<TaskRange>)
 
 /** The packed records as they are known. Only entries that have changed are decoded, and only their jobs count as changed. */
 internal class PackedRecordTable(private val jobs: JobTable) {
--- a/src/main/kotlin/copperglade/storage/ParsedKey.kt
+++ b/src/main/kotlin/copperglade/storage/ParsedKey.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.ShardName
 
 /** What record a key of the state service names. */
-sealed interface ParsedKey {
+internal sealed interface ParsedKey {
     data object Leader : ParsedKey
 
     class Live(val job: JobId) : ParsedKey
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -39,7 +39,7 @@
         }
     }
 
-    fun decodeLive(node: JsonNode): LiveRecord? {
+    internal fun decodeLive(node: JsonNode): LiveRecord? {
         val spec = (JobSpecCodec.parse(node.get("spec")) as? ParsedSubmission.Valid)?.spec ?: return null
         val dependencies = node.get(JobSpecCodec.DEPENDENCIES)?.mapNotNull { JobId.parse(it.asText()) }.orEmpty()
         return LiveRecord(spec, node.longOrNull("at") ?: 0, node.booleanOrNull("cancelled") ?: false, dependencies)
@@ -64,7 +64,7 @@
         }
     }
 
-    fun decodeAssignmentRange(node: JsonNode): AssignmentRange {
+    internal fun decodeAssignmentRange(node: JsonNode): AssignmentRange {
         val groups = node.get("g").map {
             AssignmentGroup(
                 ShardName(it[0].asText()),
@@ -89,7 +89,7 @@
         }
     }
 
-    fun decodeOutcome(node: JsonNode): OutcomeRecord {
+    internal fun decodeOutcome(node: JsonNode): OutcomeRecord {
         val returned = HashMap<Int, BitSet>()
         node.get("b")?.properties()?.forEach { (generation, tasks) ->
             returned[generation.toInt()] = TaskIndexRanges.parse(tasks.asText())
@@ -108,7 +108,7 @@
     }
 
     /** The version of an entry of a packed record. */
-    fun versionOf(node: JsonNode): Int = node.get("v").asInt()
+    internal fun versionOf(node: JsonNode): Int = node.get("v").asInt()
 
     private fun JsonGenerator.version(record: Versioned) = writeNumberField("v", record.version)
 
@@ -119,21 +119,21 @@
         }
     }
 
-    fun decodeEnd(node: JsonNode): EndRecord? {
+    internal fun decodeEnd(node: JsonNode): EndRecord? {
         val status = JobStatus.entries.firstOrNull { it.name == node.stringOrNull("status") } ?: return null
         return EndRecord(status, (node.longOrNull("done") ?: 0).toInt())
     }
 
     fun encode(record: ShardRecord): ByteArray = memberAndIncarnation(record.member, record.incarnation)
 
-    fun decodeShard(node: JsonNode): ShardRecord? {
+    internal fun decodeShard(node: JsonNode): ShardRecord? {
         val member = MemberId(node.stringOrNull("member") ?: return null)
         return ShardRecord(member, Incarnation(node.longOrNull("inc") ?: return null))
     }
 
     fun encode(record: LeaderRecord): ByteArray = memberAndIncarnation(record.member, record.incarnation)
 
-    fun decodeLeader(node: JsonNode): LeaderRecord? = decodeShard(node)?.let { LeaderRecord(it.member, it.incarnation) }
+    internal fun decodeLeader(node: JsonNode): LeaderRecord? = decodeShard(node)?.let { LeaderRecord(it.member, it.incarnation) }
 
     fun encode(record: ImageRecord): ByteArray = Json.write {
         writeJsonObject {
@@ -141,19 +141,19 @@
         }
     }
 
-    fun decodeImages(node: JsonNode): ImageRecord =
+    internal fun decodeImages(node: JsonNode): ImageRecord =
         ImageRecord(node.properties().associate { (machine, images) -> MachineName(machine) to images.map { ImageName(it.asText()) } })
 
     fun encode(record: MemberRecord): ByteArray = Json.write {
         writeJsonObject { writeNumberField("inc", record.incarnation.number) }
     }
 
-    fun decodeMember(node: JsonNode): MemberRecord? = node.longOrNull("inc")?.let { MemberRecord(Incarnation(it)) }
+    internal fun decodeMember(node: JsonNode): MemberRecord? = node.longOrNull("inc")?.let { MemberRecord(Incarnation(it)) }
 
     /** A peer status that goes through the state service, with the same bytes as between controllers. */
     fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { writeJsonObject { writeBinaryField("note", status) } }
 
-    fun decodePeerStatus(node: JsonNode): ByteArray? = try {
+    internal fun decodePeerStatus(node: JsonNode): ByteArray? = try {
         node.get("note")?.binaryValue()
     } catch (_: IOException) {
         null
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -115,7 +115,7 @@
      * Rewrites the packed record of [write] with its current entries, only to change its revision, so that no late copy of [write] can
      * be applied. They fit into a value, as they did when [write] was made: nobody else has written the record since.
      */
-    fun rewriteUnchanged(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
+    internal fun rewriteUnchanged(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
     private fun draftWithCapacity(range: TaskRange, entry: ByteArray, drafts: MutableMap<String, Draft>): Draft {
         drafts.values.firstOrNull { hasCapacity(it.bytes, range, entry) }?.let { return it }
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -50,7 +50,7 @@
     val leader: StoredRecord<LeaderRecord>? get() = table.leader
 
     /** The packed records, by key. */
-    val packedRecords: Map<String, PackedRecord> get() = table.packedRecordsByKey
+    internal val packedRecords: Map<String, PackedRecord> get() = table.packedRecordsByKey
 
     var state = ReplicaState.LOADING
         private set
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -98,10 +98,10 @@
     }
 
     /** Whether the request budget allows a [read] now. */
-    fun hasReadBudget(): Boolean = requests.available(loop.now()) >= 1
+    internal fun hasReadBudget(): Boolean = requests.available(loop.now()) >= 1
 
     /** Reads one key; fails at once where there is no request budget. */
-    fun read(key: String, done: (ReadOutcome) -> Unit) {
+    internal fun read(key: String, done: (ReadOutcome) -> Unit) {
         if (!requests.tryTake(1, loop.now())) {
             done(ReadOutcome.Failed)
             return
@@ -110,11 +110,11 @@
     }
 
     /** Lists a page of the records whose keys begin with [prefix], after the key [from] or from the first one on. */
-    fun list(prefix: String, from: String?, done: (ListOutcome) -> Unit) =
+    internal fun list(prefix: String, from: String?, done: (ListOutcome) -> Unit) =
         request(StateServiceCodec.list(prefix, from), LIST_TIMEOUT) { reply -> done(StateServiceCodec.decodeList(reply)) }
 
     /** Reads the changes after the revision [from]; waits up to [wait] for the first one. */
-    fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) =
+    internal fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) =
         request(StateServiceCodec.changes(prefix, from, wait), TIMEOUT + wait) { reply -> done(StateServiceCodec.decodeChanges(reply)) }
 
     fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) =
--- a/src/main/kotlin/copperglade/storage/StateReads.kt
+++ b/src/main/kotlin/copperglade/storage/StateReads.kt
@@ -13,10 +13,10 @@
 }
 
 /** A record as a listing returns it. */
-class ListedRecord(val key: String, val value: EncodedRecord, val revision: Revision)
+internal class ListedRecord(val key: String, val value: EncodedRecord, val revision: Revision)
 
 /** The answer to a listing. */
-sealed interface ListOutcome {
+internal sealed interface ListOutcome {
     /**
      * One page of a listing.
      *
--- a/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
+++ b/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
@@ -3,7 +3,7 @@
 import java.util.BitSet
 
 /** Sets of task indices as text, such as `0-3,7`. */
-object TaskIndexRanges {
+internal object TaskIndexRanges {
     fun format(set: BitSet): String = buildString {
         var start = set.nextSetBit(0)
         while (start >= 0) {
