--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -18,7 +18,7 @@
         val seconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
         run.stragglerRunSeconds?.let {
-            log.info("straggler_completed task={} machine={} run_s={} former_run_s={}", run.task, machine.name, seconds, it)
+            log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, seconds, it)
         }
         profiles.record(TaskProfile(machine.name, factors(run, machine), seconds))
     }
--- /dev/null
+++ b/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
@@ -0,0 +1,55 @@
+package copperglade.tasks
+
+import copperglade.storage.AssignmentRange
+import copperglade.storage.Job
+import copperglade.storage.OutcomeRecord
+import copperglade.storage.ShardTaskRange
+import copperglade.storage.TaskRange
+import java.util.BitSet
+
+/** Builds the records of what became of a shard's tasks, from the present records and the shard's runs. */
+internal class OutcomeRecordBuilder(private val shard: ShardState, private val failingJobs: FailingJobs) {
+    /** The new outcomes of one task range, as far as they have been collected. */
+    private class Draft(present: OutcomeRecord) {
+        val done = present.done.clone() as BitSet
+        val restarted = present.restarted.clone() as BitSet
+        val returned = present.returned.mapValuesTo(HashMap()) { (_, tasks) -> tasks.clone() as BitSet }
+        var changed = false
+            private set
+
+        fun add(run: Run, jobIsCancelled: Boolean) {
+            val isReturned = run.state == RunState.GONE || (run.state == RunState.DONE && jobIsCancelled)
+            if (run.state == RunState.DONE && !isReturned) set(done, run)
+            if (isReturned) set(returned.getOrPut(run.generation) { BitSet() }, run)
+            if (run.restarted) set(restarted, run)
+        }
+
+        private fun set(tasks: BitSet, run: Run) {
+            changed = changed || !tasks.get(run.task.index)
+            tasks.set(run.task.index)
+        }
+    }
+
+    /** The record with all that is known of [job]'s tasks in the range [rangeIndex], or null where the present one says it already. */
+    fun update(job: Job, rangeIndex: Int): OutcomeRecord? {
+        val present = job.outcomes[ShardTaskRange(rangeIndex, shard.name)]?.value ?: OutcomeRecord.EMPTY
+        val draft = Draft(present)
+        for (run in shard.runs.inRange(TaskRange(job.id, rangeIndex))) draft.add(run, job.cancelled)
+        val failing = draft.done.isEmpty && (present.failing || job.id in failingJobs)
+        if (!draft.changed && failing == present.failing) return null
+        val returned = stillNeeded(draft.returned, job.assignmentRanges[rangeIndex]?.value)
+        return OutcomeRecord(draft.done, returned, draft.restarted, present.version + 1, failing)
+    }
+
+    /** Returned tasks matter only as long as the leader's record [range] still names the assignment. */
+    private fun stillNeeded(returned: Map<Int, BitSet>, range: AssignmentRange?): Map<Int, BitSet> {
+        val needed = HashMap<Int, BitSet>()
+        for (group in range?.groups.orEmpty()) {
+            if (group.shard != shard.name) continue
+            val tasks = (returned[group.generation] ?: continue).clone() as BitSet
+            tasks.and(group.tasks)
+            if (!tasks.isEmpty) needed[group.generation] = tasks
+        }
+        return needed
+    }
+}
