--- a/src/main/kotlin/copperglade/controller/LeaderLoop.kt
+++ b/src/main/kotlin/copperglade/controller/LeaderLoop.kt
@@ -21,7 +21,7 @@
 ) {
     private var lastRoundDuration = Duration.ZERO
 
-    fun start() = loop.again(::interval) {
+    fun start() = loop.scheduleRepeating(::interval) {
         val startedAt = loop.now()
         metrics.measure("round", ::round)
         lastRoundDuration = (loop.now().ms - startedAt.ms).milliseconds
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -69,7 +69,7 @@
     /** Campaigns whenever there is no leader, from now on. */
     fun start() {
         replica.addListener { changes -> if (changes.clusterRecordsChanged) logLeader() }
-        loop.again({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else CHECK_INTERVAL }, ::tick)
+        loop.scheduleRepeating({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else CHECK_INTERVAL }, ::tick)
     }
 
     private fun logLeader() {
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -106,7 +106,7 @@
     fun start() {
         leaseEndorsement.ownershipIntact = { ownershipIntact }
         join()
-        loop.again({ if (lease.alive) limits.sessionLease / EXTENSIONS_PER_LEASE else RETRY_INTERVAL }) {
+        loop.scheduleRepeating({ if (lease.alive) limits.sessionLease / EXTENSIONS_PER_LEASE else RETRY_INTERVAL }) {
             if (state == MemberState.MEMBER) lease.extend(::onLeaseExtension)
         }
     }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -53,7 +53,7 @@
     var onLeaderStatus: (PeerStatus) -> Unit = {}
 
     /** Sends the status at intervals, from now on. */
-    fun start() = loop.again({ interval() }) { source.compose()?.let(::broadcast) }
+    fun start() = loop.scheduleRepeating({ interval() }) { source.compose()?.let(::broadcast) }
 
     /** The more machines a status describes, the rarer it is sent, so that its cost grows less than the fleet does. */
     private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * source.machineCount, MAX_INTERVAL)
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -27,7 +27,7 @@
     private val counts = TreeMap<String, Int>()
 
     /** Logs the counts at intervals, from now on. */
-    fun start() = loop.again({ INTERVAL }, ::logCounts)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::logCounts)
 
     /** [commands] go out to [machine] under [token], by this [channel]: directly or with the answer to a heartbeat. */
     fun recordCommands(machine: MachineName, token: FencingToken, commands: List<Command>, channel: String) {
--- a/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -25,7 +25,7 @@
     private val membership: Membership,
     private val owned: OwnedShards,
 ) {
-    fun start() = loop.again({ WRITE_INTERVAL }) {
+    fun start() = loop.scheduleRepeating({ WRITE_INTERVAL }) {
         if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
     }
 
--- a/src/main/kotlin/copperglade/ownership/ShardTicker.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardTicker.kt
@@ -12,7 +12,7 @@
     private val records: ShardRecordWriter,
     private val metrics: EventLoopMetrics,
 ) {
-    fun start() = loop.again({ TICK_INTERVAL + TICK_INTERVAL_PER_MACHINE * owned.machineCount }) {
+    fun start() = loop.scheduleRepeating({ TICK_INTERVAL + TICK_INTERVAL_PER_MACHINE * owned.machineCount }) {
         metrics.measure("shards") { tick() }
     }
 
--- a/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
+++ b/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
@@ -19,7 +19,7 @@
     private var checkedAt = MonotonicTime.NEVER
     private var consecutiveChecks = 0
 
-    fun start() = loop.again({ CHECK_INTERVAL }, ::check)
+    fun start() = loop.scheduleRepeating({ CHECK_INTERVAL }, ::check)
 
     private fun check() {
         val now = loop.now()
--- a/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
@@ -60,7 +60,7 @@
         unverifiedUpTo = Position(epoch, sequenceNumber)
     }
 
-    private fun Heartbeat.isNewerThan(position: Position) = newerThan(position.epoch, position.sequenceNumber)
+    private fun Heartbeat.isNewerThan(position: Position) = isNewerThan(position.epoch, position.sequenceNumber)
 
     private fun Heartbeat.position() = Position(epoch, sequenceNumber)
 
--- a/src/main/kotlin/copperglade/tasks/ImageCache.kt
+++ b/src/main/kotlin/copperglade/tasks/ImageCache.kt
@@ -22,7 +22,7 @@
     /** Records that a task uses [image] on a machine that caches [capacityGb] gigabytes. */
     fun recordUse(image: Image, capacityGb: Double) {
         sizeGbByImage.remove(image.name)
-        sizeGbByImage[image.name] = image.gb
+        sizeGbByImage[image.name] = image.sizeGb
         while (sizeGbByImage.size > 1 && sizeGbByImage.values.sum() > capacityGb) sizeGbByImage.remove(sizeGbByImage.keys.first())
     }
 }
