--- a/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
@@ -66,7 +66,7 @@
      */
     private fun cancelledRecord(live: LiveRecord): LiveRecord {
         if (store.limits.hold(live)) return live.withCancelledMark()
-        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMs, cancelled = true, live.dependencies)
+        return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMillis, cancelled = true, live.dependencies)
     }
 
     private companion object {
