--- a/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
+++ b/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
@@ -24,18 +24,13 @@
 ) {
     /** All controllers together stay within the budgets; a controller with more to write gets a larger share. */
     fun allocate() {
-        val desiredWritesPerSecondByOthers = (replica.members.keys - settings.member).map {
-            peerStatuses
-                .statusOf(
-                    it,
-                )?.desiredWritesPerSecond
-        }
-        val otherCount = desiredWritesPerSecondByOthers.size
+        val others = replica.members.keys - settings.member
+        val othersDesiredWritesPerSecond = others.map { peerStatuses.statusOf(it)?.desiredWritesPerSecond }
         // The leader scales out and lists machines, the others only delete idle ones.
-        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / otherCount.coerceAtLeast(1)
+        val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
         cloudBudget.setRate(settings.cloudRequestsPerSecond * USED_PART_OF_CLOUD_BUDGET * cloudShare, loop.now())
-        val writeShare = BudgetShare.of(store.desiredWritesPerSecond, desiredWritesPerSecondByOthers, settings.stateWritesPerSecond)
-        store.setShares(USED_PART_OF_STATE_BUDGET / (otherCount + 1), USED_PART_OF_STATE_BUDGET * writeShare)
+        val writeShare = BudgetShare.of(store.desiredWritesPerSecond, othersDesiredWritesPerSecond, settings.stateWritesPerSecond)
+        store.setShares(USED_PART_OF_STATE_BUDGET / (others.size + 1), USED_PART_OF_STATE_BUDGET * writeShare)
     }
 
     companion object {
