--- a/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -5,6 +5,7 @@
 import copperglade.protocol.writeJsonObject
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
+import copperglade.settings.PlatformSettingsParser
 import copperglade.transport.HttpStatus
 import copperglade.transport.Method
 import copperglade.transport.NettyEventLoop
@@ -23,8 +24,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A short run against canned answers, made once by the build: the classes that it loads go into the class-data
- * archive, which halves what a start costs on a small machine. It proves nothing about behaviour.
+ * A short run of a controller against canned replies, made once by the build: the classes that it loads go into the class-data-sharing
+ * archive, which makes a start cheaper. It proves nothing about behaviour.
  */
 @Command(name = "rehearse", hidden = true, description = ["Loads the program's classes once; used by the build."])
 class ClassDataSharingTraining : Callable<Int> {
@@ -32,34 +33,37 @@
 
     override fun call(): Int {
         val loop = NettyEventLoop()
-        val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val ports = List(PORTS) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
-        val outside = Endpoint("127.0.0.1", ports[0])
-        NettyHttpServer(
-            loop,
-            SOCKETS,
-            handler = RequestHandler { request, responder -> canned(loop, request, responder) },
-        ).listen(outside)
-        Main.run(settings(ports), OperatorSettings())
-        val client = Endpoint("127.0.0.1", ports[1])
-        val rounds = CountDownLatch(ROUNDS)
+        val outside = RequestHandler { request, responder -> replyAsOutside(loop, request, responder) }
+        NettyHttpServer(loop, CONNECTIONS, handler = outside).listen(Endpoint("127.0.0.1", ports[0]))
+        ControllerLauncher.start(settings(ports), OperatorSettings())
+        val rounds = Rounds(loop, NettyHttpClient(loop, ProcessHeap.maxBytes), ports)
+        loop.after(START_DELAY) { rounds.run(1) }
+        rounds.finished.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        return 0
+    }
+
+    /** Rounds of a user's and a worker's requests to the controller. */
+    private inner class Rounds(private val loop: NettyEventLoop, private val http: NettyHttpClient, private val ports: List<Int>) {
+        val finished = CountDownLatch(ROUNDS)
+        private val controller = Endpoint("127.0.0.1", ports[1])
 
-        fun round(number: Int) {
-            http.call(client, Request(Method.GET, "/healthz"), 1.seconds) {}
-            http.call(client, Request(Method.POST, "/submissions", JOB.toByteArray()), 1.seconds) {}
-            http.call(client, Request(Method.GET, "/submissions/job-1"), 1.seconds) {}
-            http.call(client, Request(Method.POST, "/checkin", heartbeat(number, ports[0]).toByteArray()), 1.seconds) {}
-            loop.after(100.milliseconds) {
-                rounds.countDown()
-                if (number < ROUNDS) round(number + 1)
+        fun run(number: Int) {
+            send(Request(Method.GET, "/healthz"))
+            send(Request(Method.POST, "/submissions", JOB.toByteArray()))
+            send(Request(Method.GET, "/submissions/job-1"))
+            send(Request(Method.POST, "/checkin", heartbeat(number, ports[0]).toByteArray()))
+            loop.after(ROUND_INTERVAL) {
+                finished.countDown()
+                if (number < ROUNDS) run(number + 1)
             }
         }
-        loop.after(500.milliseconds) { round(1) }
-        rounds.await(MAX_S, TimeUnit.SECONDS)
-        return 0
+
+        private fun send(request: Request) = http.call(controller, request, REQUEST_TIMEOUT) {}
     }
 
-    private fun canned(loop: NettyEventLoop, request: Request, responder: Responder) {
+    /** Replies as the state service, the cloud and a worker would. */
+    private fun replyAsOutside(loop: NettyEventLoop, request: Request, responder: Responder) {
         val path = request.path
         val text = when {
             path == "/holds" -> """{"permit":${++storeRevision}}"""
@@ -69,11 +73,11 @@
             path.startsWith("/changes") -> """{"ledger":$storeRevision,"events":[]}"""
             path == "/machine_types" -> TYPES
             path.startsWith("/machines?") -> """{"trucks":[],"truncated":false}"""
-            path == "/do" -> heartbeat(DO_SEQUENCE_NUMBER, 1)
+            path == "/do" -> heartbeat(COMMAND_REPLY_SEQUENCE_NUMBER, 1)
             else -> null
         }
         val reply = if (text == null) Reply(HttpStatus.SERVICE_UNAVAILABLE) else Reply(HttpStatus.OK, text.toByteArray())
-        loop.after(2.milliseconds) { responder.send(reply) }
+        loop.after(REPLY_DELAY) { responder.send(reply) }
     }
 
     private fun heartbeat(sequenceNumber: Int, port: Int) = """{"truck":"i-000001","addr":"127.0.0.1:$port","fleet":"small",
@@ -103,15 +107,19 @@
                 writeRawValue(DEPLOYMENT)
             }
         }
-        return PlatformSettings.parse(bytes)
+        return PlatformSettingsParser.parse(bytes)
     }
 
     private companion object {
         const val PORTS = 3
-        const val SOCKETS = 100
+        const val CONNECTIONS = 100
         const val ROUNDS = 30
-        const val MAX_S = 20L
-        const val DO_SEQUENCE_NUMBER = 100_000
+        const val TIMEOUT_SECONDS = 20L
+        const val COMMAND_REPLY_SEQUENCE_NUMBER = 100_000
+        val START_DELAY = 500.milliseconds
+        val ROUND_INTERVAL = 100.milliseconds
+        val REQUEST_TIMEOUT = 1.seconds
+        val REPLY_DELAY = 2.milliseconds
         const val TYPES = """{"fleets":[{"name":"small","vcpus":4,"gpus":0,"memoryGb":16,"localGb":20,"pullGbPerS":1.0,
             "price":1.0,"lowPrice":0.5,"bootS":30,"depots":["here"]}]}"""
         const val JOB = """{"nameId":"job-1","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":2,"vcpus":1.0,
--- /dev/null
+++ b/src/main/kotlin/copperglade/app/ControllerLauncher.kt
@@ -0,0 +1,34 @@
+package copperglade.app
+
+import copperglade.controller.Controller
+import copperglade.settings.OperatorSettings
+import copperglade.settings.PlatformSettings
+import copperglade.transport.NettyEventLoop
+import copperglade.transport.NettyHttpClient
+import copperglade.transport.NettyHttpServer
+import kotlin.time.Duration
+
+/** Starts a controller in this process, with its event loop, its client and its two servers. */
+object ControllerLauncher {
+    /**
+     * A controller's status describes each of its machines in some 150 bytes, so the 64 KiB of the protocol with users and workers would
+     * be too little for it.
+     */
+    const val MAX_PEER_MESSAGE_BYTES = 16 * 1024 * 1024
+
+    /** Starts the controller and returns; it goes on by itself. Throws where its addresses can't be bound. */
+    fun start(settings: PlatformSettings, operatorSettings: OperatorSettings) {
+        val limits = ConnectionLimits.of(settings.fileDescriptorLimit, settings.peers.size)
+        val loop = NettyEventLoop()
+        val heapBytes = HeapBudget.bytes(settings.memoryMb, ProcessHeap)
+        val unlimitedEndpoints = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
+        val client = NettyHttpClient(loop, heapBytes, limits.workers, unlimitedEndpoints)
+        val controller = Controller(loop, client, settings, operatorSettings, heapBytes)
+        NettyHttpServer(loop, limits.users, handler = controller.clientHandler).listen(settings.clientListen)
+        NettyHttpServer(loop, limits.peers, MAX_PEER_MESSAGE_BYTES, controller.clusterHandler).listen(settings.clusterListen)
+        loop.after(Duration.ZERO) {
+            controller.start()
+            HeapMonitor(loop, ProcessHeap, heapBytes).start()
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/copperglade/app/HeapMonitor.kt
@@ -0,0 +1,37 @@
+package copperglade.app
+
+import copperglade.transport.EventLoop
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/** Collects garbage before the heap outgrows its budget. */
+class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
+    private val thresholdBytes = (budgetBytes * COLLECTION_THRESHOLD).toLong()
+    private var collectedAt = loop.now() - COLLECTION_INTERVAL
+    private var collectionInterval = COLLECTION_INTERVAL
+
+    /** Checks the heap at intervals, from now on. */
+    fun start() = loop.scheduleRepeating({ CHECK_INTERVAL }, ::check)
+
+    private fun check() {
+        if (heap.usedBytes < thresholdBytes || loop.now() < collectedAt + collectionInterval) return
+        heap.collect()
+        collectedAt = loop.now()
+        val liveDataOverThreshold = heap.usedBytes >= thresholdBytes
+        // Collecting more often frees nothing where all of it is needed.
+        collectionInterval = if (liveDataOverThreshold) INTERVAL_OVER_THRESHOLD else COLLECTION_INTERVAL
+        if (liveDataOverThreshold) {
+            log.warn("heap_over_budget heap_used_bytes={} heap_budget_bytes={}", heap.usedBytes, budgetBytes)
+        }
+    }
+
+    private companion object {
+        /** As a share of the budget. */
+        const val COLLECTION_THRESHOLD = 0.93
+        val CHECK_INTERVAL = 250.milliseconds
+        val COLLECTION_INTERVAL = 2.seconds
+        val INTERVAL_OVER_THRESHOLD = 30.seconds
+        val log = LoggerFactory.getLogger("heap")
+    }
+}
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -6,8 +6,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The operators' own settings, beyond the file that the platform hands over. Every key is checked. */
+/** Reads the operators' properties. Unknown keys and values out of range are refused, by name, with [InvalidSettingException]. */
 object OperatorProperties {
+    private const val MILLIS_PER_SECOND = 1000.0
     private val KEYS = setOf(
         "hold.limit.s",
         "hold.margin.s",
@@ -27,6 +28,7 @@
         "failures.machines",
     )
 
+    /** Reads the file at [path]; throws [java.io.IOException] where it can't be read. */
     fun read(path: Path): OperatorSettings {
         val properties = Properties()
         try {
@@ -37,45 +39,47 @@
         return parse(properties)
     }
 
+    /** Reads [properties]; a key that is left out keeps its default. */
     fun parse(properties: Properties): OperatorSettings {
         val unknown = properties.stringPropertyNames().filter { it !in KEYS }.sorted()
         if (unknown.isNotEmpty()) throw InvalidSettingException("unknown property ${unknown.first()}")
         val reader = Reader(properties)
-        val usual = OperatorSettings()
+        val defaults = OperatorSettings()
         return OperatorSettings(
-            stalenessLimit = reader.seconds("hold.limit.s", usual.stalenessLimit, 1.0..600.0),
-            stalenessMargin = reader.seconds("hold.margin.s", usual.stalenessMargin, 0.5..60.0),
-            sessionLeaseFraction = reader.number("hold.part-of-lease", usual.sessionLeaseFraction, 0.1..10.0),
-            leaderLease = reader.seconds("lead.hold.s", usual.leaderLease, 1.0..60.0),
-            shardsPerZone = reader.whole("blocks.per-zone", usual.shardsPerZone, 0..64),
-            stragglerFactor = reader.number("straggler.margin", usual.stragglerFactor, 1.0..100.0),
-            nearestProfiles = reader.whole("profiles.nearest", usual.nearestProfiles, 1..1000),
-            fittingSteps = reader.whole("profiles.fitting-steps", usual.fittingSteps, 0..100),
-            fittingRate = reader.number("profiles.fitting-rate", usual.fittingRate, 0.0..1.0),
-            profileCapacity = reader.whole("profiles.capacity", usual.profileCapacity, 1..100_000),
-            starvationThresholdSeconds = reader.number("turn.after.s", usual.starvationThresholdSeconds, 1.0..3600.0),
-            starvationShare = reader.number("turn.share", usual.starvationShare, 0.0..1.0),
-            headroom = reader.number("fleet.headroom", usual.headroom, 1.0..10.0),
-            idleReplacements = reader.number("fleet.idle.replacements", usual.idleReplacements, 0.0..100.0),
-            scaleInHysteresisReplacements = reader.number("fleet.fade.replacements", usual.scaleInHysteresisReplacements, 0.1..100.0),
-            failingJobMachineThreshold = reader.whole("failures.machines", usual.failingJobMachineThreshold, 1..1_000_000),
+            stalenessLimit = reader.seconds("hold.limit.s", defaults.stalenessLimit, 1.0..600.0),
+            stalenessMargin = reader.seconds("hold.margin.s", defaults.stalenessMargin, 0.5..60.0),
+            sessionLeaseFraction = reader.number("hold.part-of-lease", defaults.sessionLeaseFraction, 0.1..10.0),
+            leaderLease = reader.seconds("lead.hold.s", defaults.leaderLease, 1.0..60.0),
+            shardsPerZone = reader.integer("blocks.per-zone", defaults.shardsPerZone, 0..64),
+            stragglerFactor = reader.number("straggler.margin", defaults.stragglerFactor, 1.0..100.0),
+            nearestProfiles = reader.integer("profiles.nearest", defaults.nearestProfiles, 1..1000),
+            fittingSteps = reader.integer("profiles.fitting-steps", defaults.fittingSteps, 0..100),
+            fittingRate = reader.number("profiles.fitting-rate", defaults.fittingRate, 0.0..1.0),
+            profileCapacity = reader.integer("profiles.capacity", defaults.profileCapacity, 1..100_000),
+            starvationThresholdSeconds = reader.number("turn.after.s", defaults.starvationThresholdSeconds, 1.0..3600.0),
+            starvationShare = reader.number("turn.share", defaults.starvationShare, 0.0..1.0),
+            headroom = reader.number("fleet.headroom", defaults.headroom, 1.0..10.0),
+            idleReplacements = reader.number("fleet.idle.replacements", defaults.idleReplacements, 0.0..100.0),
+            scaleInHysteresisReplacements = reader.number("fleet.fade.replacements", defaults.scaleInHysteresisReplacements, 0.1..100.0),
+            failingJobMachineThreshold = reader.integer("failures.machines", defaults.failingJobMachineThreshold, 1..1_000_000),
         )
     }
 
+    /** Reads values in their ranges. */
     private class Reader(private val properties: Properties) {
-        fun number(key: String, usual: Double, range: ClosedFloatingPointRange<Double>): Double {
-            val text = properties.getProperty(key)?.trim() ?: return usual
+        fun number(key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
+            val text = properties.getProperty(key)?.trim() ?: return default
             return text.toDoubleOrNull()?.takeIf { it in range }
                 ?: throw InvalidSettingException("$key: not a number in $range: $text")
         }
 
-        fun whole(key: String, usual: Int, range: IntRange): Int {
-            val text = properties.getProperty(key)?.trim() ?: return usual
+        fun integer(key: String, default: Int, range: IntRange): Int {
+            val text = properties.getProperty(key)?.trim() ?: return default
             return text.toIntOrNull()?.takeIf { it in range }
                 ?: throw InvalidSettingException("$key: not an integer in $range: $text")
         }
 
-        fun seconds(key: String, usual: Duration, range: ClosedFloatingPointRange<Double>): Duration =
-            number(key, usual.inWholeMilliseconds / 1000.0, range).seconds
+        fun seconds(key: String, default: Duration, range: ClosedFloatingPointRange<Double>): Duration =
+            number(key, default.inWholeMilliseconds / MILLIS_PER_SECOND, range).seconds
     }
 }
--- a/src/test/kotlin/copperglade/protocol/WireTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WireTest.kt
@@ -1,7 +1,7 @@
 package copperglade.protocol
 
 import copperglade.settings.InvalidSettingException
-import copperglade.settings.PlatformSettings
+import copperglade.settings.PlatformSettingsParser
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -167,8 +167,8 @@
         val fault =
             assertThrows(
                 InvalidSettingException::class.java,
-            ) { PlatformSettings.parse("""{"outside":{},"deployment":{}}""".toByteArray()) }
+            ) { PlatformSettingsParser.parse("""{"outside":{},"deployment":{}}""".toByteArray()) }
         assertTrue(fault.message!!.contains("workers"))
-        assertThrows(InvalidSettingException::class.java) { PlatformSettings.parse("no".toByteArray()) }
+        assertThrows(InvalidSettingException::class.java) { PlatformSettingsParser.parse("no".toByteArray()) }
     }
 }
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 
 class StateLimitSettingsTest {
-    private fun settings(next: String) = PlatformSettings.parse(
+    private fun settings(next: String) = PlatformSettingsParser.parse(
         """{"member":"a","location":"z","client_listen":"10.0.0.1:1","cluster_listen":"10.0.0.1:2","known":[],
         "outside":{"cloud":"10.0.0.2:1","state":"10.0.0.2:2"},"deployment":{"zones":["z"],"teams":[],
         "workers":{"report_s":1,"lease_s":5,"cancel_s":20},
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -1,6 +1,6 @@
 package copperglade.standin
 
-import copperglade.app.Main
+import copperglade.app.ControllerLauncher
 import copperglade.app.ProcessHeap
 import copperglade.protocol.Endpoint
 import copperglade.protocol.JobId
@@ -53,7 +53,7 @@
     fun start() {
         NettyHttpServer(loop, SOCKETS, handler = rememberingJobs(state)).listen(STATE)
         NettyHttpServer(loop, SOCKETS, handler = cloud).listen(CLOUD)
-        repeat(NODES) { Main.run(settings(it), OperatorSettings()) }
+        repeat(NODES) { ControllerLauncher.start(settings(it), OperatorSettings()) }
         println("controllers: ${(0 until NODES).joinToString { "http://${client(it)}" }}")
     }
 
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/SocketsTest.kt
@@ -1,6 +1,6 @@
 package copperglade.transport
 
-import copperglade.app.Main
+import copperglade.app.ControllerLauncher
 import copperglade.app.ProcessHeap
 import copperglade.protocol.Endpoint
 import copperglade.protocol.FencingToken
@@ -112,7 +112,7 @@
         val status = PeerMessageCodec.encodeStatus(statusOf(machines = 4000))
         assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY_BYTES)
         val received = ArrayList<PeerStatus?>()
-        NettyHttpServer(loop, CONNECTIONS, Main.MAX_PEER_MESSAGE_BYTES) { request, responder ->
+        NettyHttpServer(loop, CONNECTIONS, ControllerLauncher.MAX_PEER_MESSAGE_BYTES) { request, responder ->
             received += PeerMessageCodec.decodeStatus(request.body)
             responder.send(Reply(200))
         }.listen(peers)
