--- a/src/main/kotlin/copperglade/fleet/ScaleIn.kt
+++ b/src/main/kotlin/copperglade/fleet/ScaleIn.kt
@@ -16,7 +16,7 @@
 
     /**
      * The [unusable] machines, and those that have been idle for long while the others in [inventory] are enough for [target].
-     * Idle machines are kept for the longer, the longer it takes to replace one.
+     * The longer it takes to replace a machine, the longer an idle one is kept.
      */
     fun choose(
         machines: Collection<MachineAvailability>,
@@ -53,7 +53,7 @@
             .sortedWith(compareBy({ it.spot }, { it.name.text }))
     }
 
-    /** Whether so many CPUs cover [target]; on-demand machines also take work that may use spot machines. */
+    /** Whether the given CPUs cover [target]; on-demand machines also take work that may use spot machines. */
     private fun suffices(onDemandCpus: Double, spotCpus: Double, target: Demand): Boolean {
         val spareCpus = onDemandCpus - target.onDemandCpus
         return spareCpus >= 0.0 && spotCpus + spareCpus >= target.spotCpus
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -35,7 +35,7 @@
     /** The encoded record of a task range, and those of its choices that fit into it. */
     private class FittingRecord(val choices: List<PlacementChoice>, val bytes: ByteArray)
 
-    /** A transaction on its way, and the leadership [term] that it was made in. */
+    /** A transaction in flight, and the leadership [term] in which it was sent. */
     private class AssignmentWrite(
         val packedWrite: PackedWrite,
         val transaction: Transaction,
@@ -44,7 +44,7 @@
         val term: Revision,
     )
 
-    /** Arrays are rewritten many times while they run, services rarely: kept apart, a round of arrays changes few packed records. */
+    /** Arrays are rewritten many times while they run, services rarely; in packed records of their own, a round of arrays changes few of them. */
     private val packers = JobKind.entries.associateWith { kind ->
         RecordPacker(
             replica,
