--- a/src/main/kotlin/copperglade/controller/ClientRouter.kt
+++ b/src/main/kotlin/copperglade/controller/ClientRouter.kt
@@ -3,7 +3,7 @@
 import copperglade.jobs.JobReplies
 import copperglade.jobs.JobService
 import copperglade.observability.RequestLatency
-import copperglade.ownership.ShardOwnership
+import copperglade.ownership.HeartbeatRouter
 import copperglade.protocol.JobId
 import copperglade.protocol.UserApiCodec
 import copperglade.protocol.WorkerMessageCodec
@@ -20,7 +20,7 @@
 internal class ClientRouter(
     private val replica: Replica,
     private val jobService: JobService,
-    private val shardOwnership: ShardOwnership,
+    private val heartbeatRouter: HeartbeatRouter,
     private val healthCheck: HealthCheck,
     private val submissionLatency: RequestLatency,
     private val pollLatency: RequestLatency,
@@ -60,7 +60,7 @@
         val reply = when {
             heartbeat == null -> Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not a worker's report"))
             replica.state != ReplicaState.CURRENT -> JobReplies.unavailable()
-            else -> shardOwnership.handleHeartbeat(heartbeat)
+            else -> heartbeatRouter.handle(heartbeat)
         }
         responder.send(reply)
     }
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -68,7 +68,7 @@
             types[machine.typeName]?.let { Candidate(machine, it, machine.freeCapacity(it, now, requestOf)) }
         }
         val round = Round(candidates, now)
-        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMs }, { it.task.index }))) place(run, round)
+        for (run in waiting.sortedWith(compareBy({ it.spec.priority }, { it.acceptedAtMillis }, { it.task.index }))) place(run, round)
     }
 
     private fun place(run: Run, round: Round) {
--- /dev/null
+++ b/src/main/kotlin/copperglade/placement/ShardScheduling.kt
@@ -0,0 +1,53 @@
+package copperglade.placement
+
+import copperglade.agents.ShardAgents
+import copperglade.tasks.ActionControl
+import copperglade.tasks.ClusterKnowledge
+import copperglade.tasks.HeartbeatTimeouts
+import copperglade.tasks.OutcomeLog
+import copperglade.tasks.ShardState
+import copperglade.transport.Clock
+
+/**
+ * The parts of a shard's owner that decide what runs where, and describe the shard's machines to others. Only wires them.
+ *
+ * @param stragglerFactor a straggler has run for this multiple of its job's average run time.
+ */
+class ShardScheduling(
+    state: ShardState,
+    agents: ShardAgents,
+    outcomes: OutcomeLog,
+    control: ActionControl,
+    knowledge: ClusterKnowledge,
+    timeouts: HeartbeatTimeouts,
+    stragglerFactor: Double,
+    clock: Clock,
+) {
+    private val eligibility = StartEligibility(
+        state.runs,
+        control.membership,
+        control.guard,
+        control.audit,
+        knowledge.failingJobs,
+        agents.backoff,
+        clock,
+    )
+
+    /** Starts waiting runs. */
+    val placement =
+        ShardPlacement(state, agents.health, agents.lifecycle, agents.stopper, agents.commands, eligibility, knowledge.types)
+    private val stragglerDetector = StragglerDetector(
+        knowledge.profiles,
+        knowledge.types,
+        knowledge.failureEvidence,
+        timeouts,
+        stragglerFactor,
+        state::requestOf,
+    )
+
+    /** Restarts stragglers. */
+    val stragglers = StragglerRestarts(state, stragglerDetector, outcomes, agents.stopper, clock)
+
+    /** Describes the machines to the leader and to later owners. */
+    val summary = ShardSummary(state, agents.health, knowledge.types, knowledge.failingJobs, clock)
+}
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -1,5 +1,7 @@
 package copperglade.placement
 
+import copperglade.fleet.MachineTypeCatalog
+import copperglade.prediction.ProfileStore
 import copperglade.prediction.RestartOption
 import copperglade.prediction.RestartVerdict
 import copperglade.prediction.RiskAssessment
@@ -11,10 +13,11 @@
 import copperglade.protocol.Resources
 import copperglade.protocol.TaskId
 import copperglade.protocol.secondsSince
+import copperglade.tasks.FailureEvidence
+import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.Machine
 import copperglade.tasks.Run
 import copperglade.tasks.RunState
-import copperglade.tasks.ShardContext
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
@@ -25,7 +28,14 @@
  * Finds the stragglers of one shard, and assesses the risk of restarting them on another of its machines (section 6 of the
  * paper and DESIGN).
  */
-internal class StragglerDetector(private val context: ShardContext, private val requestOf: (TaskId) -> Resources?) {
+internal class StragglerDetector(
+    private val profiles: ProfileStore,
+    private val types: MachineTypeCatalog,
+    private val failureEvidence: FailureEvidence,
+    private val timeouts: HeartbeatTimeouts,
+    private val stragglerFactor: Double,
+    private val requestOf: (TaskId) -> Resources?,
+) {
     /**
      * How far a straggler is.
      *
@@ -34,7 +44,6 @@
      */
     private class Progress(val elapsedSeconds: Double, val jobAverageSeconds: Double, val remainingSeconds: Double)
 
-    private val profiles = context.profiles
     private var nextCheckAt = MonotonicTime.NEVER
     private var rotation = 0
 
@@ -58,15 +67,15 @@
     private fun freeCapacity(machines: Collection<Machine>, now: MonotonicTime): MutableMap<MachineName, Resources> {
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
-            val type = context.types[machine.typeName] ?: continue
+            val type = types[machine.typeName] ?: continue
             if (isPossibleTarget(machine, now)) free[machine.name] = machine.freeCapacity(type, now, requestOf)
         }
         return free
     }
 
     private fun isPossibleTarget(machine: Machine, now: MonotonicTime): Boolean =
-        !machine.draining && !machine.deleting && !machine.evictionNoticed && !context.failureEvidence.blamesMachine(machine.name) &&
-            now < machine.lastContactAt + context.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
+        !machine.draining && !machine.deleting && !machine.evictionNoticed && !failureEvidence.blamesMachine(machine.name) &&
+            now < machine.lastContactAt + timeouts.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
 
     private fun nextInRotation(stragglers: List<Run>): List<Run> {
         val first = rotation % stragglers.size
@@ -81,7 +90,7 @@
     private fun isStraggler(run: Run, now: MonotonicTime): Boolean {
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return false)
         val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
-        return elapsedSeconds > averageSeconds * context.operatorSettings.stragglerFactor
+        return elapsedSeconds > averageSeconds * stragglerFactor
     }
 
     private fun assess(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): StragglerRestart? {
@@ -118,7 +127,7 @@
 
     /** Null where too few similar tasks are known, or the machine's type is not. */
     private fun restartOption(run: Run, machine: Machine, similarTasks: List<SimilarTask>): RestartOption<MachineName>? {
-        val type = context.types[machine.typeName] ?: return null
+        val type = types[machine.typeName] ?: return null
         val prediction = profiles.predict(machine.name, factors(machine, run, machine.runs.size + 1), similarTasks)
         val fetchSeconds =
             if (machine.hasImage(run.spec.image)) {
--- a/src/test/kotlin/copperglade/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/copperglade/architecture/PackageDependenciesTest.kt
@@ -125,7 +125,6 @@
             "tasks" to setOf(
                 "protocol",
                 "transport",
-                "settings",
                 "storage",
                 "prediction",
                 "membership",
@@ -137,7 +136,6 @@
             "placement" to setOf(
                 "protocol",
                 "transport",
-                "settings",
                 "storage",
                 "prediction",
                 "membership",
