--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -14,6 +14,11 @@
 import copperglade.sim.Simulation
 import copperglade.sim.SiteScale
 import copperglade.sim.arrays
+import copperglade.sim.crash
+import copperglade.sim.cutController
+import copperglade.sim.cutPeers
+import copperglade.sim.heal
+import copperglade.sim.killMachine
 import copperglade.sim.services
 import copperglade.storage.Keys
 import copperglade.transport.Request
@@ -22,7 +27,7 @@
 import java.util.TreeMap
 
 /**
- * Runs simulated days at the commit that is checked out and keeps a small set of what its controllers write to the state
+ * Runs simulated scenarios at the commit that is checked out and keeps a small set of what its controllers write to the state
  * service and send to each other, as the files that `CompatibilityTest` reads. It is not a test and runs in no build;
  * `src/test/resources/production/README.md` tells when and how to run it. The only argument is the directory to write to.
  */
--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -43,7 +43,7 @@
     }
 }
 
-/** A day of a simulated site that depends on the seed alone. Nothing is asserted: only the messages count. */
+/** A run of a simulated site that depends on the seed alone. Nothing is asserted: only the messages count. */
 class DigestScenario(val name: String, val play: (seed: Long, observer: WireObserver) -> Unit)
 
 /** The scenarios in the order in which they are printed. */
@@ -140,7 +140,7 @@
 
 /** Each shape of pipeline, with one job cancelled while it waits or runs, as the seed has it. */
 private fun cancelledPipelines(seed: Long, observer: WireObserver) {
-    for (shape in PipelinesTest.Shape.entries) {
+    for (shape in PipelineShape.entries) {
         val site = SimSite(Simulation(seed + shape.ordinal * SEEDS_APART), endedBefore = 2, wireObserver = observer)
         shape.jobs.forEach { number ->
             val dependencies = shape.dependencies[number].orEmpty().map(::id) + JobId("job-${SimSite.FIRST_ENDED_JOB}")
@@ -176,7 +176,7 @@
     site.recover(60.0)
 }
 
-/** Services and normal work take the place of work that saves first, a part of which is cancelled meanwhile. */
+/** Services and normal work preempt work that checkpoints first, a part of which is cancelled meanwhile. */
 private fun preemption(seed: Long, observer: WireObserver) {
     val scale = SiteScale(machinesPerZone = 2, teamCpus = 200.0, guaranteedCpus = 200.0)
     val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -6,25 +6,25 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Jobs are cancelled while tasks of theirs save, since something more important has taken their place. */
+/** Jobs are cancelled while their tasks checkpoint because more important work preempts them. */
 class CheckpointTest {
     private val checkpointing = JobId("job-1")
 
-    /** All machines are full of tasks that take a while to save, then services need the room. */
+    /** All machines are full of tasks that take a while to checkpoint, then services need their capacity. */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
         site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_S)) { 300.0 }
         site.await(60.0) { site.runningTasks().size == 16 }
         site.submit(SimSite.job(2, tasks = 3, cpus = 8.0, service = true, spot = false)) { null }
-        site.await(30.0) { site.savingTasks().size > 1 }
+        site.await(30.0) { site.checkpointingTasks().size > 1 }
         return site
     }
 
     private fun cancelAndAwaitEnd(site: SimSite, withinS: Double) {
-        assertTrue(site.savingTasks().isNotEmpty(), "nothing saves any more")
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "nothing saves any more")
         site.cancel(checkpointing)
         site.await(10.0) { site.users.getValue(checkpointing).status == "aborted" }
-        assertTrue(site.savingTasks().isNotEmpty(), "all was saved before the cancellation")
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "all was saved before the cancellation")
         site.await(withinS) { site.runningTasks().keys.none { it.job == checkpointing } }
         site.assertRulesHold()
     }
@@ -52,7 +52,7 @@
         site.crash(
             site.ownerOf(
                 site
-                    .savingTasks()
+                    .checkpointingTasks()
                     .values
                     .first()
                     .name,
@@ -65,7 +65,7 @@
     @ValueSource(longs = [2331, 2332])
     fun `tasks that were checkpointed and preempted are done elsewhere or later`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
-        site.await(CHECKPOINT_DURATION_S + 5.0) { site.savingTasks().isEmpty() }
+        site.await(CHECKPOINT_DURATION_S + 5.0) { site.checkpointingTasks().isEmpty() }
         site.assertRulesHold(900.0)
         assertEquals("done", site.users.getValue(checkpointing).status)
     }
--- a/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-// Steps that the tests of two troubles at once share.
+// Steps that the tests of compound faults share.
 
 internal fun id(number: Int) = JobId("job-$number")
 
@@ -18,13 +18,13 @@
 internal fun longArrays(site: SimSite, jobs: Int = 8, tasks: Int = 4, workS: Double = 90.0) =
     repeat(jobs) { site.submit(SimSite.job(it + 1, tasks = tasks, cpus = 8.0, etaS = workS)) { workS } }
 
-/** Room for sixteen machines, so that every controller owns some. */
+/** A site for sixteen machines, so that every controller owns some. */
 internal fun wide(seed: Long, teamCpus: Double = 250.0, nodes: Int = 3) =
     SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = teamCpus), nodes = nodes)
 
 internal fun runningOf(site: SimSite, jobs: Collection<JobId>) = site.runningTasks().keys.count { it.job in jobs }
 
-/** Cancels [jobs], and shows that some of it was confirmed within [withinS]. */
+/** Cancels [jobs], asserts that at least one cancellation is confirmed within [withinS], and returns the confirmed ones. */
 internal fun cancelAndConfirm(site: SimSite, jobs: List<JobId>, withinS: Double): List<JobId> {
     val before = site.confirmedCancellations
     jobs.forEach(site::cancel)
--- a/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Two troubles that meet, each brought about on purpose: a test first shows that they met, then that no rule broke.
+ * Two faults at once, each injected on purpose: a test first shows that they coincided, then that no rule was broken.
  * `docs/compound-faults.md` lists them.
  */
 class CompoundFaultTest {
     /**
-     * The leader is refused alone, others confirm cancellations, then the state service is down for all for longer than a
-     * cancellation may take, while workers report to the old leader.
+     * The state service refuses the leader alone, other controllers confirm cancellations, then it is down for everybody for longer than a
+     * cancellation may take, while workers send their heartbeats to the old leader.
      */
     private fun refuseLeaderThenEverybody(site: SimSite, peersInformed: Boolean, leader: Int) {
         val cancelled = onMachinesOf(site, leader)
@@ -206,7 +206,7 @@
     @ValueSource(longs = [251, 252, 253, 254, 255, 256, 258, 259])
     fun `transactions of unknown outcome are applied late, after newer ones`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        // Small values: many packed records, and pages that go from one to another.
+        // Small values: many packed records, and task ranges that move from one to another.
         repeat(24) { number ->
             site.sim.after(number * 2500.0) {
                 site.submit(SimSite.job(number + 1, tasks = 3 + number % 9)) { task -> 3.0 + task * 2.5 }
--- a/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -7,15 +7,26 @@
 import java.util.stream.LongStream
 
 /**
- * Decisions that end in a fault midway, as where memory runs out: at any point, in any controller, while jobs wait for each
- * other and are cancelled. A controller that went on after that would act on records of which a part never reached the parts of it
- * that decide.
+ * Decisions that end in a fault midway, such as an out-of-memory error: at any point, in any controller, while jobs depend on each other
+ * and are cancelled. A controller that went on after that would decide on partly applied records.
  */
 class ControllerFaultTest {
+    private fun site(seed: Long) =
+        SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
+
+    /** Submits one job a second, each with the one that [dependencyOf] names as its dependency and a run time of [workS] a task. */
+    private fun SimSite.submitPipelines(maxTasks: Int, dependencyOf: (Int) -> Int?, workS: (Int) -> Double) = repeat(JOBS) { number ->
+        sim.after(number * 1_000.0) {
+            val dependencies = listOfNotNull(dependencyOf(number)).map { JobId("job-$it") }
+            val taskS = workS(number)
+            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), etaS = 10.0), dependencies) { taskS }
+        }
+    }
+
     @ParameterizedTest
     @MethodSource("anywhereSeeds")
     fun `no rule is broken where decisions end in faults`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
+        val site = site(seed)
         val random = site.sim.random
         repeat(JOBS) { number ->
             site.sim.after(number * 2_000.0) {
@@ -40,13 +51,13 @@
     }
 
     /**
-     * The same where a reading that tells of a cancellation is taken in. Some of the jobs fail wherever they run, so that their tasks
-     * wait for long between two tries.
+     * The same while records with a cancellation are applied. Some of the jobs fail wherever they run, so that their tasks wait for long
+     * between two attempts.
      */
     @ParameterizedTest
     @MethodSource("halvesSeeds")
     fun `no rule is broken where cancellations are only partly applied`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
+        val site = site(seed)
         val random = site.sim.random
         var faults = 0
         site.fails = { task, _ -> task.job.isFailing() }
@@ -57,13 +68,11 @@
             }
         }
         val cancelled = (0 until JOBS).filter { it % 4 == 1 || JobId("job-$it").isFailing() }
-        repeat(JOBS) { number ->
-            site.sim.after(number * 1_000.0) {
-                val before = if (number % 4 == 0 || JobId("job-$number").isFailing()) emptyList() else listOf(JobId("job-${number - 1}"))
-                val workS = 4.0 + random.nextDouble() * 20
-                site.submit(SimSite.job(number, tasks = 1 + random.nextInt(6), etaS = 10.0), before) { workS }
-            }
-        }
+        site.submitPipelines(
+            maxTasks = 6,
+            dependencyOf = { number -> (number - 1).takeUnless { number % 4 == 0 || JobId("job-$number").isFailing() } },
+            workS = { 4.0 + random.nextDouble() * 20 },
+        )
         // Many cancellations come at the moment at which another job ends, so that one reading tells of both.
         site.onJobComplete = { ended ->
             val next = cancelled.firstOrNull {
@@ -76,31 +85,29 @@
         cancelled.forEach { site.cancel(JobId("job-$it")) }
         site.run(20.0)
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
-        site.network.tamperAnswer = { _, _, reply -> reply }
+        site.ignoreReadings()
         site.assertRulesHold(400.0)
     }
 
     /**
-     * A reading tells that one job is done and that another is cancelled; releasing what waited for the first ends in a fault. What waited
-     * for the second must be called cancelled in time all the same.
+     * One read of the state service shows that one job is done and that another is cancelled; releasing the dependents of the first ends
+     * in a fault. The dependents of the second must be reported cancelled in time all the same.
      */
     @ParameterizedTest
     @MethodSource("releaseSeeds")
     fun `no job is left waiting where releasing another ends in a fault`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
+        val site = site(seed)
         val random = site.sim.random
         var faults = 0
         site.onReadingsOf(CANCELLED_MARK, OUTCOME_RECORD) { node ->
             faults++
             site.injectFaultAtRelease(node)
         }
-        repeat(JOBS) { number ->
-            site.sim.after(number * 1_000.0) {
-                val before = if (number % 4 < 2) emptyList() else listOf(JobId("job-${number - 2}"))
-                val workS = if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5
-                site.submit(SimSite.job(number, tasks = 1 + random.nextInt(3), etaS = 10.0), before) { workS }
-            }
-        }
+        site.submitPipelines(
+            maxTasks = 3,
+            dependencyOf = { number -> (number - 2).takeUnless { number % 4 < 2 } },
+            workS = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
+        )
         // Each fourth job is cancelled at about the moment at which the end of the one before it is written down.
         site.onJobComplete = { ended ->
             val number = ended.spec.id.text
@@ -111,15 +118,15 @@
         site.run(80.0)
         (1 until JOBS step 4).forEach { site.cancel(JobId("job-$it")) }
         site.run(80.0)
-        site.network.tamperAnswer = { _, _, reply -> reply }
+        site.ignoreReadings()
         site.assertRulesHold(240.0)
     }
 
-    /** Jobs that fail on every machine are cancelled while their tasks wait for the next try, and that is taken in by halves. */
+    /** Jobs that fail on every machine are cancelled while their tasks wait for a retry, and the cancellation is only partly applied. */
     @ParameterizedTest
     @MethodSource("retrySeeds")
     fun `no task of a cancelled job is retried after a fault`(seed: Long) {
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
+        val site = site(seed)
         val random = site.sim.random
         val faulty = HashSet<Int>()
         site.fails = { task, _ -> task.job.isFailing() }
@@ -137,11 +144,11 @@
         cancelled.forEachIndexed { index, job -> site.sim.after(index * 4_000.0) { site.cancel(job) } }
         site.run(60.0)
         assertTrue(faulty.isNotEmpty() && site.confirmedCancellations > 0)
-        site.network.tamperAnswer = { _, _, reply -> reply }
+        site.ignoreReadings()
         site.assertRulesHold(240.0)
     }
 
-    /** Calls [then] with a controller's number just before that gets a reading of the state service that has all the [parts] in it. */
+    /** Calls [then] with a controller's number just before it gets an answer of the state service that contains all the [parts]. */
     private fun SimSite.onReadingsOf(vararg parts: String, then: (Int) -> Unit) {
         network.tamperAnswer = { passage, request, reply ->
             val node = passage.to.substringAfter("lorry-", "").toIntOrNull()
@@ -151,6 +158,11 @@
         }
     }
 
+    /** Ends what [onReadingsOf] began. */
+    private fun SimSite.ignoreReadings() {
+        network.tamperAnswer = { _, _, reply -> reply }
+    }
+
     private fun JobId.isFailing() = text.substringAfter('-').toInt() % 5 == 2
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Jobs that were submitted with a mistake and fail on every machine, beside machines on which every job fails. */
+/** Jobs that fail on every machine, and machines on which every job fails. */
 class FailingJobsTest {
     private val scale = SiteScale(machinesPerZone = 8, teamCpus = 400.0, guaranteedCpus = 200.0)
 
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -46,7 +46,7 @@
         // Every worker is fenced and every poll answered within a lease, and no service was moved.
         val after = site.runningTasks().filterKeys { it in running }.mapValues { it.value.name }
         assertEquals(places, after)
-        // A minute's messages stay in proportion: reports, their commands, users' questions, and little beside.
+        // A minute's messages stay in proportion: heartbeats, their commands, users' polls, and little else.
         val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 120.0, "$perMachine messages a machine in 30 s")
         site.run(60.0)
@@ -58,7 +58,7 @@
 
     /**
      * From nothing to nearly four thousand machines, the end of the leader, then half of the fleet lost at once while copies of
-     * reports come late.
+     * heartbeats come late.
      */
     @Test
     fun `a scale-out to four thousand machines, a leader's crash, and half of them lost at once`() {
@@ -85,7 +85,7 @@
         site.run(10.0)
         val calls = site.network.calls
         site.run(20.0)
-        // Reports, the commands that follow, polls, and little beside: nothing grows faster than the fleet.
+        // Heartbeats, the commands that follow, polls, and little else: nothing grows faster than the fleet.
         val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 60.0, "$perMachine messages a machine in 20 s")
         site.network.duplicateOneIn = 4
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * The state service's limits are lowered in the middle of a day. Controllers that don't know of it write large records
+ * The state service's limits are lowered in the middle of a scenario. Controllers that don't know of it write large records
  * first; one after the other is replaced by one that was told, while jobs run and change.
  */
 class LoweredLimitsTest {
@@ -74,7 +74,7 @@
     fun `nothing is refused for its size after the limits were lowered`(seed: Long) {
         val site = site(seed)
         site.work()
-        // Every other day some writes have no answer and are applied seconds later.
+        // With every other seed some writes have no answer and are applied seconds later.
         site.network.lateWriteOneIn = if (seed % 2 == 0L) 0 else 12
         site.run(45.0)
         assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
--- a/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Two troubles at once: messages, answers and reports that are held up, lost or late, and machines that can't be reached. */
+/** Compound faults with messages, answers and heartbeats that are delayed, lost or reordered, and machines that are unreachable. */
 class MessageReorderingTest {
     @ParameterizedTest
     @ValueSource(longs = [271, 272, 273, 274])
@@ -72,7 +72,7 @@
         site.arrays(14)
         site.run(20.0)
         repeat(4) { turn ->
-            // Its lease runs out: reports of the session before are still on their way.
+            // Its lease expires: heartbeats of the epoch before are still in flight.
             site.cutMachine(turn % 3)
             site.run(SimSite.LEASE_S + 3.0)
             site.heal()
@@ -97,7 +97,7 @@
                     raced++
                     when (random.nextInt(3)) {
                         0 -> site.cancel(user.spec.id)
-                        1 -> site.repeat(user)
+                        1 -> site.repeatSubmission(user)
                         else -> site.poll(user.spec.id)
                     }
                 }
--- a/src/test/kotlin/copperglade/sim/OverloadTest.kt
+++ b/src/test/kotlin/copperglade/sim/OverloadTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Teams without a guarantee with huge arrays and swarms of tiny jobs, users who ask many times as often, and late machines. */
+/** Best-effort teams with huge arrays and bursts of tiny jobs, users who poll far more often, and machines that boot late. */
 class OverloadTest {
     private val bestEffortTeam = TeamName("guest")
     private val scale = SiteScale(machinesPerZone = 10, teamCpus = 400.0, guaranteedCpus = 200.0, valueKb = 4.0)
@@ -19,7 +19,7 @@
     private fun site(seed: Long, nodes: Int = 3) =
         SimSite(Simulation(seed), nodes = nodes, scale = scale, otherTeam = Team(bestEffortTeam, 0.0, 200.0, 0.0, 0.0))
 
-    /** The usual team's work is as good as without guests; a huge array and a swarm are served all the same. */
+    /** The guaranteed team's work is done in time, and the best-effort team's huge array and burst are done in the end. */
     @ParameterizedTest
     @ValueSource(longs = [2601, 2602, 2603])
     fun `a best-effort team's huge array and burst of tiny jobs are served without delaying guaranteed work`(seed: Long) {
@@ -47,7 +47,7 @@
         assertEquals(1, site.users.values.count { it.spec.id == JobId("job-900") && it.status == "done" })
     }
 
-    /** Each job's user asks every controller ten times a second: everybody is answered, and nothing else suffers. */
+    /** Each job's user polls ten times a second: everybody is answered, and nothing else is delayed. */
     @ParameterizedTest
     @ValueSource(longs = [2611, 2612])
     fun `users who poll far more often are answered, and heartbeats and submissions are not delayed`(seed: Long) {
@@ -73,19 +73,19 @@
         site.run(22.0)
         assertTrue(asked > 8000, "$asked questions")
         assertTrue(answered >= asked * 0.99, "$answered of $asked answered")
-        // Many questions share a reading, and what is over needs none: the state service hears little of the crowd.
+        // Many polls share a read, and finished jobs need none: the load on the state service stays small.
         val readsPerS = (site.state.reads - reads) / 22.0
         assertTrue(readsPerS < scale.stateRequestsPerSecond, "$readsPerS readings a second")
         assertEquals(running, site.runningTasks().filterKeys { it in running }.mapValues { it.value.name })
         site.assertRulesHold()
     }
 
-    /** Machines that never come up are replaced, and late ones used or returned, without renting for the same demand again and again. */
+    /** Machines that never boot are replaced, and late ones used or returned, without launching for the same demand again and again. */
     @ParameterizedTest
     @ValueSource(longs = [2621, 2622, 2623])
     fun `machines that boot late or never are replaced`(seed: Long) {
         val site = site(seed)
-        // Of the first machines some take five times as long, and the others never come up.
+        // Of the first machines some take five times as long, and the others never boot.
         site.bootTimeFactor = { number ->
             if (number > 4) {
                 1.0
@@ -97,7 +97,7 @@
         }
         site.services(4)
         site.arrays(6)
-        // Only what the cloud gives up as dead is replaced otherwise, after 38 s.
+        // Without the write-off, only machines that the cloud reports as dead are replaced, after 38 s.
         site.await(30.0) { site.runningTasks().keys.count { it.job.text >= "job-500" } >= 16 }
         assertTrue(site.machinesLaunched <= 16, "${site.machinesLaunched} machines rented")
         site.assertRulesHold()
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
@@ -0,0 +1,120 @@
+package copperglade.sim
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Partitions in which a host still reaches some of the others. Each rule is also broken on purpose, for the referee to see. */
+class PartialPartitionTest {
+    @ParameterizedTest
+    @ValueSource(longs = [41, 42, 43, 44])
+    fun `a machine that receives nothing loses its tasks and is replaced once`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 6))
+        site.services(6)
+        site.arrays(10)
+        site.run(30.0)
+        val before = site.machinesLaunched
+        val unresponsive = site.cutTrafficToMachine(seed.toInt() % 3)!!
+        site.run(SimSite.LEASE_S + 12.0)
+        // Its tasks run elsewhere by now, and nothing new was put there.
+        assertEquals(
+            emptyList<Any>(),
+            site
+                .runningTasks()
+                .filterValues { it.name == unresponsive }
+                .keys
+                .toList(),
+        )
+        assertEquals(24, site.runningTasks().keys.count { it.job.text.length == 7 })
+        site.run(60.0)
+        assertTrue(unresponsive !in site.workerNames(), "$unresponsive was not returned")
+        assertTrue(site.machinesLaunched - before <= 8, "${site.machinesLaunched - before} machines rented for one")
+        site.assertRulesHoldOnceHealed()
+    }
+
+    @Test
+    fun `the referee sees tasks moved off an unresponsive machine before its lease expires`() {
+        val site = SimSite(Simulation(45), configuredLeaseS = 3.0)
+        site.services(3)
+        site.run(25.0)
+        // Only its heartbeats to the owner get through at first, then nothing: the computed end of its lease is all there is.
+        site.cutTrafficToMachine(0)
+        site.cutMachine(0)
+        site.run(9.0)
+        site.assertSees("ran_twice")
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [61, 62, 63])
+    fun `a controller that reaches only its workers redirects them before their leases expire`(seed: Long) {
+        val site = SimSite(Simulation(seed), nodes = 5)
+        site.services(5)
+        site.run(30.0)
+        val running = site.runningTasks().mapValues { it.value.name }
+        assertEquals(20, running.size)
+        val node = site.ownerOf(site.workerNames().first())
+        site.isolateController(node)
+        site.run(25.0)
+        assertEquals(running, site.runningTasks().mapValues { it.value.name })
+        assertTrue(site.workerNames().none { site.ownerOf(it) == node })
+        site.assertRulesHoldOnceHealed()
+    }
+
+    @Test
+    fun `the referee sees an isolated controller whose clock lets it act for too long`() {
+        // Far beyond the drift that the protocol allows, so that the controller believes in its session lease for too long.
+        val site = SimSite(Simulation(64))
+        site.services(5)
+        site.run(40.0)
+        val node = site.ownerOf(
+            site
+                .runningTasks()
+                .values
+                .first()
+                .name,
+        )
+        site.slowClock(node, 0.1)
+        site
+            .workerNames()
+            .indices
+            .filter { site.ownerOf(site.workerNames()[it]) == node }
+            .forEach { site.cutMachineFromOthers(it, node) }
+        site.isolateController(node)
+        site.run(60.0)
+        site.assertSees("ran_twice")
+    }
+
+    @Test
+    fun `assignments go on while controllers refuse each other`() {
+        val site = SimSite(Simulation(81), nodes = 5)
+        site.run(20.0)
+        site.cutPeers()
+        site.arrays(6)
+        site.run(60.0)
+        assertTrue(site.completions >= 30, "${site.completions} tasks done without the peer link")
+        site.assertRulesHoldOnceHealed()
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [91, 92, 93])
+    fun `a controller that hears none of its workers releases them before their leases expire`(seed: Long) {
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
+        site.services(12)
+        site.run(40.0)
+        val running = site.runningTasks().mapValues { it.value.name }
+        assertEquals(48, running.size)
+        val node = site
+            .workerNames()
+            .map(site::ownerOf)
+            .groupingBy { it }
+            .eachCount()
+            .maxBy { it.value }
+            .key
+        site.cutController(node, "workers")
+        site.run(30.0)
+        assertEquals(running, site.runningTasks().mapValues { it.value.name })
+        site.assertRulesHoldOnceHealed()
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -0,0 +1,162 @@
+package copperglade.sim
+
+import copperglade.storage.Keys
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
+
+/** Pipelines are cancelled or go on while controllers or the state service fail. Each test first shows that its situation came about. */
+class PipelineFaultTest {
+    @ParameterizedTest
+    @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
+    fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, before: Boolean) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        val former = site.leader()!!
+        if (before) site.crash(former, 4000.0)
+        site.cancelAndConfirm(cancelled)
+        if (!before) site.crash(former, 4000.0)
+        site.await(10.0) { site.leader().let { it != null && it != former } }
+        site.run(SimSite.CANCEL_S)
+        site.assertRulesHold()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
+    fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageS: Double) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        site.cancelAndConfirm(cancelled)
+        site.state.outage = true
+        site.run(outageS)
+        assertTrue(site.state.refusedInOutage > 0)
+        site.state.outage = false
+        site.run(20.0)
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,566", "DIAMOND,567")
+    fun `a job is cancelled while the state service is out, and its dependency ends meanwhile`(shape: PipelineShape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        site.awaitRunning(1)
+        val cancelled = shape.levels[1].first()
+        site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
+        site.state.outage = true
+        site.run(1.0)
+        site.cancel(id(cancelled))
+        site.run(14.0)
+        assertTrue(site.user(cancelled).cancelledAtMs == null && site.user(1).completedAtMs != null, "the outage was too short")
+        site.state.outage = false
+        site.await(15.0) { site.user(cancelled).finished }
+        site.run(SimSite.CANCEL_S)
+        site.assertRulesHold()
+        if (site.user(cancelled).status == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertStatus("done", shape.jobs)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
+    fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downS: Double) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        site.cancelAndConfirm(cancelled)
+        val beforeThat = shape.after(cancelled).filter { site.user(it).status == "aborted" }
+        (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
+        assertTrue(beforeThat.size < shape.after(cancelled).size, "all were told before")
+        site.run(downS + SimSite.CANCEL_S)
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+
+    @ParameterizedTest
+    @CsvSource("FAN,574", "FAN,575", "FAN,579")
+    fun `the leader crashes, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
+        shape: PipelineShape,
+        seed: Long,
+    ) {
+        val site = SimSite(Simulation(seed))
+        // The whole pipeline waits, so that all of it can be closed as soon as it is cancelled.
+        site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
+        site.awaitRunning(90)
+        shape.jobs.forEach { number ->
+            site.submit(SimSite.job(number, tasks = 1), (shape.dependencies[number] ?: listOf(90)).map(::id)) { 5.0 }
+        }
+        site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
+        var interrupted = false
+        site.network.tamperAnswer = { _, request, reply ->
+            val closes = request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
+            if (closes && reply.status == 200 && !interrupted) {
+                interrupted = true
+                site.state.outage = true
+                site.crash(site.leader()!!, 6000.0)
+            }
+            reply
+        }
+        site.cancel(id(1))
+        site.await(20.0) { interrupted }
+        val closed = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
+        assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
+        site.run(8.0)
+        site.state.outage = false
+        site.await(15.0) { site.user(1).cancelledAtMs != null }
+        site.run(SimSite.CANCEL_S)
+        site.assertRulesHold()
+        site.assertCancelledFrom(shape, 1)
+    }
+
+    @ParameterizedTest
+    @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
+    fun `all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        var down = 0
+        site.onJobComplete = { user ->
+            if (user.spec.id == id(1)) {
+                down++
+                (0 until site.nodes).forEach { site.crash(it, 4000.0) }
+            }
+        }
+        site.submitAll(shape, workS = 6.0)
+        site.run(60.0)
+        assertTrue(down > 0, "no last task ended")
+        site.assertRulesHold()
+        site.assertStatus("done", shape.jobs)
+    }
+
+    @ParameterizedTest
+    @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
+    fun `the leader alone is refused by the state service while a job is cancelled`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 10.0)
+        val cancelled = shape.levels[1].first()
+        site.awaitRunning(cancelled)
+        val refused = site.leader()!!
+        val refusals = site.network.refusals
+        site.refuseController(refused)
+        if (peersCut) site.cutPeers()
+        site.run(0.5)
+        site.cancelAndConfirm(cancelled)
+        repeat(25) {
+            // It has to say what is so, or nothing.
+            shape.jobs.forEach { site.poll(id(it), refused) }
+            site.run(1.0)
+        }
+        assertTrue(site.network.refusals > refusals, "it was not refused")
+        site.serveController(refused)
+        site.heal()
+        site.run(SimSite.CANCEL_S - 25.0)
+        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertRulesHold()
+        site.assertCancelledFrom(shape, cancelled)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
@@ -0,0 +1,66 @@
+package copperglade.sim
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.CsvSource
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Jobs that depend on others start in order. Each test first shows that its situation came about. */
+class PipelineOrderTest {
+    @ParameterizedTest
+    @CsvSource("CHAIN,501", "CHAIN,502", "DIAMOND,503", "DIAMOND,504", "FAN,505", "FAN,506")
+    fun `each job starts when all its dependencies are done, and all jobs are done`(shape: PipelineShape, seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submitAll(shape, workS = 5.0)
+        val last = shape.levels.last().single()
+        // A service may come after arrays.
+        site.submit(SimSite.job(500, tasks = 2, service = true, spot = false), listOf(id(last))) { null }
+        site.run(60.0)
+        site.assertRulesHold()
+        site.assertStatus("done", shape.jobs)
+        assertEquals(2, site.runningTasks().keys.count { it.job == id(500) }, "the service does not run")
+        for ((job, needed) in shape.dependencies) {
+            val releasedAtMs = needed.maxOf { site.user(it).completedAtMs!! }
+            val waitedMs = site.user(job).firstStartAtMs!! - releasedAtMs
+            assertTrue(waitedMs in 0.0..MAX_RELEASE_DELAY_MS, "job-$job began $waitedMs ms after its release")
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [511, 512])
+    fun `a job may depend on one that was done long ago, also before the controllers started`(seed: Long) {
+        val site = SimSite(Simulation(seed), endedBefore = 3)
+        site.submit(SimSite.job(1, tasks = 3)) { 4.0 }
+        site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
+        site.await(60.0) { site.user(2).status == "done" }
+        site.run(60.0)
+        (0 until site.nodes).forEach { site.crash(it, 1500.0) }
+        site.run(15.0)
+        site.submit(SimSite.job(3, tasks = 2), listOf(id(1), id(2), id(SimSite.FIRST_ENDED_JOB), id(SimSite.FIRST_ENDED_JOB + 2))) { 4.0 }
+        site.submit(SimSite.job(4, tasks = 2), listOf(id(3), id(1))) { 4.0 }
+        site.assertRulesHold()
+        site.assertStatus("done", listOf(3, 4))
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = [516, 517])
+    fun `a dependent job is added late, while its dependency runs`(seed: Long) {
+        val site = SimSite(Simulation(seed))
+        site.submit(SimSite.job(1, tasks = 2, etaS = 30.0)) { 30.0 }
+        site.awaitRunning(1)
+        (0 until site.nodes).forEach { site.crash(it, 1500.0) }
+        site.run(6.0)
+        // Named twice is named once.
+        site.submit(SimSite.job(2, tasks = 2), listOf(id(1), id(1))) { 4.0 }
+        site.await(10.0) { site.user(2).accepted }
+        assertTrue(site.isRunning(1), "what it awaits was over already")
+        site.assertRulesHold()
+        site.assertStatus("done", listOf(1, 2))
+    }
+
+    private companion object {
+        /** How soon a released job starts where there is capacity for it or a machine has to be launched. */
+        const val MAX_RELEASE_DELAY_MS = 30_000.0
+    }
+}
--- a/src/test/kotlin/copperglade/sim/PipelineReferee.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineReferee.kt
@@ -7,7 +7,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.TaskId
 
-/** A submission in the users' wire form, with the jobs that it waits for; the field is left out where there are none. */
+/** A submission in the users' wire form, with its dependencies; the field is left out where there are none. */
 fun submissionBody(spec: JobSpec, dependencies: List<JobId>): ByteArray {
     val root = Json.read(Json.write { JobSpecCodec.write(this, spec) }) as ObjectNode
     if (dependencies.isNotEmpty()) root.putArray("awaits").also { names -> dependencies.forEach { names.add(it.text) } }
@@ -15,54 +15,53 @@
 }
 
 /**
- * The part of the referee that looks at jobs waiting for others: `too_early`, `orphaned`, and that nothing is cancelled
- * but by a user. It goes by what ended on machines and what users were told; a job that is not among [users] was done
- * before the day began.
+ * The part of the referee for jobs with dependencies: it checks `too_early`, `orphaned`, and that nothing is cancelled but by a user, from
+ * what ended on machines and what users were answered. A job that is not among [users] was done before the scenario began.
  */
 class PipelineReferee(
-    private val users: Map<JobId, SimSite.User>,
+    private val users: Map<JobId, SimUser>,
     private val now: () -> Double,
     private val cancelMs: Double,
     private val breach: (String, String) -> Unit,
 ) {
-    private val predecessors = HashMap<JobId, Set<SimSite.User>>()
+    private val predecessors = HashMap<JobId, Set<SimUser>>()
     private val askedWhenOverdue = HashSet<JobId>()
 
-    /** All jobs that [user]'s job needs, directly or through others. They were submitted before it, so the set is final. */
-    private fun predecessorsOf(user: SimSite.User): Set<SimSite.User> = predecessors[user.spec.id] ?: run {
+    /** All jobs that [user]'s depends on, directly or through others. They were submitted before it, so the set is final. */
+    private fun predecessorsOf(user: SimUser): Set<SimUser> = predecessors[user.spec.id] ?: run {
         val direct = user.dependencies.mapNotNull { users[it] }
         val all = direct + direct.flatMap { predecessorsOf(it) }
         all.toSet().also { predecessors[user.spec.id] = it }
     }
 
-    /** When the last job that [user]'s needs had its last task done, or the time of submission; null while it is blocked. */
-    fun releasedAtMs(user: SimSite.User): Double? =
+    /** When the last dependency of [user]'s job was done, or the time of submission if that is later; null while the job is blocked. */
+    fun releasedAtMs(user: SimUser): Double? =
         predecessorsOf(user).maxOfOrNull { it.completedAtMs ?: return null }?.let { maxOf(it, user.requestedAtMs) } ?: user.requestedAtMs
 
     /**
-     * When [user] was told that the job, or one that it needs, is cancelled. A job that was submitted after that counts
-     * from its acceptance.
+     * When the cancellation of the job or of one that it depends on was confirmed; the acceptance of the job if that was later. Null if
+     * none was.
      */
-    fun cancelledAtMs(user: SimSite.User): Double? = listOfNotNull(user.cancelledAtMs, inheritedCancellationAtMs(user)).minOrNull()
+    fun cancelledAtMs(user: SimUser): Double? = listOfNotNull(user.cancelledAtMs, inheritedCancellationAtMs(user)).minOrNull()
 
-    private fun inheritedCancellationAtMs(user: SimSite.User): Double? {
+    private fun inheritedCancellationAtMs(user: SimUser): Double? {
         val acceptedAtMs = user.acceptedAtMs ?: return null
         val confirmedAt = predecessorsOf(user).mapNotNull { it.cancelledAtMs }.minOrNull() ?: return null
         return maxOf(acceptedAtMs, confirmedAt)
     }
 
-    /** Somebody has asked to cancel a job that [user]'s needs, and was not told that it is done. */
-    fun dependencyCancelRequested(user: SimSite.User): Boolean =
+    /** Whether somebody has requested to cancel a dependency of [user]'s job that was not reported done. */
+    fun dependencyCancelRequested(user: SimUser): Boolean =
         predecessorsOf(user).any { it.cancelRequestedAtMs != null && it.status != "done" }
 
     /** A task of [user]'s job starts. */
-    fun checkStart(user: SimSite.User, task: TaskId) {
+    fun checkStart(user: SimUser, task: TaskId) {
         val pending = predecessorsOf(user).firstOrNull { it.completedAtMs == null } ?: return
         breach("too_early", "$task before ${pending.spec.id} is done")
     }
 
-    /** [user] has just been told something. */
-    fun checkAnswer(user: SimSite.User) {
+    /** Checks the status that [user] has just been answered. */
+    fun checkAnswer(user: SimUser) {
         when (user.status) {
             "aborted" -> checkReason(user)
             "done" -> {
@@ -74,24 +73,24 @@
         if (user.status == "aborted") successorsOf(user).forEach(::checkNotAfterCancelled)
     }
 
-    private fun successorsOf(user: SimSite.User) = users.values.filter { user in predecessorsOf(it) }
+    private fun successorsOf(user: SimUser) = users.values.filter { user in predecessorsOf(it) }
 
-    private fun checkReason(user: SimSite.User) {
+    private fun checkReason(user: SimUser) {
         if (user.cancelRequestedAtMs == null && !dependencyCancelRequested(user)) breach("went_back", "${user.spec.id} cancelled by nobody")
     }
 
-    private fun checkNotAfterCancelled(user: SimSite.User) {
+    private fun checkNotAfterCancelled(user: SimUser) {
         val cancelled = predecessorsOf(user).firstOrNull { it.status == "aborted" } ?: return
         if (user.status == "done") breach("orphaned", "${user.spec.id} is called done after ${cancelled.spec.id} was cancelled")
     }
 
-    private fun isOverdue(user: SimSite.User) = inheritedCancellationAtMs(user)?.let { now() - it > cancelMs } ?: false
+    private fun isOverdue(user: SimUser) = inheritedCancellationAtMs(user)?.let { now() - it > cancelMs } ?: false
 
-    /** Jobs that have to be called cancelled from now on and are not known to be, each named once. */
-    fun overdue(): List<SimSite.User> =
+    /** Jobs that must be reported cancelled from now on and have not been; each is returned once. */
+    fun overdue(): List<SimUser> =
         users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && askedWhenOverdue.add(it.spec.id) }
 
-    /** Whatever is after a cancelled job must have been called cancelled by now. */
+    /** All dependents of cancelled jobs must have been reported cancelled by now. */
     fun checkEnd() = users.values
         .filter { it.status != "aborted" && isOverdue(it) }
         .forEach { breach("orphaned", "${it.spec.id} was last called ${it.status}") }
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/PipelineSteps.kt
@@ -0,0 +1,49 @@
+package copperglade.sim
+
+import org.junit.jupiter.api.Assertions.assertEquals
+
+// Steps that the tests of job pipelines share.
+
+/** Pipelines by the dependencies of each job; jobs of one list are of one level. */
+enum class PipelineShape(val levels: List<List<Int>>, val dependencies: Map<Int, List<Int>>) {
+    CHAIN(listOf(listOf(1), listOf(2), listOf(3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(2), 4 to listOf(3))),
+    DIAMOND(listOf(listOf(1), listOf(2, 3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))),
+    FAN(listOf(listOf(1), (2..13).toList(), listOf(14)), (2..13).associateWith { listOf(1) } + (14 to (2..13).toList())),
+    ;
+
+    val jobs: List<Int> get() = levels.flatten()
+
+    /** All that depend on [job], directly or through others. */
+    fun after(job: Int): Set<Int> =
+        dependencies.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { after(it) } }
+}
+
+internal fun SimSite.user(number: Int) = users.getValue(id(number))
+
+internal fun SimSite.submitAll(shape: PipelineShape, workS: Double, tasks: Int = 2) = shape.jobs.forEach { number ->
+    submit(SimSite.job(number, tasks = tasks, etaS = workS), shape.dependencies[number].orEmpty().map(::id)) { workS }
+}
+
+internal fun SimSite.isRunning(number: Int) = runningTasks().keys.any { it.job == id(number) }
+
+internal fun SimSite.awaitRunning(number: Int) = await(150.0) { isRunning(number) }
+
+/** Cancels a job that is not done, and waits until the cancellation is confirmed to its user. */
+internal fun SimSite.cancelAndConfirm(number: Int, timeoutS: Double = 5.0) {
+    cancel(id(number))
+    await(timeoutS) { user(number).cancelledAtMs != null }
+}
+
+internal fun SimSite.assertStatus(status: String, jobs: Collection<Int>) =
+    assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).status })
+
+internal fun SimSite.assertNeverStarted(jobs: Collection<Int>) =
+    assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMs != null }, "these started")
+
+/** Of a whole pipeline, [cancelled] and its dependents ended cancelled, all else was done. */
+internal fun SimSite.assertCancelledFrom(shape: PipelineShape, cancelled: Int) {
+    val followers = shape.after(cancelled)
+    assertStatus("aborted", followers + cancelled)
+    assertNeverStarted(followers)
+    assertStatus("done", shape.jobs - followers - cancelled)
+}
--- a/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.provider.MethodSource
 import java.util.stream.LongStream
 
-/** Two or three troubles at once, by seed, four times a day, while users submit, ask and cancel. */
+/** Two or three random faults at once, four times a scenario, while users submit, poll and cancel. */
 class RandomFaultsTest {
     private fun follower(number: Int) = JobId("job-${100 + number}")
 
-    /** Beside the usual load, jobs that await one or two of it, and mostly one of their own kind before them. */
+    /** Jobs that depend on one or two of the other load, and most of them on one of their own kind. */
     private fun submitPipelines(site: SimSite) = repeat(FOLLOWERS) { number ->
         site.after(number * 9.0 + 2.0) {
             val random = site.sim.random
--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -8,7 +8,7 @@
 
 /**
  * For each rule, controllers that break it: their settings are wrong, or what they say and hear is changed on the way, so
- * that they behave like faulty ones. Rules that are not here are broken on purpose beside the tests of what guards them.
+ * that they behave like faulty ones. Rules that are not here are broken on purpose next to the tests of what guards them.
  */
 class RefereeTest {
     private fun SimSite.answersTo(path: String, change: (String, Reply) -> Reply) {
@@ -80,7 +80,7 @@
         site.submit(SimSite.job(1, tasks = 1)) { 200.0 }
         site.run(20.0)
         site.answersTo("/submissions") { _, _ -> Reply(422) }
-        site.repeat(site.users.getValue(JobId("job-1")))
+        site.repeatSubmission(site.users.getValue(JobId("job-1")))
         site.run(5.0)
         site.assertSees("forgotten")
     }
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -48,7 +48,7 @@
         site.assertRulesHold()
     }
 
-    /** It stands still for a minute, longer than any lease, and goes on with all that it had wanted to send. */
+    /** It is paused for a minute, longer than any lease, and resumes with all that it was about to send. */
     @ParameterizedTest
     @ValueSource(longs = [2511, 2512, 2513, 2514])
     fun `a controller that was unreachable for a minute breaks no rule and regains its shards`(seed: Long) {
--- a/src/test/kotlin/copperglade/sim/Scenarios.kt
+++ b/src/test/kotlin/copperglade/sim/Scenarios.kt
@@ -26,7 +26,7 @@
     run(forS)
 }
 
-/** All troubles end; by the end of [forS] nothing may be left undone, unanswered, waiting or broken. */
+/** Ends all faults; by the end of [forS] seconds nothing may be left undone, unanswered, waiting or broken. */
 fun SimSite.assertRulesHold(forS: Double = 120.0) {
     recover(forS)
     checkAnswered()
@@ -38,9 +38,20 @@
     assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
 }
 
+/** As [assertRulesHold], for scenarios that have ended all faults but cuts and check no delays of starts. */
+fun SimSite.assertRulesHoldOnceHealed() {
+    heal()
+    run(120.0)
+    checkAnswered()
+    assertEquals(emptyList<String>(), breaches)
+    val unfinished = users.values.filter { it.work(0) != null && !it.finished }.map { it.spec.id }
+    assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
+}
+
+/** The referee has recorded a breach of [rule]. */
 fun SimSite.assertSees(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "not seen: $breaches")
 
-/** Lets time pass until [holds], for [timeoutS] at the most. */
+/** Lets time pass until [holds], and fails after [timeoutS] seconds. */
 fun SimSite.await(timeoutS: Double, holds: () -> Boolean) {
     val end = sim.nowMs + timeoutS * 1000
     while (!holds() && sim.nowMs < end) run(0.2)
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -0,0 +1,138 @@
+package copperglade.sim
+
+import copperglade.protocol.Endpoint
+import copperglade.transport.HttpClient
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import copperglade.transport.RequestHandler
+import kotlin.time.Duration.Companion.milliseconds
+
+/** The hosts of a simulated site and the messages between them, with the faults of [NetworkFaults]. */
+class SimNetwork(private val sim: Simulation, private val observer: WireObserver = WireObserver {}) : NetworkFaults(sim) {
+    private class Host(val name: String, val loop: SimLoop, val handler: RequestHandler)
+
+    private val hosts = HashMap<Endpoint, Host>()
+
+    /** The number of requests that were sent. */
+    var calls = 0
+        private set
+
+    /** What becomes of requests and answers; other than themselves only to see the referee at work. */
+    var tamperRequest: (String, Request) -> Request = { _, request -> request }
+    var tamperAnswer: (Passage, Request, Reply) -> Reply = { _, _, reply -> reply }
+
+    /** Gets the body of every message with commands when it is sent. */
+    var commandsSent: (ByteArray) -> Unit = {}
+
+    fun listen(at: Endpoint, name: String, loop: SimLoop, handler: RequestHandler) {
+        hosts[at] = Host(name, loop, handler)
+    }
+
+    /** The connections of the host [name], whose timers and answers run on [loop]. */
+    fun callerOf(name: String, loop: SimLoop) = HttpClient { to, original, timeout, done ->
+        val call = Call(name, loop, to, original, done)
+        calls++
+        loop.after(timeout) { call.finish(null) }
+        call.send(tamperRequest(name, original))
+    }
+
+    private fun hostName(at: Endpoint) = hosts[at]?.name ?: "$at"
+
+    private fun observe(step: WireStep, from: String, to: String, request: Request, reply: Reply? = null) =
+        observer.observe(WireEvent(step, sim.nowMs, from, to, request, reply))
+
+    /** One request of the host [from], up to its answer or its timeout. */
+    private inner class Call(
+        private val from: String,
+        private val loop: SimLoop,
+        private val to: Endpoint,
+        private val original: Request,
+        private val done: (Reply?) -> Unit,
+    ) {
+        private var finished = false
+
+        fun finish(reply: Reply?) {
+            if (finished || !loop.alive) return
+            finished = true
+            observe(if (reply == null) WireStep.UNANSWERED else WireStep.ANSWER_DELIVERED, hostName(to), from, original, reply)
+            loop.guard { done(reply) }
+        }
+
+        fun send(request: Request) {
+            observe(WireStep.REQUEST_SENT, from, hostName(to), request)
+            if (duplicateOneIn > 0 && request.path == HEARTBEAT && sim.random.nextInt(duplicateOneIn) == 0) duplicate(request)
+            if (request.path == COMMAND) commandsSent(request.body)
+            val host = hosts[to]
+            if (drops(request)) return
+            if (host == null || !host.loop.alive) {
+                loop.after(2.milliseconds) { finish(null) }
+                return
+            }
+            val path = request.path.substringBefore('?')
+            travel(Passage(from, host.name, path, answer = false)) { arrive(host, path, request) }
+        }
+
+        private fun arrive(host: Host, path: String, request: Request) {
+            if (host.name == STATE && isRefused(from)) {
+                refusals++
+                return answer(host, path, request, Reply(UNAVAILABLE))
+            }
+            val late = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
+            if (late) return applyLate(request)
+            // Another process may listen there by now.
+            hosts[to]?.let { present -> present.loop.whenAwake { handle(host, present, path, request) } }
+        }
+
+        private fun handle(host: Host, present: Host, path: String, request: Request) {
+            if (!present.loop.alive) return
+            observe(WireStep.REQUEST_DELIVERED, from, present.name, request)
+            present.loop.guard {
+                present.handler.handle(Request(request.method, request.path, request.body)) { reply ->
+                    if (host.name == STATE && isRefused(from)) {
+                        withhold(from) { answer(host, path, request, reply) }
+                    } else {
+                        answer(host, path, request, reply)
+                    }
+                }
+            }
+        }
+
+        private fun answer(host: Host, path: String, request: Request, reply: Reply) {
+            val back = Passage(host.name, from, path, answer = true)
+            val sent = tamperAnswer(back, request, reply)
+            observe(WireStep.ANSWER_SENT, host.name, from, request, sent)
+            if (path == HEARTBEAT && sent.status == OK) commandsSent(sent.body)
+            travel(back) { loop.whenAwake { finish(sent) } }
+        }
+
+        private fun duplicate(request: Request) {
+            sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMs)) {
+                val present = hosts[to]
+                if (present != null && present.loop.alive) {
+                    duplicatesDelivered++
+                    val copy = Request(request.method, request.path, forge(request.body))
+                    observe(WireStep.COPY_DELIVERED, from, present.name, copy)
+                    present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
+                }
+            }
+        }
+
+        private fun applyLate(request: Request) = sim.after(2_000.0 + sim.random.nextInt(10_000)) {
+            lateWrites++
+            observe(WireStep.LATE_WRITE, from, hostName(to), request)
+            hosts[to]?.handler?.handle(request) { reply ->
+                observe(WireStep.ANSWER_DISCARDED, hostName(to), from, request, reply)
+                if (reply.status == OK) lateWritesApplied++
+            }
+        }
+    }
+
+    private companion object {
+        const val OK = 200
+        const val UNAVAILABLE = 503
+        const val STATE = "state"
+        const val HEARTBEAT = "/checkin"
+        const val COMMAND = "/do"
+        const val TRANSACTION = "/multi"
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/SimUsers.kt
@@ -0,0 +1,147 @@
+package copperglade.sim
+
+import copperglade.protocol.JobId
+import copperglade.protocol.JobSpec
+import copperglade.protocol.JobSpecCodec
+import copperglade.protocol.Json
+import copperglade.protocol.stringOrNull
+import copperglade.transport.Method
+import copperglade.transport.Reply
+import copperglade.transport.Request
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * The users of a simulated site: they submit jobs through any controller, retry until they have an answer, poll to the end of the
+ * scenario, and pass every answer to the [referee].
+ */
+class SimUsers(
+    private val sim: Simulation,
+    private val network: SimNetwork,
+    private val loop: SimLoop,
+    private val nodes: Int,
+    private val referee: SiteReferee,
+) {
+    private val users get() = referee.users
+
+    /** Submits a job that depends on [dependencies], which were submitted before; it is sent once they are known to be accepted. */
+    fun submit(spec: JobSpec, dependencies: List<JobId>, work: (Int) -> Double?) {
+        val user = SimUser(spec, dependencies, sim.nowMs, work)
+        users[spec.id] = user
+        submitUntilAccepted(user)
+    }
+
+    private fun submitUntilAccepted(user: SimUser) {
+        if (user.accepted) return
+        if (user.dependencies.any { users[it]?.accepted == false }) return later(1.0) { submitUntilAccepted(user) }
+        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
+            when (reply?.status) {
+                200, 201 -> {
+                    user.acceptedAtMs = sim.nowMs
+                    user.acceptedStatus = reply.status
+                    user.lastAnswerAtMs = sim.nowMs
+                    later(5.0) { pollToEnd(user) }
+                }
+                // Nothing that a user submits is invalid, and a known job is answered with its status.
+                400, 422 -> referee.breach("forgotten", "${user.spec.id} refused with ${reply.status}")
+                else -> later(1.0) { submitUntilAccepted(user) }
+            }
+        }
+    }
+
+    /** Submits an accepted job once more; the answer is checked like that to a poll. */
+    fun repeatSubmission(user: SimUser) {
+        val requestedAtMs = sim.nowMs
+        request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
+            if (reply?.status in REFUSAL_STATUSES) referee.breach("forgotten", "repeat of ${user.spec.id}: ${reply?.status}")
+            if (reply?.status == 201) referee.breach("forgotten", "${user.spec.id} accepted once more")
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+        }
+    }
+
+    /** One poll in addition to the periodic ones. */
+    fun poll(id: JobId, node: Int = anyNode()) {
+        val user = users.getValue(id)
+        val requestedAtMs = sim.nowMs
+        requestAt(node, Request(Method.GET, "/submissions/$id")) { reply ->
+            if (reply?.status == 404) referee.breach("forgotten", "$id is unknown")
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+        }
+    }
+
+    private fun pollToEnd(user: SimUser) {
+        val requestedAtMs = sim.nowMs
+        request(Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
+            if (reply?.status == 404) referee.breach("forgotten", "${user.spec.id} is unknown")
+            if (reply?.status == 200) {
+                user.lastAnswerAtMs = sim.nowMs
+                recordStatus(user, reply, requestedAtMs)
+            }
+            // A finished job has to stay known.
+            later(if (user.finished) 15.0 else 5.0) { pollToEnd(user) }
+        }
+    }
+
+    private fun recordStatus(user: SimUser, reply: Reply, requestedAtMs: Double) =
+        referee.recordStatus(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
+
+    /** Cancels a job that is accepted and not finished, and retries until there is an answer. */
+    fun cancel(id: JobId) {
+        val user = users[id] ?: return
+        if (!user.accepted || user.finished) return
+        if (user.cancelRequestedAtMs == null) user.cancelRequestedAtMs = sim.nowMs
+        val requestedAtMs = sim.nowMs
+        request(Request(Method.POST, "/submissions/$id/cancel")) { reply ->
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs) else later(1.0) { cancel(id) }
+        }
+    }
+
+    /** A repeated submission, a late cancellation, a poll of a job that nobody submitted, or an invalid submission, at random. */
+    fun oddRequest() {
+        val known = users.values.filter { it.accepted }
+        val number = FIRST_ODD_JOB + sim.random.nextInt(10_000)
+        when (sim.random.nextInt(5)) {
+            0 -> known.filter { !it.finished }.pickRandom()?.let(::repeatSubmission)
+            1 -> known.filter { it.status == "done" }.pickRandom()?.let(::cancelDone)
+            2 -> request(Request(Method.GET, "/submissions/job-$number")) {
+                if (it?.status == 200) referee.breach("invented", "job-$number")
+            }
+            3 -> submitInvalid(number) { it.replace("\"vcpus\":2.0", "\"vcpus\":2000.0") }
+            else -> submitInvalid(number) { it.replace("\"manifest\":\"img-1\",", "") }
+        }
+    }
+
+    private fun cancelDone(user: SimUser) {
+        val requestedAtMs = sim.nowMs
+        request(Request(Method.POST, "/submissions/${user.spec.id}/cancel")) { reply ->
+            if (reply?.status == 404) referee.breach("forgotten", "cancel of ${user.spec.id}")
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+        }
+    }
+
+    private fun submitInvalid(number: Int, spoil: (String) -> String) {
+        val good = Json.write { JobSpecCodec.write(this, SimSite.job(number, tasks = 1)) }.decodeToString()
+        val bad = spoil(good)
+        check(bad != good)
+        request(Request(Method.POST, "/submissions", bad.encodeToByteArray())) { reply ->
+            if (reply?.status == 200 || reply?.status == 201) referee.breach("accepted_bad", "job-$number")
+        }
+    }
+
+    private fun <T> List<T>.pickRandom(): T? = if (isEmpty()) null else this[sim.random.nextInt(size)]
+
+    /** Sends one request through a random controller, as the load balancer would. */
+    fun request(request: Request, done: (Reply?) -> Unit) = requestAt(anyNode(), request, done)
+
+    private fun anyNode() = sim.random.nextInt(nodes)
+
+    fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) {
+        network.callerOf("users", loop).call(SimAddresses.client(node), request, 5.seconds, done)
+    }
+
+    private fun later(seconds: Double, action: () -> Unit) = sim.after(seconds * 1000, action)
+
+    private companion object {
+        const val FIRST_ODD_JOB = 700_000
+        val REFUSAL_STATUSES = listOf(400, 404, 422)
+    }
+}
--- a/src/test/kotlin/copperglade/sim/SiteFault.kt
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -42,7 +42,7 @@
     fun begin(site: SimSite, seconds: Double) = site.action(seconds)
 }
 
-/** Calls [action] after so many seconds of simulated time. */
+/** Calls [action] after [seconds] of simulated time. */
 internal fun SimSite.after(seconds: Double, action: () -> Unit) = sim.after(seconds * 1000, action)
 
 private fun SimSite.anyNode() = sim.random.nextInt(nodes)
--- a/src/test/kotlin/copperglade/sim/WireObserver.kt
+++ b/src/test/kotlin/copperglade/sim/WireObserver.kt
@@ -13,7 +13,7 @@
     /** The caller gives up: no answer came within its timeout, or nobody listens at the address. */
     UNANSWERED,
 
-    /** A duplicate of a report reaches its receiver. */
+    /** A duplicate of a heartbeat reaches its receiver. */
     COPY_DELIVERED,
 
     /** The state service carries out a transaction long after it was sent. */
--- a/src/test/kotlin/copperglade/soak/SoakFaults.kt
+++ b/src/test/kotlin/copperglade/soak/SoakFaults.kt
@@ -3,15 +3,15 @@
 import copperglade.soak.SoakNetwork.Companion.STATE
 import kotlin.time.Duration.Companion.milliseconds
 
-/** One kind of trouble: it begins at once, lasts about as long as it is told, and ends by itself. */
+/** One kind of fault: it begins at once, lasts about [begin]'s milliseconds, and ends by itself. */
 class SoakFault(val name: String, val begin: SoakSite.(ms: Int) -> Unit)
 
-/** A trouble at its time; fixed by the seed, while what it meets is up to the real timing. */
+/** A fault at its time; the seed fixes the schedule, but not the real timing of what it affects. */
 class ScheduledFault(val atMs: Int, val fault: SoakFault, val forMs: Int) {
     override fun toString() = "at $atMs ms: ${fault.name} for $forMs ms"
 }
 
-/** All kinds of trouble, and schedules of two or three of them at a time. */
+/** All kinds of faults, and schedules of two or three of them at a time. */
 object SoakFaults {
     private fun SoakSite.later(ms: Int, action: () -> Unit) = loop.after(ms.milliseconds, action)
 
@@ -30,7 +30,7 @@
 
     private fun SoakSite.cutFor(ms: Int, pairs: List<Pair<String, String>>) {
         pairs.forEach { (one, other) -> network.cutBothWays(one, other) }
-        later(ms) { pairs.forEach { (one, other) -> network.mendBothWays(one, other) } }
+        later(ms) { pairs.forEach { (one, other) -> network.endCutBothWays(one, other) } }
     }
 
     private fun SoakSite.peersOf(node: Int) = (nodes() - node).flatMap { listOf(name(node) to name(it)) }
@@ -136,14 +136,14 @@
         },
     )
 
-    /** Waves of two or three troubles at once, within [lengthMs]. */
+    /** Waves of two or three faults at once, within [lengthMs]. */
     fun schedule(random: java.util.Random, lengthMs: Int): List<ScheduledFault> = (0 until lengthMs step WAVE_MS).flatMap { wave ->
         all.shuffled(random).take(2 + random.nextInt(2)).map { fault ->
-            ScheduledFault(wave + random.nextInt(WAVE_MS / 3), fault, MIN_MS + random.nextInt(MAX_MS - MIN_MS))
+            ScheduledFault(wave + random.nextInt(WAVE_MS / 3), fault, MIN_FAULT_MS + random.nextInt(MAX_FAULT_MS - MIN_FAULT_MS))
         }
     }
 
     private const val WAVE_MS = 8_000
-    private const val MIN_MS = 1_500
-    private const val MAX_MS = 9_000
+    private const val MIN_FAULT_MS = 1_500
+    private const val MAX_FAULT_MS = 9_000
 }
--- a/src/test/kotlin/copperglade/soak/SoakNetwork.kt
+++ b/src/test/kotlin/copperglade/soak/SoakNetwork.kt
@@ -32,15 +32,15 @@
     /** By how many milliseconds a message is late. */
     var delayMs: (Passage) -> Int = { 0 }
 
-    /** One in so many transactions is carried out late, and one in so many at once, both without an answer; 0: none. */
+    /** One in this many transactions is applied late, and one in this many at once, both without an answer; 0: none. */
     var lateWriteOneIn = 0
     var lostAnswerOneIn = 0
 
-    /** One in so many reports comes once more, late; one in so many commands comes late, and unanswered. */
+    /** One in this many heartbeats arrives a second time, late; one in this many commands arrives late, and unanswered; 0: none. */
     var lateHeartbeatOneIn = 0
     var lateCommandOneIn = 0
 
-    /** Messages that were held back, lost, late or refused: troubles that did happen. */
+    /** Messages that were held back, lost, late or refused: faults that had an effect. */
     var disturbed = 0
         private set
 
@@ -54,16 +54,16 @@
     }
 
     /** Takes back one cut of this way; what it held back is delivered now. */
-    fun mend(from: String, to: String) {
+    fun endCut(from: String, to: String) {
         val way = from to to
         val left = (cuts[way] ?: return) - 1
         if (left > 0) cuts[way] = left else cuts.remove(way)
         deliverHeld()
     }
 
-    fun mendBothWays(one: String, other: String) {
-        mend(one, other)
-        mend(other, one)
+    fun endCutBothWays(one: String, other: String) {
+        endCut(one, other)
+        endCut(other, one)
     }
 
     /** Ends everything that is wrong with the network. */
@@ -135,7 +135,7 @@
 
     private fun late(action: () -> Unit) {
         disturbed++
-        loop.after((SOONEST_LATE_MS + random.nextInt(LATEST_MS - SOONEST_LATE_MS)).milliseconds, action)
+        loop.after((MIN_LATENESS_MS + random.nextInt(MAX_LATENESS_MS - MIN_LATENESS_MS)).milliseconds, action)
     }
 
     /** The requests that [from] sends over [caller] to those of whom [nameOf] tells. */
@@ -166,7 +166,7 @@
         const val COMMAND = "/do"
         const val HEARTBEAT = "/checkin"
         private const val UNAVAILABLE = 503
-        private const val SOONEST_LATE_MS = 1_000
-        private const val LATEST_MS = 9_000
+        private const val MIN_LATENESS_MS = 1_000
+        private const val MAX_LATENESS_MS = 9_000
     }
 }
--- a/src/test/kotlin/copperglade/soak/SoakReferee.kt
+++ b/src/test/kotlin/copperglade/soak/SoakReferee.kt
@@ -11,13 +11,13 @@
 }
 
 /**
- * Judges a run from outside: by what ran on machines and what users were told, never by what controllers log or store.
+ * Judges a run from outside: by what ran on machines and what users were answered, never by what controllers log or store.
  *
  * @param cancelMs the time within which all tasks of a cancelled job must be gone.
  */
 class SoakReferee(private val now: () -> Long, private val cancelMs: Long, private val cpusMax: Double) {
     /** A job as its user and the machines see it. */
-    class SeenJob(val spec: JobSpec, val dependencies: List<JobId>) {
+    class ObservedJob(val spec: JobSpec, val dependencies: List<JobId>) {
         var accepted = false
         var status: String? = null
         var cancelRequested = false
@@ -33,7 +33,7 @@
     /** A machine on which a task is; told apart by identity, since a machine that is back after a loss of power is another. */
     class Place(val machine: String, val type: String, val zone: String, val spot: Boolean, val incarnation: Any)
 
-    val jobs = LinkedHashMap<JobId, SeenJob>()
+    val jobs = LinkedHashMap<JobId, ObservedJob>()
     val breaches = ArrayList<Breach>()
     private val running = HashMap<TaskId, Place>()
     private val reported = HashSet<String>()
@@ -53,8 +53,8 @@
         event("BREACH $rule $what")
     }
 
-    private fun predecessorsOf(job: SeenJob): Set<SeenJob> {
-        val all = LinkedHashSet<SeenJob>()
+    private fun predecessorsOf(job: ObservedJob): Set<ObservedJob> {
+        val all = LinkedHashSet<ObservedJob>()
         val open = ArrayDeque(job.dependencies)
         while (open.isNotEmpty()) {
             val next = jobs[open.removeFirst()] ?: continue
@@ -64,7 +64,7 @@
     }
 
     /** Since when [job] has been cancelled in the eyes of a user: by itself, or by a job that it needs. */
-    private fun cancelledAt(job: SeenJob): Long? {
+    private fun cancelledAt(job: ObservedJob): Long? {
         val inherited = predecessorsOf(job).mapNotNull { it.cancelledAtMs }.minOrNull()
         val acceptedAt = job.acceptedAtMs
         val inheritedAt = if (inherited == null || acceptedAt == null) null else maxOf(inherited, acceptedAt)
@@ -72,7 +72,7 @@
     }
 
     /** Whether the job need not be done: it, or one that it needs, was called off. */
-    fun isCalledOff(job: SeenJob): Boolean = job.cancelRequested || predecessorsOf(job).any { it.cancelRequested }
+    fun isCancelRequested(job: ObservedJob): Boolean = job.cancelRequested || predecessorsOf(job).any { it.cancelRequested }
 
     fun started(task: TaskId, place: Place) {
         starts++
@@ -103,17 +103,17 @@
         if (now() - since > cancelMs) breach("ran_cancelled", "$task")
     }
 
-    /** [status] is what a user was told of [id] in answer to a question asked at [askedAtMs]. */
+    /** Checks and records the [status] of [id] that a user got in answer to a poll sent at [askedAtMs]. */
     fun recordStatus(id: JobId, status: String, askedAtMs: Long) {
         val job = jobs.getValue(id)
         job.lastAnswerAtMs = now()
         val final = status == DONE || status == ABORTED
-        // Of two questions under way at a time, the one asked first may be answered as things were then.
+        // Of two polls in flight, the one sent before the final answer may still be answered with an earlier status.
         if (job.finished && !final && askedAtMs < (job.finishedAtMs ?: 0)) return
         if (status != job.status) event("told $id $status")
         if (job.finished && status != job.status) breach("went_back", "$id: ${job.status}, then $status")
         if (status == DONE && !job.complete) breach("not_done", "$id has ${job.doneTasks.size} of ${job.spec.tasks} tasks done")
-        if (status == ABORTED && !isCalledOff(job)) breach("went_back", "$id is cancelled by nobody")
+        if (status == ABORTED && !isCancelRequested(job)) breach("went_back", "$id is cancelled by nobody")
         if (!job.finished && final) job.finishedAtMs = now()
         if (status == ABORTED && job.cancelledAtMs == null) job.cancelledAtMs = now()
         job.status = status
@@ -145,20 +145,20 @@
         }
     }
 
-    /** To be called once all troubles have been over since [faultFreeSinceMs], for long enough. */
+    /** To be called once there have been no faults since [faultFreeSinceMs], for long enough. */
     fun checkEnd(faultFreeSinceMs: Long) {
         for ((id, job) in jobs) {
             if (!job.accepted) continue
             if (job.lastAnswerAtMs < faultFreeSinceMs) breach("forgotten", "$id has had no answer since the troubles ended")
             val since = cancelledAt(job)
             if (since != null && now() - since > cancelMs && job.status != ABORTED) breach("orphaned", "$id was last called ${job.status}")
-            if (!job.spec.isService && !isCalledOff(job) && !job.finished) breach("left_waiting", "$id was last called ${job.status}")
+            if (!job.spec.isService && !isCancelRequested(job) && !job.finished) breach("left_waiting", "$id was last called ${job.status}")
         }
     }
 
     /** Jobs of which something is still expected. */
     fun unfinished(): List<JobId> =
-        jobs.filterValues { it.accepted && !it.finished && (!it.spec.isService || isCalledOff(it)) }.keys.toList()
+        jobs.filterValues { it.accepted && !it.finished && (!it.spec.isService || isCancelRequested(it)) }.keys.toList()
 
     private val JobSpec.isService get() = kind == JobKind.SERVICE
 
--- a/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRefereeTest.kt
@@ -20,7 +20,7 @@
 
     private fun submit(number: Int, dependencies: List<Int> = emptyList(), tasks: Int = 1, zone: String? = null): JobId {
         val spec = SimSite.job(number, tasks = tasks, zone = zone)
-        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, dependencies.map { JobId("job-$it") })
+        referee.jobs[spec.id] = SoakReferee.ObservedJob(spec, dependencies.map { JobId("job-$it") })
         referee.accepted(spec.id)
         return spec.id
     }
--- a/src/test/kotlin/copperglade/soak/SoakRun.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRun.kt
@@ -9,10 +9,10 @@
 
 enum class Verdict { PASSED, FAILED, INCONCLUSIVE }
 
-/** How a run ended: [why] in one line, and what there was of jobs and troubles. */
+/** How a run ended: [why] in one line, and the [figures] of its jobs and faults. */
 class SoakResult(val seed: Long, val verdict: Verdict, val why: String, val figures: String, val folder: Path)
 
-/** One run: controllers come up, users come, troubles come and end, and in the calm after them everything has to be in order. */
+/** One run: controllers and users start, faults are injected and end, and then every rule has to hold and every job to complete. */
 class SoakRun(private val options: SoakOptions, private val seed: Long) {
     private val folder = options.keepIn.resolve("seed-$seed")
     private var longestStallMs = 0L
@@ -22,19 +22,19 @@
     fun play(): SoakResult {
         deleteFolder()
         val site = SoakSite(options, seed, folder)
-        val ender = Thread { site.controllers.forEach { it.kill() } }
-        Runtime.getRuntime().addShutdownHook(ender)
+        val shutdownHook = Thread { site.controllers.forEach { it.kill() } }
+        Runtime.getRuntime().addShutdownHook(shutdownHook)
         return try {
             play(site)
         } finally {
             watching = false
             site.close()
-            Runtime.getRuntime().removeShutdownHook(ender)
+            Runtime.getRuntime().removeShutdownHook(shutdownHook)
         }
     }
 
     private fun play(site: SoakSite): SoakResult {
-        val schedule = SoakFaults.schedule(Random(seed), options.faultPhaseS * MS)
+        val schedule = SoakFaults.schedule(Random(seed), options.faultPhaseS * MS_PER_S)
         val users = SoakUsers(site)
         site.controllers.forEach { it.start() }
         if (!awaitHealthy(site)) return result(site, schedule, Verdict.INCONCLUSIVE, "the controllers did not come up")
@@ -43,7 +43,7 @@
             lastTickMs = site.loop.now().ms
             watch(site)
         }
-        Thread.sleep(SETTLING_MS)
+        Thread.sleep(STARTUP_MS)
         site.onLoop { schedule.forEach { due -> site.loop.after(due.atMs.milliseconds) { due.fault.begin(site, due.forMs) } } }
         Thread.sleep(options.faultPhaseS * 1000L + MAX_FAULT_TAIL_MS)
         val faultFreeSinceMs = site.onLoop { endFaults(site, users) }
@@ -115,7 +115,10 @@
                 Verdict.INCONCLUSIVE,
                 "the harness stood still for $longestStallMs ms",
             )
-            referee.breaches.isNotEmpty() -> result(site, schedule, Verdict.FAILED, referee.breaches.take(SHOWN).joinToString("; "))
+            referee.breaches.isNotEmpty() -> {
+                val shown = referee.breaches.take(MAX_SHOWN_BREACHES).joinToString("; ")
+                result(site, schedule, Verdict.FAILED, shown)
+            }
             referee.starts == 0 || referee.jobs.values.none { it.complete } -> result(site, schedule, Verdict.FAILED, "no job ran")
             schedule.isEmpty() || site.network.disturbed == 0 -> result(site, schedule, Verdict.FAILED, "no trouble happened")
             else -> result(site, schedule, Verdict.PASSED, "no rule broken")
@@ -155,16 +158,16 @@
     }
 
     private companion object {
-        const val MS = 1000
+        const val MS_PER_S = 1000
         const val NANOS_PER_MS = 1_000_000L
         const val TICK_MS = 200L
-        const val SETTLING_MS = 5_000L
+        const val STARTUP_MS = 5_000L
         const val MAX_FAULT_TAIL_MS = 4_000L
         const val MIN_FAULT_FREE_MS = 18_000L
         const val MAX_FAULT_FREE_MS = 100_000L
         const val MAX_STALL_MS = 1_200L
         const val HEALTH_TRIES = 30
         const val HEALTH_INTERVAL_MS = 700L
-        const val SHOWN = 6
+        const val MAX_SHOWN_BREACHES = 6
     }
 }
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -13,9 +13,11 @@
 import copperglade.standin.StandInCloud
 import copperglade.standin.StandInState
 import copperglade.standin.StandInWorker
+import copperglade.standin.WorkerHost
 import copperglade.standin.WorkerSite
 import copperglade.standin.World
-import copperglade.storage.Keys
+import copperglade.standin.leaderAmong
+import copperglade.standin.workerOf
 import copperglade.transport.FaultBarrier
 import copperglade.transport.HttpClient
 import copperglade.transport.NettyEventLoop
@@ -61,7 +63,7 @@
     private val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
     val random = Random(seed)
     val network = SoakNetwork(loop, random)
-    val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS).toLong(), teamCpus)
+    val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS_PER_S).toLong(), teamCpus)
     lateinit var state: StandInState
         private set
     private lateinit var cloud: StandInCloud
@@ -73,7 +75,7 @@
     private val clusters = freeEndpoints(options.nodes)
     val controllers: List<ControllerProcess>
     private val usersCaller = network.caller(SoakNetwork.USERS, http, ::nameOf)
-    private val teamCpus: Double get() = options.workers * CPUS * TEAM_PART
+    private val teamCpus: Double get() = options.workers * MACHINE_CPUS * TEAM_CPU_SHARE
 
     /** A fault of the harness itself, which makes a run worth nothing. */
     val fault: Throwable? get() = failure.getNow(null)
@@ -85,7 +87,7 @@
         override fun spec(task: TaskId) = referee.jobs[task.job]?.spec?.takeIf { task.index < it.tasks }
 
         override fun workS(task: TaskId) =
-            if (spec(task)?.kind == JobKind.ARRAY) workSeconds.getOrPut(task) { MIN_WORK_S + random.nextDouble() * WORK_S } else null
+            if (spec(task)?.kind == JobKind.ARRAY) workSeconds.getOrPut(task) { MIN_WORK_S + random.nextDouble() * WORK_RANGE_S } else null
 
         override fun started(worker: StandInWorker, task: TaskId) = referee.started(task, placeOf(worker))
 
@@ -96,10 +98,10 @@
         Files.createDirectories(folder)
         onLoop {
             state = StandInState(loop)
-            val type = CloudType("box", CPUS, CPUS * 8, BOOT_S, options.workers / 2)
-            cloud = StandInCloud(loop, listOf(type), SimSite.ZONES, ::boot, CLOUD_RPS) { gone(it) }
+            val type = CloudType("box", MACHINE_CPUS, MACHINE_CPUS * 8, BOOT_S, options.workers / 2)
+            cloud = StandInCloud(loop, listOf(type), SimSite.ZONES, ::boot, CLOUD_REQUESTS_PER_S) { gone(it) }
         }
-        repeat(options.workers + options.workers / SPARE_PART + 2) { slots += Slot() }
+        repeat(options.workers + options.workers / SPARE_SLOTS_ONE_IN + 2) { slots += Slot() }
         val command = ControllerProcess.startCommand(Path.of("").toAbsolutePath(), options.heapMb)
         controllers = (0 until options.nodes).map { node ->
             val settings = folder.resolve("settings-$node.json")
@@ -116,11 +118,11 @@
     fun <T> onLoop(action: () -> T): T {
         val done = CompletableFuture<T>()
         loop.after(Duration.ZERO) { done.complete(action()) }
-        return done.get(MAX_TURN_S, TimeUnit.SECONDS)
+        return done.get(LOOP_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
     private fun listen(handler: () -> RequestHandler): Endpoint =
-        NettyHttpServer(loop, CONNECTIONS, MAX_BODY, handler()).listen(Endpoint(HOST, 0))
+        NettyHttpServer(loop, MAX_CONNECTIONS, MAX_BODY_BYTES, handler()).listen(Endpoint(HOST, 0))
 
     private fun place(from: Int, to: String, handler: RequestHandler) = listen { network.link(name(from), to, handler) }
 
@@ -154,11 +156,11 @@
 
     /** The state service's budgets grow with the machines, as they do at the operators' sites. */
     private fun deployment(): String {
-        val growth = maxOf(1.0, options.workers / USUAL_WORKERS)
+        val growth = maxOf(1.0, options.workers / REFERENCE_WORKERS)
         return DEPLOYMENT
             .replace("TEAM_CPUS", "$teamCpus")
-            .replace("STATE_RPS", "${STATE_RPS * growth}")
-            .replace("STATE_WRITE_RPS", "${STATE_WRITE_RPS * growth}")
+            .replace("STATE_RPS", "${STATE_REQUESTS_PER_S * growth}")
+            .replace("STATE_WRITE_RPS", "${STATE_WRITES_PER_S * growth}")
     }
 
     private fun zoneOf(node: Int) = SimSite.ZONES[node % SimSite.ZONES.size]
@@ -178,19 +180,9 @@
             val node = clients.indexOf(to)
             http.call(to, Request(request.method, request.path, addressed(request.body, slot.endpoints[node])), timeout, done)
         }
-        val worker = StandInWorker(
-            loop,
-            network.caller(machine.name, caller, ::nameOf),
-            world,
-            WorkerSite(HEARTBEAT_S, LEASE_S, (0 until options.nodes).map { MemberId(name(it)) to clients[it] }),
-            machine.name,
-            NOWHERE,
-            machine.type.name,
-            machine.zone,
-            machine.spot,
-            machine.type.cpus,
-            fetchGbPerSecond = FETCH_GB_PER_S,
-        )
+        val host = WorkerHost(loop, network.caller(machine.name, caller, ::nameOf), world)
+        val site = WorkerSite(HEARTBEAT_S, LEASE_S, (0 until options.nodes).map { MemberId(name(it)) to clients[it] })
+        val worker = workerOf(machine, host, site, NOWHERE, FETCH_GB_PER_S)
         slot.worker = worker
         workers[machine.name] = worker
         worker.start()
@@ -218,7 +210,7 @@
     // ---- controllers ----
 
     /** Who leads, by the state service's own records. */
-    fun leader(): Int? = state.text(Keys.LEADER)?.let { record -> (0 until options.nodes).firstOrNull { "\"${name(it)}\"" in record } }
+    fun leader(): Int? = state.leaderAmong((0 until options.nodes).map(::name))
 
     fun crash(node: Int, backAfterMs: Int) {
         controllers[node].kill()
@@ -226,7 +218,7 @@
     }
 
     /** Restarts controllers that ended though nobody ended them, as the platform would. */
-    fun restartEnded() = controllers.filter { it.noteOwnEnd() }.forEach { loop.after(OWN_END_PAUSE) { it.start() } }
+    fun restartEnded() = controllers.filter { it.noteOwnEnd() }.forEach { loop.after(RESTART_DELAY) { it.start() } }
 
     fun ask(node: Int, request: Request, done: (Reply?) -> Unit) = usersCaller.call(clients[node], request, USER_TIMEOUT, done)
 
@@ -241,27 +233,27 @@
         const val CANCEL_S = 16.0
         private const val HOST = "127.0.0.1"
         private val NOWHERE = Endpoint(HOST, 1)
-        private const val MS = 1000.0
-        private const val CPUS = 16.0
-        private const val TEAM_PART = 0.8
+        private const val MS_PER_S = 1000.0
+        private const val MACHINE_CPUS = 16.0
+        private const val TEAM_CPU_SHARE = 0.8
         private const val BOOT_S = 1.5
-        private const val CLOUD_RPS = 6.0
-        private const val USUAL_WORKERS = 20.0
-        private const val STATE_RPS = 200.0
-        private const val STATE_WRITE_RPS = 50.0
+        private const val CLOUD_REQUESTS_PER_S = 6.0
+        private const val REFERENCE_WORKERS = 20.0
+        private const val STATE_REQUESTS_PER_S = 200.0
+        private const val STATE_WRITES_PER_S = 50.0
         private const val FETCH_GB_PER_S = 3.0
         private const val MIN_WORK_S = 0.5
-        private const val WORK_S = 8.0
-        private const val SPARE_PART = 4
-        private const val CONNECTIONS = 4_000
-        private const val MAX_BODY = 16 * 1024 * 1024
-        private const val MAX_TURN_S = 30L
+        private const val WORK_RANGE_S = 8.0
+        private const val SPARE_SLOTS_ONE_IN = 4
+        private const val MAX_CONNECTIONS = 4_000
+        private const val MAX_BODY_BYTES = 16 * 1024 * 1024
+        private const val LOOP_TIMEOUT_S = 30L
         private val PEER_TIMEOUT = 5.seconds
         private val USER_TIMEOUT = 5.seconds
-        private val OWN_END_PAUSE = 1.seconds
+        private val RESTART_DELAY = 1.seconds
         private const val DEPLOYMENT = """{"zones":["north","south"],"teams":[{"name":"team","cpus":16.0,"cpus_max":TEAM_CPUS,"gpus":0.0,
             "gpus_max":0.0}],"workers":{"report_s":$HEARTBEAT_S,"lease_s":$LEASE_S,"cancel_s":$CANCEL_S},"state":{"rps":STATE_RPS,
-            "write_rps":STATE_WRITE_RPS,"value_kb":4.0,"txn_ops":12},"cloud":{"rps":$CLOUD_RPS,"list_lag_s":0.5},
+            "write_rps":STATE_WRITE_RPS,"value_kb":4.0,"txn_ops":12},"cloud":{"rps":$CLOUD_REQUESTS_PER_S,"list_lag_s":0.5},
             "resources":{"fd_limit":1500}}"""
 
         /** Below the ports that the system gives out by itself, so that nobody else is given one before its controller listens there. */
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -25,7 +25,7 @@
         if (!submitting) return
         submit()
         if (random.nextInt(ODD_ONE_IN) == 0) sendOdd()
-        val interval = maxOf(MIN_INTERVAL_MS, USUAL_INTERVAL_MS * USUAL_WORKERS / site.options.workers)
+        val interval = maxOf(MIN_INTERVAL_MS, USUAL_INTERVAL_MS * REFERENCE_WORKERS / site.options.workers)
         site.loop.after(interval.milliseconds) { submitNext() }
     }
 
@@ -44,7 +44,7 @@
         }
         val most = 6 + site.options.workers / 10
         val spec = SimSite.job(number, tasks = 1 + random.nextInt(if (service) 3 else most), cpus = 2.0, service = service, etaS = 5.0)
-        referee.jobs[spec.id] = SoakReferee.SeenJob(spec, dependencies)
+        referee.jobs[spec.id] = SoakReferee.ObservedJob(spec, dependencies)
         send(spec.id)
         if (random.nextInt(CANCEL_ONE_IN) == 0) site.loop.after(random.nextInt(LATEST_CANCEL_MS).milliseconds) { cancel(spec.id) }
     }
@@ -128,7 +128,7 @@
 
     private companion object {
         const val USUAL_INTERVAL_MS = 400
-        const val USUAL_WORKERS = 12
+        const val REFERENCE_WORKERS = 12
         const val MIN_INTERVAL_MS = 120
         const val SERVICE_ONE_IN = 12
         const val CANCEL_ONE_IN = 5
--- a/src/test/kotlin/copperglade/standin/LocalSite.kt
+++ b/src/test/kotlin/copperglade/standin/LocalSite.kt
@@ -51,14 +51,14 @@
     private fun member(node: Int) = MemberId("local-$node")
 
     fun start() {
-        NettyHttpServer(loop, SOCKETS, handler = rememberingJobs(state)).listen(STATE)
-        NettyHttpServer(loop, SOCKETS, handler = cloud).listen(CLOUD)
+        NettyHttpServer(loop, MAX_CONNECTIONS, handler = recordingJobSpecs(state)).listen(STATE)
+        NettyHttpServer(loop, MAX_CONNECTIONS, handler = cloud).listen(CLOUD)
         repeat(NODES) { ControllerLauncher.start(settings(it), OperatorSettings()) }
         println("controllers: ${(0 until NODES).joinToString { "http://${client(it)}" }}")
     }
 
     /** Users upload a job's description to where workers find it; here it is read off the accepted record. */
-    private fun rememberingJobs(next: RequestHandler) = RequestHandler { request, responder ->
+    private fun recordingJobSpecs(next: RequestHandler) = RequestHandler { request, responder ->
         if (request.path == "/multi") {
             Json.read(request.body)?.get("writes")?.forEach { write ->
                 val job = JobSpecCodec.parse(write.get("data")?.get("spec")) as? ParsedSubmission.Valid
@@ -71,22 +71,10 @@
     private fun boot(machine: StandInCloud.Machine) {
         val endpoint = Endpoint(HOST, nextPort++)
         val site = WorkerSite(HEARTBEAT_S, LEASE_S, (0 until NODES).map { member(it) to client(it) })
-        val worker = StandInWorker(
-            loop,
-            http,
-            world,
-            site,
-            machine.name,
-            endpoint,
-            machine.type.name,
-            machine.zone,
-            machine.spot,
-            machine.type.cpus,
-            fetchGbPerSecond = 0.5,
-        )
+        val worker = workerOf(machine, WorkerHost(loop, http, world), site, endpoint, fetchGbPerSecond = 0.5)
         workers[machine.name] = worker
         loop.after(Duration.ZERO) { worker.start() }
-        Thread { NettyHttpServer(loop, SOCKETS, handler = worker).listen(endpoint) }.start()
+        Thread { NettyHttpServer(loop, MAX_CONNECTIONS, handler = worker).listen(endpoint) }.start()
     }
 
     private fun settings(node: Int) = PlatformSettings(
@@ -109,13 +97,13 @@
         transactionWrites = 12,
         cloudRequestsPerSecond = 6.0,
         listLagSeconds = 1.0,
-        fileDescriptorLimit = SOCKETS,
+        fileDescriptorLimit = MAX_CONNECTIONS,
     )
 
     private companion object {
         const val HOST = "127.0.0.1"
         const val NODES = 3
-        const val SOCKETS = 500
+        const val MAX_CONNECTIONS = 500
         const val CLIENT_PORT = 18080
         const val CLUSTER_PORT = 18180
         const val FIRST_WORKER_PORT = 18300
--- a/src/test/kotlin/copperglade/standin/StandInState.kt
+++ b/src/test/kotlin/copperglade/standin/StandInState.kt
@@ -69,7 +69,7 @@
     var reads = 0
         private set
 
-    /** Requests that met an outage. */
+    /** Requests that were refused in an outage. */
     var refusedInOutage = 0
         private set
 
@@ -86,7 +86,7 @@
             if (!on) leases.values.forEach { it.until = loop.now() + it.ttlMs.milliseconds }
         }
 
-    /** Puts a value there as from an earlier day. */
+    /** Stores a value as if it had been written earlier. */
     fun put(key: String, value: ByteArray) {
         values[key] = Value(Json.read(value)!!, storeRevision, null)
     }
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -21,7 +21,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What a worker asks of the world around it, and tells it. */
+/** What a worker needs to know of its tasks, and whom it informs of them. */
 interface World {
     fun spec(task: TaskId): JobSpec?
 
@@ -87,7 +87,7 @@
     /** Tasks that have their image and have not ended. */
     fun running(): List<TaskId> = held.filter { it.onMachine }.map { it.task }
 
-    /** Tasks that were told to stop and are saving their progress. */
+    /** Tasks that were commanded to stop and are checkpointing. */
     fun saving(): List<TaskId> = held.filter { it.state == State.CHECKPOINTING }.map { it.task }
 
     /** CPUs that no task takes or waits for here. */
@@ -215,7 +215,7 @@
         changed = true
     }
 
-    /** A running task with checkpoints saves if it is given the time; a second halt without any ends the saving. */
+    /** A running task with checkpoints saves its progress if it is given the time; a second halt without any ends that. */
     private fun halt(heldTask: HeldTask, leewayS: Double) {
         val saves = heldTask.spec.checkpointIntervalSeconds > 0.0 && leewayS >= heldTask.spec.checkpointSeconds
         when {
