--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -14,7 +14,7 @@
  * Tracks start commands whose outcome is unknown. A late copy of one may still start its task, so the attempt stays bound to its
  * machine and is not removed there until agent epoch or fencing token have moved on.
  *
- * Guards against a task that is started once more by a delayed message, after it was given up or after it ended.
+ * Guards against a task that is started once more by a delayed message, after it was returned to the leader or after it ended.
  */
 class UnresolvedStarts(
     private val state: ShardState,
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `several mistaken jobs on one machine don't make it faulty`() {
+    fun `several failing jobs on one machine don't make it faulty`() {
         (1..3).forEach { job -> (1..3).forEach { fail(job, it) } }
         (1..3).forEach { assertTrue(failureEvidence.blamesJob(job(it))) }
         (1..3).forEach { assertFalse(failureEvidence.blamesMachine(machine(it))) }
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -23,8 +23,8 @@
             val now = MonotonicTime(it.toLong())
             when (random.nextInt(4)) {
                 0 -> {
-                    val first = if (random.nextBoolean()) RunState.WAITING else RunState.MISSING
-                    val run = Run(task, SimSite.job(1, tasks = 600), it, 0, first, now, table::onStateChanged)
+                    val initialState = if (random.nextBoolean()) RunState.WAITING else RunState.MISSING
+                    val run = Run(task, SimSite.job(1, tasks = 600), it, 0, initialState, now, table::onStateChanged)
                     all[task] = run
                     table.add(run)
                 }
@@ -34,9 +34,12 @@
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
             assertEquals(all.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.ofJob(task.job).toSet())
-            val place = TaskRange(task.job, task.index / Keys.TASKS_PER_RANGE)
-            val onPage = all.values.filterTo(HashSet()) { run -> TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE) == place }
-            assertEquals(onPage, table.inRange(place).toSet())
+            val range = TaskRange(task.job, task.index / Keys.TASKS_PER_RANGE)
+            val runsInRange = all.values.filterTo(HashSet()) { run ->
+                TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE) ==
+                    range
+            }
+            assertEquals(runsInRange, table.inRange(range).toSet())
             assertEquals(all[task], table[task])
         }
     }
