--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -121,7 +121,7 @@
         if (!log.isDebugEnabled) return
         val received = outcome as? ChangesOutcome.Received
         log.debug(
-            "changes_read from={} to={} changes={} took_ms={} knowledge_ms={} state={}",
+            "changes_read from={} to={} changes={} took_ms={} records_age_ms={} state={}",
             target.knownRevision,
             received?.storeRevision,
             received?.changes?.size,
--- a/src/test/kotlin/copperglade/architecture/ArchitecturePageTest.kt
+++ b/src/test/kotlin/copperglade/architecture/ArchitecturePageTest.kt
@@ -7,7 +7,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The names in `docs/architecture.md` are those of classes and packages that exist. */
+/** The names in `docs/architecture.md` and `docs/packages.md` are those of classes and packages that exist. */
 class ArchitecturePageTest {
     private val classes = ClassFileImporter().importPackages("copperglade")
     private val simpleNames = classes.mapTo(HashSet()) { it.simpleName }
@@ -36,6 +36,13 @@
         assertTrue(CLASS_NAME.findAll(page).count() > 30)
     }
 
+    @Test
+    fun `each package has its paragraph on the page of packages`() {
+        val paragraphs = Files.readAllLines(Path.of("docs/packages.md")).filter { it.startsWith(PACKAGE_HEADING) }
+        val production = ClassFileImporter().importPath(Path.of("target/classes")).mapTo(HashSet()) { it.packageName }
+        assertEquals(production, paragraphs.mapTo(HashSet()) { it.removePrefix(PACKAGE_HEADING) })
+    }
+
     private fun unknownNames(text: String): List<String> {
         val unknownClasses = CLASS_NAME.findAll(text).map { it.groupValues[1] }.filter { it !in simpleNames }
         val unknownPackages = PACKAGE_NAME.findAll(text).map { it.groupValues[1] }.filter { it !in packages }
@@ -43,6 +50,7 @@
     }
 
     private companion object {
+        const val PACKAGE_HEADING = "# Package "
         val CLASS_NAME = Regex("`([A-Z][a-z]+[A-Za-z]*)`")
         val PACKAGE_NAME = Regex("`(copperglade\\.[a-z]+)`")
     }
