--- a/src/main/kotlin/copperglade/app/ConnectionLimits.kt
+++ b/src/main/kotlin/copperglade/app/ConnectionLimits.kt
@@ -10,7 +10,7 @@
  * @property peers other controllers that call us.
  * @property workers workers that we call.
  */
-class ConnectionLimits private constructor(val users: Int, val peers: Int, val workers: Int) {
+internal class ConnectionLimits private constructor(val users: Int, val peers: Int, val workers: Int) {
     companion object {
         private const val USERS_PERCENT = 52
         private const val PEERS_PERCENT = 4
--- a/src/main/kotlin/copperglade/app/ControllerLauncher.kt
+++ b/src/main/kotlin/copperglade/app/ControllerLauncher.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration
 
 /** Starts a controller in this process, with its event loop, its client and its two servers. */
-object ControllerLauncher {
+internal object ControllerLauncher {
     /**
      * A controller's status describes each of its machines in some 150 bytes, so the 64 KiB of the protocol with users and workers would
      * be too little for it.
--- a/src/main/kotlin/copperglade/app/Heap.kt
+++ b/src/main/kotlin/copperglade/app/Heap.kt
@@ -1,7 +1,7 @@
 package copperglade.app
 
 /** The heap as the virtual machine has it. */
-interface Heap {
+internal interface Heap {
     /** Bytes that objects take, garbage among them. */
     val usedBytes: Long
 
@@ -13,7 +13,7 @@
 }
 
 /** The heap of this process. */
-object ProcessHeap : Heap {
+internal object ProcessHeap : Heap {
     override val usedBytes: Long get() = Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() }
     override val maxBytes: Long get() = Runtime.getRuntime().maxMemory()
 
--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -5,7 +5,7 @@
  * what the heap may really take follows from the machine's memory in the settings. By default, the collector would let garbage grow up
  * to `-Xmx` before it collects the old generation.
  */
-object HeapBudget {
+internal object HeapBudget {
     private const val BYTES_PER_MIB = 1024L * 1024
 
     /** Memory outside the heap: classes and compiled code up to their limits in the start command, stacks, buffers, the virtual machine itself. */
--- a/src/main/kotlin/copperglade/app/HeapMonitor.kt
+++ b/src/main/kotlin/copperglade/app/HeapMonitor.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Collects garbage before the heap outgrows its budget. */
-class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
+internal class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
     private val thresholdBytes = (budgetBytes * COLLECTION_THRESHOLD).toLong()
     private var collectedAt = loop.now() - COLLECTION_INTERVAL
     private var collectionInterval = COLLECTION_INTERVAL
--- /dev/null
+++ b/src/test/kotlin/copperglade/protocol/JsonTest.kt
@@ -0,0 +1,15 @@
+package copperglade.protocol
+
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class JsonTest {
+    @Test
+    fun `strict reading refuses other text than one value in UTF-8`() {
+        assertNull(Json.readStrict(byteArrayOf('"'.code.toByte(), 0xC3.toByte(), '"'.code.toByte())))
+        assertNull(Json.readStrict("{} {}".toByteArray()))
+        assertNull(Json.readStrict("{".toByteArray()))
+        assertTrue(Json.readStrict("{}".toByteArray())!!.isObject)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/copperglade/protocol/PeerMessageCodecTest.kt
@@ -0,0 +1,54 @@
+package copperglade.protocol
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Test
+import java.util.Random
+
+class PeerMessageCodecTest {
+    @Test
+    fun `cancellations survive their own wire form, and other bytes are none`() {
+        val sent = listOf(Cancellation(JobId("job-7"), Revision(12)), Cancellation(JobId("job-000412"), Revision(1L shl 40)))
+        val bytes = PeerMessageCodec.encodeCancellations(sent)
+        assertEquals(sent.map { it.job to it.revision }, PeerMessageCodec.decodeCancellations(bytes)!!.map { it.job to it.revision })
+        val random = Random(2)
+        repeat(2000) {
+            val broken = bytes.copyOf(random.nextInt(bytes.size))
+            if (broken.size > 1) broken[random.nextInt(broken.size)] = random.nextInt(256).toByte()
+            assertNull(PeerMessageCodec.decodeCancellations(broken))
+        }
+    }
+
+    @Test
+    fun `a peer status survives its buffer, and a torn one is refused`() {
+        val room = MachineAvailability(
+            MachineName("i-1"),
+            "a",
+            "z",
+            spot = true,
+            usable = true,
+            worthKeeping = true,
+            idleMillis = 5,
+            free = Resources(1.0, 2.0, 3.0),
+            preemptible = listOf(Resources.ZERO, Resources(4.0, 0.0, 1.0)),
+            images = listOf(ImageName("img-1")),
+        )
+        val status = PeerStatus(
+            MemberId("m"),
+            Incarnation(3),
+            Revision(9),
+            12,
+            isLeader = true,
+            listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(room))),
+            listOf(ShardName("z.1")),
+            listOf(MachineName("i-2")),
+            desiredWritesPerSecond = 12.5,
+        )
+        val bytes = PeerMessageCodec.encodeStatus(status)
+        val again = PeerMessageCodec.decodeStatus(bytes)!!
+        assertEquals(status.knownRevision, again.knownRevision)
+        assertEquals(room.preemptible, again.shards[0].machines[0].preemptible)
+        assertEquals(status.machinesToRetire, again.machinesToRetire)
+        for (cut in 0 until bytes.size) assertNull(PeerMessageCodec.decodeStatus(bytes.copyOf(cut)))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/copperglade/settings/PlatformSettingsParserTest.kt
@@ -0,0 +1,17 @@
+package copperglade.settings
+
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+class PlatformSettingsParserTest {
+    @Test
+    fun `a bad setting is named`() {
+        val fault =
+            assertThrows(
+                InvalidSettingException::class.java,
+            ) { PlatformSettingsParser.parse("""{"outside":{},"deployment":{}}""".toByteArray()) }
+        assertTrue(fault.message!!.contains("workers"))
+        assertThrows(InvalidSettingException::class.java) { PlatformSettingsParser.parse("no".toByteArray()) }
+    }
+}
--- a/src/test/kotlin/copperglade/transport/SocketsTest.kt
+++ b/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
@@ -33,7 +33,7 @@
 internal fun freeEndpoint(): Endpoint = freeEndpoints(1).single()
 
 /** Real sockets on loopback: a fleet's workers must not take the sockets that everything else needs. */
-class SocketsTest {
+class HttpConnectionsTest {
     @Test
     fun `more peers than sockets are all answered, and only so many connections stay`() {
         val loop = NettyEventLoop()
