--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -1,6 +1,9 @@
 package copperglade.controller
 
 import copperglade.fleet.Autoscaler
+import copperglade.fleet.AutoscalerSettings
+import copperglade.fleet.CloudMachines
+import copperglade.fleet.MachineReports
 import copperglade.fleet.MachineTypeCatalog
 import copperglade.jobs.CancellationBroadcast
 import copperglade.jobs.JobFinalizer
@@ -16,7 +19,15 @@
 import copperglade.observability.ActionAudit
 import copperglade.observability.EventLoopMetrics
 import copperglade.observability.RequestLatency
+import copperglade.ownership.HeartbeatRouter
+import copperglade.ownership.ImageRecordWriter
+import copperglade.ownership.MachineRetirement
+import copperglade.ownership.OwnedShards
+import copperglade.ownership.ShardOwnerFactory
 import copperglade.ownership.ShardOwnership
+import copperglade.ownership.ShardRecordWriter
+import copperglade.ownership.ShardTicker
+import copperglade.ownership.UnreachableWorkerWatch
 import copperglade.prediction.ProfileStore
 import copperglade.protocol.PeerMessageCodec
 import copperglade.safety.ActionGuard
@@ -35,7 +46,12 @@
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
-import copperglade.tasks.ShardContext
+import copperglade.tasks.ActionControl
+import copperglade.tasks.ClusterKnowledge
+import copperglade.tasks.FailingJobs
+import copperglade.tasks.FailureEvidence
+import copperglade.tasks.HeartbeatTimeouts
+import copperglade.tasks.ShardConnections
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 import copperglade.transport.RequestHandler
@@ -104,28 +120,26 @@
     private val cloudBudget =
         TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
     private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
-    private val shardOwnership: ShardOwnership = ShardOwnership(
-        ShardContext(
-            loop,
-            http,
-            replica,
-            membership,
-            types,
-            profiles,
-            operatorSettings,
-            settings.heartbeatIntervalSeconds,
-            settings.leaseSeconds,
-            metrics,
-            formerIncarnations,
-            guard,
-            audit,
-        ),
-        store,
-        shardMap,
-        settings.cloud,
-        cloudBudget,
-        peerStatuses::peersReachStateService,
+    private val failureEvidence = FailureEvidence(operatorSettings.failingJobMachineThreshold)
+    private val shardOwners = ShardOwnerFactory(
+        ShardConnections(loop, http, store),
+        replica,
+        ActionControl(membership, guard, audit),
+        ClusterKnowledge(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
+        formerIncarnations,
+        HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.leaseSeconds),
+        metrics,
+        operatorSettings.stragglerFactor,
     )
+    private val ownedShards = OwnedShards()
+    private val shardRecords = ShardRecordWriter(loop, store, replica, membership)
+    private val shardOwnership =
+        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwners, shardRecords, failureEvidence)
+    private val shardTicker = ShardTicker(loop, ownedShards, shardRecords, metrics)
+    private val unreachableWorkerWatch = UnreachableWorkerWatch(loop, store, ownedShards, shardOwnership)
+    private val imageRecords = ImageRecordWriter(loop, store, replica, membership, ownedShards)
+    private val heartbeatRouter = HeartbeatRouter(ownedShards, shardMap, replica, membership, peerStatuses::peersReachStateService)
+    private val machineRetirement = MachineRetirement(ownedShards, membership, http, settings.cloud, cloudBudget, loop)
     private val capacityTable = CapacityTable(replica, shardMap, peerStatuses::capacityStatusOf)
     private val schedulingPolicy = SchedulingPolicy(
         settings.teams,
@@ -134,20 +148,15 @@
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
+    private val cloudMachines = CloudMachines(loop, http, settings.cloud, cloudBudget, membership, types, settings.listLagSeconds)
     private val autoscaler = Autoscaler(
         loop,
-        http,
-        settings.cloud,
-        cloudBudget,
         replica,
         leadership,
-        membership,
         types,
-        settings.teams,
-        shardMap,
-        operatorSettings,
-        settings.listLagSeconds,
-        peerStatuses::statusOf,
+        cloudMachines,
+        MachineReports(replica, shardMap, peerStatuses::statusOf),
+        AutoscalerSettings(settings.teams, operatorSettings),
     )
     private val peerStatusExchange = PeerStatusExchange(
         loop,
@@ -156,7 +165,7 @@
         settings.member,
         settings.peers,
         peerStatuses,
-        PeerStatusComposer(loop, store, replica, membership, leadership, shardOwnership, shardAssigner, autoscaler),
+        PeerStatusComposer(loop, store, replica, membership, leadership, ownedShards, shardAssigner, autoscaler),
     )
     private val cancellationBroadcast = CancellationBroadcast(loop, http, settings.peers, replica, maxNoticeAge = stalenessLimit)
     private val jobService = JobService(loop, store, replica, types, settings.teams, cancellationBroadcast)
@@ -168,7 +177,7 @@
 
     /** Serves users, workers and health checks. */
     val clientHandler: RequestHandler =
-        metrics.measured(ClientRouter(replica, jobService, shardOwnership, healthCheck, submissionLatency, pollLatency))
+        metrics.measured(ClientRouter(replica, jobService, heartbeatRouter, healthCheck, submissionLatency, pollLatency))
 
     /** Serves the other controllers. */
     val clusterHandler: RequestHandler = metrics.measured(PeerRouter(leaseEndorsement, cancellationBroadcast, peerStatusExchange))
@@ -181,7 +190,9 @@
         membership.start()
         leaseEndorsement.start()
         leadership.start()
-        shardOwnership.start()
+        shardTicker.start()
+        unreachableWorkerWatch.start()
+        imageRecords.start()
         peerStatusExchange.start()
         autoscaler.start()
         submissionLatency.start()
@@ -201,7 +212,7 @@
         membership.onChange = shardOwnership::reconcile
         peerStatusExchange.onLeaderStatus = { status ->
             shardOwnership.release(status.shardsToRelease)
-            shardOwnership.retire(status.machinesToRetire)
+            machineRetirement.retire(status.machinesToRetire)
         }
     }
 
