--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -4,7 +4,7 @@
 import copperglade.membership.Leadership
 import copperglade.membership.Membership
 import copperglade.membership.PeerStatusSource
-import copperglade.ownership.ShardOwnership
+import copperglade.ownership.OwnedShards
 import copperglade.protocol.MemberId
 import copperglade.protocol.PeerStatus
 import copperglade.shards.ShardAssigner
@@ -19,11 +19,11 @@
     private val replica: Replica,
     private val membership: Membership,
     private val leadership: Leadership,
-    private val shardOwnership: ShardOwnership,
+    private val ownedShards: OwnedShards,
     private val shardAssigner: ShardAssigner,
     private val autoscaler: Autoscaler,
 ) : PeerStatusSource {
-    override val machineCount: Int get() = shardOwnership.machineCount
+    override val machineCount: Int get() = ownedShards.machineCount
 
     override val currentLeader: MemberId? get() = replica.leader?.value?.member
 
@@ -36,9 +36,9 @@
             knownRevision = replica.knownRevision,
             stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
             isLeader = leading,
-            shards = shardOwnership.shardCapacities(),
-            release = if (leading) shardAssigner.shardsToRelease else emptyList(),
-            retire = if (leading) autoscaler.machinesToRetire else emptyList(),
+            shards = ownedShards.capacities(),
+            shardsToRelease = if (leading) shardAssigner.shardsToRelease else emptyList(),
+            machinesToRetire = if (leading) autoscaler.machinesToRetire else emptyList(),
             desiredWritesPerSecond = store.desiredWritesPerSecond,
         )
     }
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -33,7 +33,7 @@
         private set
 
     /** Runs a scaling round at regular intervals while leading. Call it once. */
-    fun start() = loop.again({ ROUND_INTERVAL }) { if (leadership.leading && types.isLoaded) round() else reset() }
+    fun start() = loop.scheduleRepeating({ ROUND_INTERVAL }) { if (leadership.leading && types.isLoaded) round() else reset() }
 
     /** Forgets what a former leadership term has left, which is out of date. */
     private fun reset() {
@@ -66,7 +66,7 @@
      */
     private fun replacementSeconds(): Double {
         val specs = replica.jobs.values.mapNotNull { it.spec }
-        val imageGb = if (specs.isEmpty()) 0.0 else specs.sumOf { it.image.gb } / specs.size
+        val imageGb = if (specs.isEmpty()) 0.0 else specs.sumOf { it.image.sizeGb } / specs.size
         val slowestSeconds = types.all.maxOfOrNull { it.bootSeconds + imageGb / max(it.fetchGbPerSecond, MIN_FETCH_GB_PER_SECOND) }
         return slowestSeconds?.coerceAtLeast(MIN_REPLACEMENT_SECONDS) ?: MIN_REPLACEMENT_SECONDS
     }
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -50,7 +50,7 @@
         get() = peers.minOfOrNull { receivedUntil[it.member] ?: MonotonicTime.NEVER } ?: MonotonicTime.NEVER
 
     /** Asks all peers for endorsements at intervals, from now on, as long as the state service doesn't answer. */
-    fun start() = loop.again({ REQUEST_INTERVAL }) {
+    fun start() = loop.scheduleRepeating({ REQUEST_INTERVAL }) {
         if (store.isUnreachable() && ownershipIntact()) peers.filter { it.member !in requestsInFlight }.forEach(::request)
     }
 
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -33,7 +33,7 @@
     private var intervalStartedAt = loop.now()
 
     /** Logs at intervals, from now on. */
-    fun start() = loop.again({ INTERVAL }, ::report)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::report)
 
     /** Runs [action] and counts its time under [kind], also where it throws. Times of nested actions count under both kinds. */
     fun measure(kind: String, action: () -> Unit) {
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -14,7 +14,7 @@
     private var unavailableAnswers = 0
 
     /** Logs at intervals, from now on. */
-    fun start() = loop.again({ INTERVAL }, ::report)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::report)
 
     /** A responder that also records the time from now to the answer, which it passes on to [responder]. */
     fun timed(responder: Responder): Responder {
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -52,7 +52,7 @@
         private set
 
     /** Starts refreshing idle snapshots; [watch] has to be called after each load. */
-    fun start() = loop.again({ idleRefreshInterval }, ::refreshIfIdle)
+    fun start() = loop.scheduleRepeating({ idleRefreshInterval }, ::refreshIfIdle)
 
     /** An open watch doesn't say how old its silence is, so a read is sent after a while without one. */
     private fun refreshIfIdle() {
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -69,7 +69,7 @@
     fun start() {
         load(from = null, startRevision = null)
         reader.start()
-        loop.again({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
+        loop.scheduleRepeating({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
     }
 
     /** Calls back once every change made before this call is known, or at once where too many callers wait already. */
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -58,7 +58,7 @@
 
     private val failure = CompletableFuture<Throwable>()
     val loop = NettyEventLoop(FaultBarrier { failure.complete(it) })
-    private val http = NettyHttpClient(loop, heapBytes = ProcessHeap.maxBytes)
+    private val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
     val random = Random(seed)
     val network = SoakNetwork(loop, random)
     val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS).toLong(), teamCpus)
