--- a/src/main/kotlin/copperglade/app/HeapBudget.kt
+++ b/src/main/kotlin/copperglade/app/HeapBudget.kt
@@ -8,7 +8,7 @@
 internal object HeapBudget {
     private const val BYTES_PER_MIB = 1024L * 1024
 
-    /** Memory outside the heap: classes and compiled code up to their limits in the start command, stacks, buffers, the virtual machine itself. */
+    /** Memory outside the heap: classes and compiled code up to their limits in the start command, stacks, buffers, the JVM itself. */
     private const val NON_HEAP_MIB = 98
 
     /** Less can't hold a controller of any fleet. */
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -14,11 +14,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells the other controllers of cancellations that have just become durable, before the user is told. A shard owner that the
+ * Sends cancellations that have just become durable to the other controllers, before the user is told. A shard owner that the
  * state service refuses can then stop the tasks at once. Nothing relies on it: a controller that isn't reached is bound by the age
  * of what it knows.
  *
- * @param maxNoticeAge how long it is tried to tell a controller that doesn't answer.
+ * @param maxNoticeAge for how long a cancellation is sent again to a controller that doesn't answer.
  */
 class CancellationBroadcast(
     private val loop: EventLoop,
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Acts on cancellations that another controller tells of. */
+    /** Acts on cancellations that another controller has sent. */
     fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.applyRemoteCancellation(it.job, it.revision) }
 
     /** One message at a time to each controller; notices that come meanwhile go together with the next one. */
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -66,6 +66,6 @@
     /** The same job with another priority. */
     fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) this else copy(priority = priority)
 
-    /** The same job without the list of machine types, which nobody needs once nothing of the job is placed any more. */
+    /** The same job without the list of machine types, which isn't needed once none of its tasks is placed any more. */
     fun withoutTypes(): JobSpec = copy(types = null)
 }
--- a/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
@@ -3,7 +3,8 @@
 import okio.Buffer
 
 /**
- * Messages between controllers, in binary. Each begins with its version; a message of another version, or one that is cut off, decodes to null.
+ * Messages between controllers, in binary. Each begins with its version; a message of another version, or one that is cut off, decodes
+ * to null.
  */
 object PeerMessageCodec {
     /** Body: a status. */
@@ -22,23 +23,23 @@
     fun encodeStatus(status: PeerStatus): ByteArray {
         val out = Buffer()
         out.writeByte(STATUS_VERSION)
-        out.text(status.member.text)
+        out.writeText(status.member.text)
         out.writeLong(status.incarnation.number)
         out.writeLong(status.knownRevision.number)
         out.writeLong(status.stateSilentMillis)
-        out.flag(status.isLeader)
-        // Types, zones and images recur on hundreds of machines: they are written once and then by number.
-        val words = WordTable()
-        val capacities = Buffer()
-        capacities.items(status.shards) { shard ->
-            text(shard.shard.text)
+        out.writeFlag(status.isLeader)
+        // Types, zones and images recur on many machines: each is written once, ahead of the shards, and then by its index.
+        val strings = StringTable()
+        val shards = Buffer()
+        shards.writeItems(status.shards) { shard ->
+            writeText(shard.shard.text)
             writeLong(shard.fencingToken.number)
-            items(shard.machines) { machine(it, words) }
+            writeItems(shard.machines) { writeMachine(it, strings) }
         }
-        out.items(words.inOrder) { text(it) }
-        out.writeAll(capacities)
-        out.items(status.shardsToRelease) { text(it.text) }
-        out.items(status.machinesToRetire) { text(it.text) }
+        out.writeItems(strings.inOrder) { writeText(it) }
+        out.writeAll(shards)
+        out.writeItems(status.shardsToRelease) { writeText(it.text) }
+        out.writeItems(status.machinesToRetire) { writeText(it.text) }
         out.writeLong(status.desiredWritesPerSecond.toRawBits())
         return out.readByteArray()
     }
@@ -46,24 +47,25 @@
     /** The status, or null where the bytes are not one of this version. */
     fun decodeStatus(bytes: ByteArray): PeerStatus? = decoding {
         val source = Buffer().write(bytes)
-        if (source.readByte().toInt() != STATUS_VERSION) {
-            null
-        } else {
-            var words = emptyList<String>()
-            PeerStatus(
-                member = MemberId(source.text()),
-                incarnation = Incarnation(source.readLong()),
-                knownRevision = Revision(source.readLong()),
-                stateSilentMillis = source.readLong(),
-                isLeader = source.flag(),
-                shards = source.let {
-                    words = it.items { text() }
-                    it.items { ShardCapacity(ShardName(text()), FencingToken(readLong()), items { machine(words) }) }
-                },
-                shardsToRelease = source.items { ShardName(text()) },
-                machinesToRetire = source.items { MachineName(text()) },
-                desiredWritesPerSecond = Double.fromBits(source.readLong()),
-            )
+        if (source.readByte().toInt() == STATUS_VERSION) readStatus(source) else null
+    }
+
+    private fun readStatus(source: Buffer) = PeerStatus(
+        member = MemberId(source.readText()),
+        incarnation = Incarnation(source.readLong()),
+        knownRevision = Revision(source.readLong()),
+        stateSilentMillis = source.readLong(),
+        isLeader = source.readFlag(),
+        shards = readShards(source),
+        shardsToRelease = source.readItems { ShardName(readText()) },
+        machinesToRetire = source.readItems { MachineName(readText()) },
+        desiredWritesPerSecond = Double.fromBits(source.readLong()),
+    )
+
+    private fun readShards(source: Buffer): List<ShardCapacity> {
+        val strings = source.readItems { readText() }
+        return source.readItems {
+            ShardCapacity(ShardName(readText()), FencingToken(readLong()), readItems { readMachine(strings) })
         }
     }
 
@@ -71,8 +73,8 @@
     fun encodeCancellations(cancellations: List<Cancellation>): ByteArray {
         val out = Buffer()
         out.writeByte(CANCELLATIONS_VERSION)
-        out.items(cancellations) {
-            text(it.job.text)
+        out.writeItems(cancellations) {
+            writeText(it.job.text)
             writeLong(it.revision.number)
         }
         return out.readByteArray()
@@ -82,83 +84,83 @@
     fun decodeCancellations(bytes: ByteArray): List<Cancellation>? = decoding {
         val source = Buffer().write(bytes)
         require(source.readByte().toInt() == CANCELLATIONS_VERSION)
-        source.items { Cancellation(requireNotNull(JobId.parse(text())), Revision(readLong())) }
+        source.readItems { Cancellation(requireNotNull(JobId.parse(readText())), Revision(readLong())) }
     }
 
     /** What [decode] makes of a message, or null where it is no such message. */
     private fun <T : Any> decoding(decode: () -> T?): T? = Decoding.orNull("peer_message", decode)
 
-    /** Words by number, in order of their first use. */
-    private class WordTable {
-        private val numbers = LinkedHashMap<String, Int>()
-        val inOrder: List<String> get() = numbers.keys.toList()
+    /** The strings of a message by their index, in order of their first use. */
+    private class StringTable {
+        private val indices = LinkedHashMap<String, Int>()
+        val inOrder: List<String> get() = indices.keys.toList()
 
-        fun number(word: String): Int = numbers.getOrPut(word) { numbers.size }
+        fun indexOf(string: String): Int = indices.getOrPut(string) { indices.size }
     }
 
-    private fun Buffer.machine(machine: MachineAvailability, words: WordTable) {
-        text(machine.name.text)
-        writeInt(words.number(machine.type))
-        writeInt(words.number(machine.zone))
-        flag(machine.spot)
-        flag(machine.usable)
-        flag(machine.worthKeeping)
+    private fun Buffer.writeMachine(machine: MachineAvailability, strings: StringTable) {
+        writeText(machine.name.text)
+        writeInt(strings.indexOf(machine.type))
+        writeInt(strings.indexOf(machine.zone))
+        writeFlag(machine.spot)
+        writeFlag(machine.usable)
+        writeFlag(machine.worthKeeping)
         writeLong(machine.idleMillis)
-        resources(machine.free)
-        items(machine.preemptible) {
-            flag(it != Resources.ZERO)
-            if (it != Resources.ZERO) resources(it)
+        writeResources(machine.free)
+        writeItems(machine.preemptible) {
+            writeFlag(it != Resources.ZERO)
+            if (it != Resources.ZERO) writeResources(it)
         }
-        items(machine.images) { writeInt(words.number(it.text)) }
+        writeItems(machine.images) { writeInt(strings.indexOf(it.text)) }
     }
 
-    private fun Buffer.machine(words: List<String>): MachineAvailability {
-        fun word(): String = words.getOrNull(readInt()) ?: throw IllegalArgumentException("no such word")
+    private fun Buffer.readMachine(strings: List<String>): MachineAvailability {
+        fun readString(): String = strings.getOrNull(readInt()) ?: throw IllegalArgumentException("no such string")
         return MachineAvailability(
-            name = MachineName(text()),
-            type = word(),
-            zone = word(),
-            spot = flag(),
-            usable = flag(),
-            worthKeeping = flag(),
+            name = MachineName(readText()),
+            type = readString(),
+            zone = readString(),
+            spot = readFlag(),
+            usable = readFlag(),
+            worthKeeping = readFlag(),
             idleMillis = readLong(),
-            free = resources(),
-            preemptible = items { if (flag()) resources() else Resources.ZERO },
-            images = items { ImageName(word()) },
+            free = readResources(),
+            preemptible = readItems { if (readFlag()) readResources() else Resources.ZERO },
+            images = readItems { ImageName(readString()) },
         )
     }
 
-    private fun Buffer.resources(value: Resources) {
+    private fun Buffer.writeResources(value: Resources) {
         writeLong(value.cpus.toRawBits())
         writeLong(value.gpus.toRawBits())
         writeLong(value.memoryGb.toRawBits())
     }
 
-    private fun Buffer.resources() =
+    private fun Buffer.readResources() =
         Resources(Double.fromBits(readLong()), Double.fromBits(readLong()), Double.fromBits(readLong()))
 
-    private fun Buffer.text(value: String) {
+    private fun Buffer.writeText(value: String) {
         val bytes = value.encodeToByteArray()
         writeInt(bytes.size)
         write(bytes)
     }
 
-    private fun Buffer.text(): String {
+    private fun Buffer.readText(): String {
         val size = readInt()
         require(size in 0..MAX_LENGTH)
         return readUtf8(size.toLong())
     }
 
-    private fun Buffer.flag(value: Boolean) = writeByte(if (value) 1 else 0)
+    private fun Buffer.writeFlag(value: Boolean) = writeByte(if (value) 1 else 0)
 
-    private fun Buffer.flag(): Boolean = readByte().toInt() != 0
+    private fun Buffer.readFlag(): Boolean = readByte().toInt() != 0
 
-    private fun <T> Buffer.items(items: List<T>, write: Buffer.(T) -> Unit) {
+    private fun <T> Buffer.writeItems(items: List<T>, write: Buffer.(T) -> Unit) {
         writeInt(items.size)
         items.forEach { write(it) }
     }
 
-    private fun <T> Buffer.items(read: Buffer.() -> T): List<T> {
+    private fun <T> Buffer.readItems(read: Buffer.() -> T): List<T> {
         val size = readInt()
         require(size in 0..MAX_LENGTH)
         return List(size) { read() }
--- a/src/main/kotlin/copperglade/protocol/PeerStatus.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerStatus.kt
@@ -24,12 +24,12 @@
     fun withoutImages() = copy(images = emptyList())
 }
 
-/** The capacity of a shard's machines, under the fencing token of the owner that tells of it. */
+/** The capacity of a shard's machines, under the fencing token of the owner that sends it. */
 class ShardCapacity(val shard: ShardName, val fencingToken: FencingToken, val machines: List<MachineAvailability>)
 
 /**
- * What a controller tells the others several times a second. Only hints: whoever acts on one checks it against the
- * state service, and whoever gets none goes without.
+ * What a controller sends the others several times a second. These are hints: a controller that acts on one checks it against the
+ * state service, and nothing relies on receiving one.
  *
  * @property knownRevision everything up to this revision of the state service is in the status.
  * @property stateSilentMillis for how long the state service has not answered this controller.
--- a/src/main/kotlin/copperglade/transport/ClientConnectionPool.kt
+++ b/src/main/kotlin/copperglade/transport/ClientConnectionPool.kt
@@ -7,7 +7,7 @@
     private val byEndpoint = HashMap<Endpoint, ArrayDeque<ClientConnection>>()
     private val byIdleTime = IdleConnections<ClientConnection>()
 
-    /** Keeps [connection] for reuse, and closes those that nobody has used for long. */
+    /** Keeps [connection] for reuse, and closes those that have been idle for too long. */
     fun add(connection: ClientConnection) {
         byEndpoint.getOrPut(connection.endpoint) { ArrayDeque() }.addLast(connection)
         byIdleTime.add(connection)
@@ -31,9 +31,9 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest, except to [keptEndpoints]; false where there is none. */
-    fun closeLongestIdle(keptEndpoints: Set<Endpoint>): Boolean {
-        closeNow(byIdleTime.longestIdle { it.endpoint !in keptEndpoints } ?: return false)
+    /** Closes the connection that has been idle for longest, except to [exceptTo]; false where there is none. */
+    fun closeLongestIdle(exceptTo: Set<Endpoint>): Boolean {
+        closeNow(byIdleTime.longestIdle { it.endpoint !in exceptTo } ?: return false)
         return true
     }
 
