--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -235,18 +235,18 @@
 
     private fun begin(task: TaskId, attempt: Long) {
         val spec = world.spec(task) ?: return
-        val readFresh = HeldTask(task, attempt, spec)
+        val newTask = HeldTask(task, attempt, spec)
         val busy = held.any { it.task == task && it.state != State.EXITED }
         val used = held.filter { it.state != State.EXITED }.sumOf { it.spec.request.cpus }
-        held += readFresh
+        held += newTask
         when {
-            busy -> exit(readFresh, "busy")
-            used + spec.request.cpus > cpus + 1e-6 -> exit(readFresh, "full")
-            spec.image.name.text in images -> run(readFresh)
+            busy -> exit(newTask, "busy")
+            used + spec.request.cpus > cpus + 1e-6 -> exit(newTask, "full")
+            spec.image.name.text in images -> run(newTask)
             else -> loop.after((spec.image.sizeGb / fetchGbPerSecond).seconds) {
-                if (readFresh in held && readFresh.state == State.FETCHING) {
+                if (newTask in held && newTask.state == State.FETCHING) {
                     images += spec.image.name.text
-                    run(readFresh)
+                    run(newTask)
                 }
             }
         }
