--- /dev/null
+++ b/src/test/kotlin/copperglade/sim/DigestScenarios.kt
@@ -0,0 +1,248 @@
+package copperglade.sim
+
+import copperglade.protocol.JobId
+import copperglade.protocol.TeamName
+import copperglade.settings.OperatorSettings
+import copperglade.settings.Team
+
+/** A run of a simulated site that depends on the seed alone. Nothing is asserted: only the messages count. */
+class DigestScenario(val name: String, val play: (seed: Long, observer: WireObserver) -> Unit)
+
+/** The scenarios in the order in which they are printed. */
+val digestScenarios = listOf(
+    DigestScenario("print-shop", ::printShop),
+    DigestScenario("parcel-hub", ::parcelHub),
+    DigestScenario("controller-faults", ::controllerFaults),
+    DigestScenario("state-faults", ::stateFaults),
+    DigestScenario("network-faults", ::networkFaults),
+    DigestScenario("machine-faults", ::machineFaults),
+    DigestScenario("mixed-faults", ::mixedFaults),
+    DigestScenario("pipelines", ::cancelledPipelines),
+    DigestScenario("failing-jobs", ::failingJobs),
+    DigestScenario("preemption", ::preemption),
+    DigestScenario("stragglers", ::stragglers),
+)
+
+// ---- scenarios ----
+
+/** Three controllers, two guaranteed teams, arrays and services, no faults. */
+private fun printShop(seed: Long, observer: WireObserver) {
+    val lender = TeamName("lender")
+    val scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 32.0)
+    val site = SimSite(Simulation(seed), scale = scale, otherTeam = Team(lender, 32.0, 100.0, 0.0, 0.0), wireObserver = observer)
+    site.services(3)
+    site.variedArrays(jobs = 16)
+    site.after(30.0) { site.submit(SimSite.job(201, tasks = 16, team = lender)) { 20.0 } }
+    repeat(20) { number -> site.after(number * 3.0) { site.oddRequest() } }
+    site.run(60.0)
+    site.recover(60.0)
+}
+
+/** Five controllers, pipelines, a zone that is cut off, and spot machines that are taken away. */
+private fun parcelHub(seed: Long, observer: WireObserver) {
+    val scale =
+        SiteScale(
+            machinesPerZone = 6,
+            heartbeatIntervalSeconds = 4.0,
+            leaseSeconds = 22.0,
+            cancelSeconds = 42.0,
+            valueKb = 32.0,
+            teamCpus = 180.0,
+        )
+    val site = SimSite(Simulation(seed), scale = scale, nodes = 5, wireObserver = observer)
+    site.services(5)
+    site.variedArrays(jobs = 16)
+    site.pipelines(jobs = 8)
+    site.run(25.0)
+    SiteFault.ZONE_CUT.begin(site, 12.0)
+    repeat(3) { number -> site.after(number * 8.0) { SiteFault.MACHINE_KILLED.begin(site, 0.0) } }
+    site.run(40.0)
+    site.recover(60.0)
+}
+
+private fun controllerFaults(seed: Long, observer: WireObserver) = faultyScenario(
+    seed,
+    observer,
+    faults = listOf(
+        SiteFault.LEADER_CRASH,
+        SiteFault.LEADER_REFUSED,
+        SiteFault.CONTROLLER_FROZEN,
+        SiteFault.CONTROLLER_ISOLATED,
+        SiteFault.ALL_CONTROLLERS_CRASH,
+    ),
+)
+
+private fun stateFaults(seed: Long, observer: WireObserver) =
+    faultyScenario(
+        seed,
+        observer,
+        listOf(SiteFault.STATE_OUTAGE, SiteFault.LATE_WRITES, SiteFault.LEADER_REFUSED, SiteFault.MESSAGES_DELAYED),
+    )
+
+private fun networkFaults(seed: Long, observer: WireObserver) = faultyScenario(
+    seed,
+    observer,
+    faults = listOf(
+        SiteFault.PEERS_CUT,
+        SiteFault.CONTROLLER_CUT_FROM_WORKERS,
+        SiteFault.COMMANDS_LOST,
+        SiteFault.MACHINES_MUTED,
+        SiteFault.HEARTBEATS_HELD_BACK,
+        SiteFault.LATE_HEARTBEAT_COPIES,
+    ),
+    nodes = 5,
+)
+
+private fun machineFaults(seed: Long, observer: WireObserver) = faultyScenario(
+    seed,
+    observer,
+    faults = listOf(SiteFault.MACHINE_KILLED, SiteFault.MACHINES_HANG, SiteFault.MACHINE_REBOOTED, SiteFault.MACHINES_MUTED),
+    prepare = { bootTimeFactor = ::bootFactorOf },
+)
+
+/** Two faults of any kind at a time. */
+private fun mixedFaults(seed: Long, observer: WireObserver) =
+    faultyScenario(seed, observer, SiteFault.entries, nodes = if (seed % 2 == 0L) 5 else 3, atOnce = 2)
+
+/** Each shape of pipeline, with one job cancelled while it waits or runs, as the seed has it. */
+private fun cancelledPipelines(seed: Long, observer: WireObserver) {
+    for (shape in PipelineShape.entries) {
+        val site = SimSite(Simulation(seed + shape.ordinal * SEEDS_APART), endedBefore = 2, wireObserver = observer)
+        shape.jobs.forEach { number ->
+            val dependencies = shape.dependencies[number].orEmpty().map(::id) + JobId("job-${SimSite.FIRST_ENDED_JOB}")
+            site.submit(SimSite.job(number, tasks = 2, etaS = 8.0), dependencies) { 8.0 }
+        }
+        site.after(12.0 + site.sim.random.nextDouble() * 20) {
+            site.cancel(
+                shape.jobs
+                    .shuffled(site.sim.random)
+                    .first()
+                    .let(::id),
+            )
+        }
+        site.run(50.0)
+        SiteFault.LEADER_CRASH.begin(site, 0.0)
+        site.recover(60.0)
+    }
+}
+
+/** Jobs that fail on every machine, one machine on which all fails, and cancellations in the end. */
+private fun failingJobs(seed: Long, observer: WireObserver) {
+    val failing = (301..304).map(::id)
+    val scale = SiteScale(machinesPerZone = 4, teamCpus = 400.0, guaranteedCpus = 200.0)
+    val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
+    site.fails = { task, machine -> task.job in failing || machine == FAULTY_MACHINE }
+    site.services(2)
+    site.arrays(8)
+    failing.indices.forEach { number ->
+        site.after(6.0 + number * 2.5) { site.submit(SimSite.job(301 + number, tasks = 6)) { 8.0 } }
+    }
+    site.run(60.0)
+    failing.forEach(site::cancel)
+    site.recover(60.0)
+}
+
+/** Services and normal work preempt work that checkpoints first, a part of which is cancelled meanwhile. */
+private fun preemption(seed: Long, observer: WireObserver) {
+    val scale = SiteScale(machinesPerZone = 2, teamCpus = 200.0, guaranteedCpus = 200.0)
+    val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
+    repeat(2) { number ->
+        val spec = SimSite.job(
+            number + 1,
+            tasks = 16,
+            cpus = 4.0,
+            etaS = 120.0,
+            saveS = 4.0 + number * 8.0,
+            priority = "best_effort",
+        )
+        site.submit(spec) { 120.0 }
+    }
+    site.run(45.0)
+    site.submit(SimSite.job(3, tasks = 10, cpus = 4.0)) { 20.0 }
+    site.submit(SimSite.job(4, tasks = 3, cpus = 8.0, service = true, spot = false)) { null }
+    site.after(4.0 + site.sim.random.nextDouble() * 6) { site.cancel(id(2)) }
+    site.run(60.0)
+    site.recover(120.0)
+}
+
+/** One machine is slow. Short tasks show that it is, then the longer ones on it are worth a restart on another of its shard. */
+private fun stragglers(seed: Long, observer: WireObserver) {
+    val scale = SiteScale(machinesPerZone = 8, teamCpus = 180.0, guaranteedCpus = 180.0)
+    val operatorSettings = OperatorSettings(shardsPerZone = 1)
+    val site = SimSite(Simulation(seed), operatorSettings, scale, slowMachine = SLOW_MACHINE, wireObserver = observer)
+    repeat(12) { number ->
+        val workS = if (number < 8) 4.0 else 30.0
+        site.after(number * 20.0) {
+            site.submit(SimSite.job(number + 1, tasks = 50, zone = SimSite.ZONES[0], spot = false, etaS = workS)) { workS }
+        }
+    }
+    site.run(280.0)
+    site.recover(60.0)
+}
+
+// ---- shared steps ----
+
+/** Services, arrays and pipelines, and one time after the other [atOnce] of the [faults], each of them at least once in turn. */
+private fun faultyScenario(
+    seed: Long,
+    observer: WireObserver,
+    faults: List<SiteFault>,
+    nodes: Int = 3,
+    atOnce: Int = 1,
+    prepare: SimSite.() -> Unit = {},
+) {
+    val scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0)
+    val site = SimSite(Simulation(seed), scale = scale, nodes = nodes, wireObserver = observer)
+    val random = site.sim.random
+    site.prepare()
+    site.services(4)
+    site.variedArrays(jobs = 20)
+    site.pipelines(jobs = 8)
+    site.run(20.0)
+    for (chosen in faults.shuffled(random).chunked(atOnce)) {
+        chosen.forEach { it.begin(site, 2.0 + random.nextDouble() * 12.0) }
+        site.after(random.nextDouble() * 8.0) { site.cancel(id(1 + random.nextInt(20))) }
+        site.run(15.0)
+    }
+    site.network.duplicateOneIn = 0
+    site.recover(90.0)
+}
+
+/** Arrays from `job-1` on with various sizes, places and run times. */
+private fun SimSite.variedArrays(jobs: Int) = repeat(jobs) { number ->
+    after(number * 4.0) {
+        val spec = SimSite.job(
+            number + 1,
+            tasks = 1 + sim.random.nextInt(8),
+            cpus = if (number % 4 == 0) 6.0 else 2.0,
+            oneZone = number % 6 == 1,
+            spread = number % 6 == 2,
+            spot = number % 5 != 0,
+            image = 1 + number % 3,
+            zone = SimSite.ZONES[number % 2].takeIf { number % 6 == 3 },
+            etaS = 12.0,
+        )
+        val work = HashMap<Int, Double>()
+        submit(spec) { work.getOrPut(it) { 3.0 + sim.random.nextDouble() * 20 } }
+    }
+}
+
+/** Jobs from `job-101` on that await one or two of `job-1` to `job-8`, and mostly the one of their own kind before them. */
+private fun SimSite.pipelines(jobs: Int) = repeat(jobs) { number ->
+    after(number * 6.0 + 30.0) {
+        val earlier = (1..8).shuffled(sim.random).take(1 + sim.random.nextInt(2)).map(::id)
+        val previous = if (number % 3 > 0) listOf(id(100 + number)) else emptyList()
+        submit(SimSite.job(101 + number, tasks = 1 + sim.random.nextInt(4)), earlier + previous) { 6.0 }
+    }
+}
+
+/** Of the first machines one is late and one never comes up. */
+private fun bootFactorOf(machine: Int): Double? = when (machine) {
+    2 -> null
+    3 -> 5.0
+    else -> 1.0
+}
+
+private const val SEEDS_APART = 1000
+private const val FAULTY_MACHINE = "i-000002"
+private const val SLOW_MACHINE = "i-000002"
