--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -28,7 +28,7 @@
 
 /**
  * Runs simulated scenarios at the commit that is checked out and keeps a small set of what its controllers write to the state
- * service and send to each other, as the files that `CompatibilityTest` reads. It is not a test and runs in no build;
+ * service and send to each other, as the files that the tests of this package read. It is not a test and runs in no build;
  * `src/test/resources/production/README.md` tells when and how to run it. The only argument is the directory to write to.
  */
 fun main(arguments: Array<String>) {
