--- a/src/main/kotlin/copperglade/agents/MachineHistory.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHistory.kt
@@ -8,7 +8,7 @@
 class MachineHistory(private val profiles: ProfileStore, private val failureEvidence: FailureEvidence) {
     /** Drops what is remembered about [machine], which is gone. */
     fun forget(machine: MachineName) {
-        profiles.forgetMachine(machine)
+        profiles.removeMachine(machine)
         failureEvidence.forgetMachine(machine)
     }
 }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -34,9 +34,9 @@
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
 import copperglade.scheduling.CapacityTable
-import copperglade.scheduling.FairShare
 import copperglade.scheduling.Scheduler
 import copperglade.scheduling.SchedulingPolicy
+import copperglade.scheduling.StarvationPrevention
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
@@ -144,7 +144,7 @@
     private val schedulingPolicy = SchedulingPolicy(
         settings.teams,
         settings.objectives,
-        FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
+        StarvationPrevention(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -92,7 +92,7 @@
         if (now < nextSweepAt) return
         nextSweepAt = now + SWEEP_INTERVAL
         metrics.measure("shard_sweep") { sweep(now) }
-        if (membership.mayAct) metrics.measure("shard_stragglers") { scheduling.stragglers.restartWorthwhile(now) }
+        if (membership.mayAct) metrics.measure("shard_stragglers") { scheduling.stragglers.restartStragglers(now) }
     }
 
     /** Finds what only the passing of time has changed; what a heartbeat or a record changes is acted on at once. */
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -19,14 +19,14 @@
     fun mayPreemptFor(run: Run): Boolean
 
     /** Whether the run's job is kept from [machine] because it has just failed there. */
-    fun isSeparated(run: Run, machine: Machine): Boolean
+    fun mustAvoid(run: Run, machine: Machine): Boolean
 
     fun start(run: Run, machine: Machine)
 
     fun preempt(victim: Run)
 
     /** Gives [run] back to the leader, which may assign it to another shard. */
-    fun giveBack(run: Run)
+    fun returnToLeader(run: Run)
 }
 
 /**
@@ -72,7 +72,7 @@
     }
 
     private fun place(run: Run, round: Round) {
-        if (run.task.job in round.unplaceableJobs) return giveBackIfExpired(run, round)
+        if (run.task.job in round.unplaceableJobs) return returnToLeaderIfExpired(run, round)
         val selected = select(run, round.candidates)
         if (selected != null) return bind(run, selected)
         // Victims that write a checkpoint take a while to stop.
@@ -91,7 +91,7 @@
         if (round.jobsWithReservation.add(run.task.job)) reserveLargestMachine(run, round)
         // A run that avoids machines where it has failed says nothing about the other runs of its job.
         if (run.avoidedMachines.isEmpty()) round.unplaceableJobs += run.task.job
-        giveBackIfExpired(run, round)
+        returnToLeaderIfExpired(run, round)
     }
 
     /** Keeps the allowed machine with the most free CPUs from smaller tasks, which would take all capacity that is freed. */
@@ -102,8 +102,8 @@
             ?.free = Resources.ZERO
     }
 
-    private fun giveBackIfExpired(run: Run, round: Round) {
-        if (round.now >= run.stateSince + MAX_WAIT_FOR_CAPACITY) actions.giveBack(run)
+    private fun returnToLeaderIfExpired(run: Run, round: Round) {
+        if (round.now >= run.stateSince + MAX_WAIT_FOR_CAPACITY) actions.returnToLeader(run)
     }
 
     private fun isAllowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
@@ -112,7 +112,7 @@
     private fun select(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
             run.spec.request.fitsIn(it.free) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines &&
-                !actions.isSeparated(run, it.machine) && it.machine.reportedTasks.none { reported -> reported.task == run.task }
+                !actions.mustAvoid(run, it.machine) && it.machine.reportedTasks.none { reported -> reported.task == run.task }
         }.minWithOrNull(
             compareBy<Candidate> { if (it.machine.name == run.restartTarget) 0 else 1 }
                 .thenBy { cost(run.spec, it, preempts = false) }
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -28,43 +28,43 @@
     private val eligibility: StartEligibility,
     types: MachineTypeCatalog,
 ) {
-    private val machinesWithStarts = LinkedHashSet<Machine>()
+    private val machinesWithPendingStarts = LinkedHashSet<Machine>()
     private val placer = Placer(types, state::requestOf, Actions())
 
     /** Starts waiting runs that fit. Runs that have found no capacity for too long are given back to the leader. */
     fun place(now: MonotonicTime) {
         if (!eligibility.mayStartAny) return
-        giveBackAllButOneTrial()
+        returnAllButOneRetry()
         val waiting = state.runs.waiting.filter { eligibility.mayStart(it, now) }
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
         // All that a machine is to start goes in one message.
-        machinesWithStarts.forEach(commands::sendDue)
-        machinesWithStarts.clear()
+        machinesWithPendingStarts.forEach(commands::sendDue)
+        machinesWithPendingStarts.clear()
     }
 
     /** One task of a failing job waits here for its trial; the others would only use up capacity and their team's quota. */
-    private fun giveBackAllButOneTrial() {
+    private fun returnAllButOneRetry() {
         val failing = state.runs.waiting.filter(eligibility::isFailing)
         for ((job, runs) in failing.groupBy { it.task.job }) {
-            val trialRuns = state.runs.ofJob(job).any { it.occupiesMachine }
-            runs.drop(if (trialRuns) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "job_failing") }
+            val retryIsRunning = state.runs.ofJob(job).any { it.occupiesMachine }
+            runs.drop(if (retryIsRunning) 0 else 1).forEach { lifecycle.finish(it, RunState.GONE, "job_failing") }
         }
     }
 
     private inner class Actions : PlacementActions {
         override fun mayPreemptFor(run: Run): Boolean = !eligibility.isFailing(run)
 
-        override fun isSeparated(run: Run, machine: Machine): Boolean = eligibility.mustAvoid(run, machine)
+        override fun mustAvoid(run: Run, machine: Machine): Boolean = eligibility.mustAvoid(run, machine)
 
         override fun start(run: Run, machine: Machine) {
             run.bind(machine, state.nextAttempt())
             lifecycle.transition(run, RunState.STARTING, "placed")
-            machinesWithStarts += machine
+            machinesWithPendingStarts += machine
         }
 
         override fun preempt(victim: Run) = stopper.stop(victim, StopReason.PREEMPTED)
 
-        override fun giveBack(run: Run) = lifecycle.finish(run, RunState.GONE, "no_capacity")
+        override fun returnToLeader(run: Run) = lifecycle.finish(run, RunState.GONE, "no_capacity")
     }
 }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -45,7 +45,7 @@
     private class Progress(val elapsedSeconds: Double, val jobAverageSeconds: Double, val remainingSeconds: Double)
 
     private var nextCheckAt = MonotonicTime.NEVER
-    private var rotation = 0
+    private var rotationOffset = 0
 
     /**
      * Assesses a few of the stragglers on [machines] and returns those that are worth restarting. With hundreds of stragglers
@@ -78,8 +78,8 @@
             now < machine.lastContactAt + timeouts.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
 
     private fun nextInRotation(stragglers: List<Run>): List<Run> {
-        val first = rotation % stragglers.size
-        rotation += MAX_ASSESSED_PER_CHECK
+        val first = rotationOffset % stragglers.size
+        rotationOffset += MAX_ASSESSED_PER_CHECK
         return (stragglers.drop(first) + stragglers.take(first)).take(MAX_ASSESSED_PER_CHECK)
     }
 
@@ -123,7 +123,7 @@
             freeCapacity != null && machine !== source && machine.name !in run.avoidedMachines && run.spec.request.fitsIn(freeCapacity) &&
                 run.spec.allows(machine.typeName, machine.zone, machine.spot)
         }.sortedByDescending { free.getValue(it.name).cpus }
-        .take(MAX_OPTIONS)
+        .take(MAX_RESTART_OPTIONS)
 
     /** Null where too few similar tasks are known, or the machine's type is not. */
     private fun restartOption(run: Run, machine: Machine, similarTasks: List<SimilarTask>): RestartOption<MachineName>? {
@@ -139,8 +139,8 @@
         return prediction?.let { RestartOption(machine.name, it, fetchSeconds) }
     }
 
-    private fun factors(machine: Machine, run: Run, neighbours: Int) =
-        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
+    private fun factors(machine: Machine, run: Run, tasksOnMachine: Int) =
+        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, tasksOnMachine)
 
     private fun logVerdict(verdict: RestartVerdict<MachineName>, run: Run, source: Machine, progress: Progress, options: Int) =
         when (verdict) {
@@ -150,12 +150,12 @@
                 run.task,
                 source.name,
                 verdict.option.target,
-                tenths(progress.elapsedSeconds),
-                tenths(progress.jobAverageSeconds),
-                tenths(progress.remainingSeconds),
-                tenths(verdict.option.prediction.averageSeconds),
-                tenths(verdict.option.worstSeconds),
-                tenths(verdict.profitSeconds),
+                roundToTenths(progress.elapsedSeconds),
+                roundToTenths(progress.jobAverageSeconds),
+                roundToTenths(progress.remainingSeconds),
+                roundToTenths(verdict.option.prediction.averageSeconds),
+                roundToTenths(verdict.option.worstSeconds),
+                roundToTenths(verdict.profitSeconds),
             )
             is RestartVerdict.TooRisky -> log.debug(
                 "straggler_restart_too_risky task={} profit_seconds={} worst_seconds={} remaining_seconds={}",
@@ -172,14 +172,14 @@
             )
         }
 
-    private fun tenths(seconds: Double) = Math.round(seconds * 10) / 10.0
+    private fun roundToTenths(seconds: Double) = Math.round(seconds * 10) / 10.0
 
     private companion object {
         const val MIN_FETCH_GB_PER_SECOND = 1e-6
         const val MAX_ASSESSED_PER_CHECK = 4
 
         /** Predictions for each straggler on all machines would take a large part of the processor. */
-        const val MAX_OPTIONS = 8
+        const val MAX_RESTART_OPTIONS = 8
         const val MAX_HEARTBEAT_INTERVALS = 2.0
         val CHECK_INTERVAL = 2.seconds
         val log = LoggerFactory.getLogger("placement")
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -20,7 +20,7 @@
     private val clock: Clock,
 ) {
     /** Assesses a few stragglers and stops those worth restarting; each starts on its target once its worker confirms the stop. */
-    fun restartWorthwhile(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
+    fun restartStragglers(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
 
     private fun restart(restart: StragglerRestart) {
         val run = restart.run
--- a/src/main/kotlin/copperglade/prediction/ProfileStore.kt
+++ b/src/main/kotlin/copperglade/prediction/ProfileStore.kt
@@ -51,7 +51,7 @@
      */
     fun similarTasks(load: String, doneSeconds: Double = 0.0): List<SimilarTask> = profiles.mapNotNull { profile ->
         if (profile.factors.load != load) return@mapNotNull null
-        SimilarTask(profile, profile.runSeconds * speedOf(profile.machine)).takeIf { it.averageMachineSeconds > doneSeconds }
+        SimilarTask(profile, profile.runSeconds * speedOf(profile.machine)).takeIf { it.secondsOnAverageMachine > doneSeconds }
     }
 
     /**
@@ -60,7 +60,7 @@
     fun predict(machine: MachineName, factors: TaskFactors, similarTasks: List<SimilarTask>): RunTimePrediction? {
         val machineWeights = weights[machine] ?: UNFITTED_WEIGHTS
         val nearest = NearestTasks(nearestTasks)
-        for (task in similarTasks) nearest.offer(machineWeights.distance(task.profile.factors, factors), task.averageMachineSeconds)
+        for (task in similarTasks) nearest.offer(machineWeights.distance(task.profile.factors, factors), task.secondsOnAverageMachine)
         if (nearest.size < MIN_SIMILAR_TASKS) return null
         val speed = speedOf(machine)
         return RunTimePrediction(nearest.runTimesSeconds.map { it / speed }.sorted())
@@ -75,13 +75,13 @@
 
     /** The predicted average run time of a task that is not placed yet; null where too few similar tasks have finished. */
     fun expectedRunSeconds(job: JobId, load: String, request: Resources): Double? =
-        predict(ANY_MACHINE, TaskFactors(job, load, type = "", request, neighbours = 0))?.averageSeconds
+        predict(ANY_MACHINE, TaskFactors(job, load, type = "", request, tasksOnMachine = 0))?.averageSeconds
 
     /** The average run time of the job's finished tasks, or of its load's where too few have finished; null where those are too few. */
     fun averageRunSeconds(job: JobId, load: String): Double? = averages.ofJob(job) ?: averages.ofLoad(load)
 
     /** Drops the fitted weights of a machine that is gone. Its tasks' profiles still count. */
-    fun forgetMachine(machine: MachineName) {
+    fun removeMachine(machine: MachineName) {
         weights.remove(machine)
         latestTasks.remove(machine)
     }
--- a/src/main/kotlin/copperglade/prediction/TaskFactors.kt
+++ b/src/main/kotlin/copperglade/prediction/TaskFactors.kt
@@ -9,14 +9,14 @@
  * What the run time of a task is assumed to depend on (section 5.2 of the paper; the factors are those of DESIGN).
  *
  * @property load the recurring name of the task's job.
- * @property neighbours how many tasks its machine runs, this one included.
+ * @property tasksOnMachine how many tasks its machine runs, this one included.
  */
 class TaskFactors(
     val job: JobId,
     val load: String,
     val type: String,
     val request: Resources,
-    val neighbours: Int,
+    val tasksOnMachine: Int,
 ) {
     /**
      * The distance from [other] along the factor of index [factor], from 0 to 1. Names are equal or not; amounts differ by their
@@ -28,7 +28,7 @@
         TYPE -> if (type == other.type) 0.0 else 1.0
         PROCESSORS -> relativeDifference(request.cpus + request.gpus, other.request.cpus + other.request.gpus)
         MEMORY -> relativeDifference(request.memoryGb, other.request.memoryGb)
-        else -> relativeDifference(neighbours.toDouble(), other.neighbours.toDouble())
+        else -> relativeDifference(tasksOnMachine.toDouble(), other.tasksOnMachine.toDouble())
     }
 
     private fun relativeDifference(a: Double, b: Double): Double {
--- a/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
@@ -16,15 +16,15 @@
      * without tasks that are done or given back. The shards of all choices must have an owner.
      */
     fun build(job: Job, range: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
-        val present = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
-        val groups = assignedGroups(job, range, present)
-        val generation = present.lastGeneration + 1
-        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, present.frontier, generation)
-        val frontier = maxOf(present.frontier, choices.maxOfOrNull { it.task + 1 } ?: 0)
-        val preemptedForGuarantee = present.preemptedForGuarantee.clone() as BitSet
+        val current = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
+        val groups = assignedGroups(job, range, current)
+        val generation = current.lastGeneration + 1
+        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, current.frontier, generation)
+        val frontier = maxOf(current.frontier, choices.maxOfOrNull { it.task + 1 } ?: 0)
+        val preemptedForGuarantee = current.preemptedForGuarantee.clone() as BitSet
         choices.forEach { preemptedForGuarantee.clear(it.task) }
         guaranteePreemptions?.let(preemptedForGuarantee::or)
-        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, present.version + 1)
+        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, current.version + 1)
     }
 
     /**
@@ -47,12 +47,12 @@
         val reassigned = BitSet()
         val neverAssigned = BitSet()
         chosen.forEach { if (it.task < frontier) reassigned.set(it.task) else neverAssigned.set(it.task) }
-        val joined = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
-        if (!neverAssigned.isEmpty && joined >= 0) {
-            val group = groups[joined]
+        val joinedIndex = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
+        if (!neverAssigned.isEmpty && joinedIndex >= 0) {
+            val group = groups[joinedIndex]
             val tasks = group.tasks.clone() as BitSet
             tasks.or(neverAssigned)
-            groups[joined] = AssignmentGroup(shard, fencingToken, group.generation, tasks)
+            groups[joinedIndex] = AssignmentGroup(shard, fencingToken, group.generation, tasks)
         } else {
             reassigned.or(neverAssigned)
         }
@@ -60,9 +60,9 @@
     }
 
     /** The present groups without tasks that are done or given back. */
-    private fun assignedGroups(job: Job, range: Int, present: AssignmentRange): MutableList<AssignmentGroup> {
+    private fun assignedGroups(job: Job, range: Int, current: AssignmentRange): MutableList<AssignmentGroup> {
         val groups = ArrayList<AssignmentGroup>()
-        for (group in present.groups) {
+        for (group in current.groups) {
             val tasks = group.tasks.clone() as BitSet
             tasks.andNot(job.done)
             job.outcomes[ShardTaskRange(range, group.shard)]
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -60,7 +60,7 @@
 
     /** The leadership term that [unresolvedTasks] belong to. */
     private var term = Revision.ABSENT
-    private var nonUrgentWrittenAt = MonotonicTime.NEVER
+    private var lastNonUrgentWriteAt = MonotonicTime.NEVER
 
     /**
      * Drops what is left of an earlier leadership term. Its writes can't be applied any more, since that term's revision is a
@@ -106,11 +106,11 @@
 
     /** Whether the budget allows a write without urgent jobs. Even where it does not, one is admitted from time to time. */
     private fun admitNonUrgent(affordableWrites: Int): Boolean {
-        if (affordableWrites <= store.urgentReserve && loop.now() < nonUrgentWrittenAt + MAX_NON_URGENT_DELAY) {
+        if (affordableWrites <= store.urgentReserve && loop.now() < lastNonUrgentWriteAt + MAX_NON_URGENT_DELAY) {
             store.recordUnmetDemand(1)
             return false
         }
-        nonUrgentWrittenAt = loop.now()
+        lastNonUrgentWriteAt = loop.now()
         return true
     }
 
@@ -184,12 +184,12 @@
 
     private fun onOutcome(write: AssignmentWrite, outcome: TransactionOutcome) = when (outcome) {
         is TransactionOutcome.Applied -> onApplied(write, outcome.revision)
-        TransactionOutcome.Refused -> loop.after(SETTLE_DELAY_AFTER_REFUSAL) { settleIfCurrent(write) }
+        TransactionOutcome.Refused -> loop.after(RESOLVE_DELAY_AFTER_REFUSAL) { markResolvedIfCurrent(write) }
         // Surely not applied; but the job or shard record that has changed must be known before planning again.
-        is TransactionOutcome.Conflict -> replica.catchUp { settleIfCurrent(write) }
+        is TransactionOutcome.Conflict -> replica.catchUp { markResolvedIfCurrent(write) }
         // It may still be applied: if others got its share of the quota meanwhile, the team could exceed the quota.
         TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
-            unresolvedWrites.resolve(write.packedWrite, isOwner = { isCurrent(write) }) { settle(write) }
+            unresolvedWrites.resolve(write.packedWrite, isOwner = { isCurrent(write) }) { markResolved(write) }
     }
 
     private fun onApplied(write: AssignmentWrite, revision: Revision) {
@@ -199,15 +199,15 @@
             chosen.forEach { capacityTable.reserve(it.machine, revision, request) }
         }
         replica.applyCommitted(write.transaction, revision)
-        settle(write)
+        markResolved(write)
     }
 
-    private fun settleIfCurrent(write: AssignmentWrite) {
-        if (isCurrent(write)) settle(write)
+    private fun markResolvedIfCurrent(write: AssignmentWrite) {
+        if (isCurrent(write)) markResolved(write)
     }
 
     /** The outcome of [write] is known, and none of its copies can be applied any more. */
-    private fun settle(write: AssignmentWrite) {
+    private fun markResolved(write: AssignmentWrite) {
         write.packedWrite.packer.clearInFlight(write.packedWrite)
         unresolvedTasks.resolve(write.tasksByJob)
     }
@@ -215,7 +215,7 @@
     private companion object {
         /** How long writes without urgent jobs may be held back for the sake of urgent ones. */
         val MAX_NON_URGENT_DELAY = 1500.milliseconds
-        val SETTLE_DELAY_AFTER_REFUSAL = 200.milliseconds
+        val RESOLVE_DELAY_AFTER_REFUSAL = 200.milliseconds
         val log = LoggerFactory.getLogger("scheduling")
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -9,7 +9,7 @@
 internal class QueuedJob(val job: SchedulableJob, val maxTasks: Int)
 
 /**
- * Orders the waiting jobs of a scheduling round: urgent ones first, then the shares of starving jobs ([FairShare]), then
+ * Orders the waiting jobs of a scheduling round: urgent ones first, then the shares of starving jobs ([StarvationPrevention]), then
  * the rest by priority, guarantee and [DeadlinePlan].
  */
 internal class JobQueue(private val loop: EventLoop, private val policy: SchedulingPolicy) {
@@ -18,11 +18,11 @@
     /** The order in which [waiting] jobs are assigned to machines that have [poolCpus] in all. */
     fun order(waiting: List<SchedulableJob>, poolCpus: Double): List<QueuedJob> {
         val (urgent, others) = byPriority(waiting, poolCpus).partition { it.isUrgent }
-        val shares = policy.fairShare.of(others.map(::waitingJob), poolCpus)
+        val shares = policy.starvationPrevention.sharesOf(others.map(::waitingJob), poolCpus)
         val withShare = shares.mapTo(HashSet()) { it.job }
-        return urgent.map { QueuedJob(it, MAX_TASKS_PER_JOB) } +
+        return urgent.map { QueuedJob(it, MAX_TASKS_PER_JOB_PER_ROUND) } +
             shares.map { QueuedJob(it.job, it.tasks) } +
-            others.filter { it !in withShare }.map { QueuedJob(it, MAX_TASKS_PER_JOB) }
+            others.filter { it !in withShare }.map { QueuedJob(it, MAX_TASKS_PER_JOB_PER_ROUND) }
     }
 
     /** How long the job could have been running already. */
@@ -77,12 +77,12 @@
     private fun dueInSeconds(job: SchedulableJob): List<Double> {
         val deadline = job.deadline ?: return emptyList()
         val nowMillis = loop.wallMillis()
-        return (objectives.deadlineMultiples[deadline.load] ?: DEADLINE_ONLY).map { deadline.dueInSeconds(it, nowMillis) }
+        return (objectives.deadlineMultiples[deadline.load] ?: DEFAULT_DEADLINE_MULTIPLES).map { deadline.dueInSeconds(it, nowMillis) }
     }
 
     private companion object {
-        val DEADLINE_ONLY = listOf(1.0)
-        const val MAX_TASKS_PER_JOB = 2000
+        val DEFAULT_DEADLINE_MULTIPLES = listOf(1.0)
+        const val MAX_TASKS_PER_JOB_PER_ROUND = 2000
         const val MILLIS_PER_SECOND = 1000.0
         const val MIN_TASK_CPUS = 0.01
 
--- a/src/main/kotlin/copperglade/scheduling/MachineCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/MachineCapacity.kt
@@ -26,6 +26,6 @@
 
     /** Allocates resources for a task of [spec], by preemption where [free] does not suffice. */
     fun allocate(spec: JobSpec) {
-        free = preemptible.preemptInto(free - spec.request, spec.priority)
+        free = preemptible.coverDeficit(free - spec.request, spec.priority)
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/copperglade/scheduling/MachineSelector.kt
@@ -21,11 +21,11 @@
         private var index = 0
 
         fun current(): MachineCapacity? {
-            while (index < machines.size && !isOpen(machines[index])) index++
+            while (index < machines.size && !canTakeTask(machines[index])) index++
             return machines.getOrNull(index)?.capacity
         }
 
-        private fun isOpen(machine: ScoredMachine) = machine.fits(spec) && zones.allows(machine.capacity.machine.zone)
+        private fun canTakeTask(machine: ScoredMachine) = machine.fits(spec) && zones.allows(machine.capacity.machine.zone)
     }
 
     /**
@@ -53,7 +53,7 @@
             }
             machine.allocate(spec)
             zones.add(machine.machine.zone)
-            usage.use(spec.request)
+            usage.addUsed(spec.request)
             choices += PlacementChoice(task, machine)
             task = assigned.nextClearBit(task + 1)
         }
--- a/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
+++ b/src/main/kotlin/copperglade/scheduling/PlacementCost.kt
@@ -9,18 +9,18 @@
  */
 object PlacementCost {
     /** Keeps on-demand machines free for tasks that can't run on spot machines, so that they become idle and can be scaled in. */
-    private const val ON_DEMAND_FOR_SPOT_TASK_SECONDS = 4.0
+    private const val ON_DEMAND_FOR_SPOT_TASK_COST_SECONDS = 4.0
 
     /** Preempted tasks lose the work that they have done. */
-    private const val PREEMPTION_SECONDS = 1.0
+    private const val PREEMPTION_COST_SECONDS = 1.0
     private const val MIN_FETCH_GB_PER_SECOND = 1e-3
 
     /** @param type the machine's type; null where it is not known. */
     fun of(spec: JobSpec, type: MachineType?, spot: Boolean, imageCached: Boolean, preempts: Boolean): Double {
         var cost = 0.0
         if (!imageCached) cost += spec.image.sizeGb / (type?.fetchGbPerSecond ?: 1.0).coerceAtLeast(MIN_FETCH_GB_PER_SECOND)
-        if (spec.spotAllowed && !spot) cost += ON_DEMAND_FOR_SPOT_TASK_SECONDS
-        if (preempts) cost += PREEMPTION_SECONDS
+        if (spec.spotAllowed && !spot) cost += ON_DEMAND_FOR_SPOT_TASK_COST_SECONDS
+        if (preempts) cost += PREEMPTION_COST_SECONDS
         return cost
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
@@ -12,7 +12,7 @@
 class PreemptibleCapacity(val byPriority: List<Resources>) {
     private val lowestPriority = byPriority.indexOfLast { it.cpus > 0.0 }
 
-    /** What [preemptInto] has not used up. */
+    /** What [coverDeficit] has not used up. */
     private val remaining = byPriority.toTypedArray()
 
     /** Whether there were any tasks of lower priority than [priority] to begin with. */
@@ -31,7 +31,7 @@
      * Covers the CPUs that [free] is short of by preempting tasks of lower priority than [priority], the lowest first;
      * returns what is free then, which may still be too little.
      */
-    fun preemptInto(free: Resources, priority: Priority): Resources {
+    fun coverDeficit(free: Resources, priority: Priority): Resources {
         var sum = free
         var lower = remaining.lastIndex
         while (sum.cpus < 0.0 && lower > priority.ordinal) {
--- a/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
@@ -14,15 +14,15 @@
             .coerceAtLeast(1.0)
 
     /** Jobs whose tasks fit on no machine any more. In an overload hundreds of jobs request the same, so one check serves them all. */
-    private val unplaceable = ArrayList<JobSpec>()
+    private val unplaceableSpecs = ArrayList<JobSpec>()
 
     /** Notes that no machine can take another task of [spec] in this round. */
     fun markFullFor(spec: JobSpec) {
-        if (!spec.oneZone && !spec.spread && unplaceable.size < MAX_UNPLACEABLE) unplaceable += spec
+        if (!spec.oneZone && !spec.spread && unplaceableSpecs.size < MAX_UNPLACEABLE_SPECS) unplaceableSpecs += spec
     }
 
     /** Whether the round is full for a task that requests no more than one of [spec] and may run wherever that one may. */
-    fun isFullFor(spec: JobSpec): Boolean = unplaceable.any { it.isNoHarderToPlaceThan(spec) }
+    fun isFullFor(spec: JobSpec): Boolean = unplaceableSpecs.any { it.isNoHarderToPlaceThan(spec) }
 
     private fun JobSpec.isNoHarderToPlaceThan(other: JobSpec): Boolean =
         request.fitsIn(other.request) &&
@@ -32,6 +32,6 @@
             (zone == null || zone == other.zone)
 
     private companion object {
-        const val MAX_UNPLACEABLE = 16
+        const val MAX_UNPLACEABLE_SPECS = 16
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/Scheduler.kt
+++ b/src/main/kotlin/copperglade/scheduling/Scheduler.kt
@@ -40,7 +40,7 @@
 
     private var nextFullRoundAt = MonotonicTime.NEVER
     private var nextUrgentRoundAt = MonotonicTime.NEVER
-    private var guaranteesCheckedAt = MonotonicTime.NEVER
+    private var lastGuaranteeCheckAt = MonotonicTime.NEVER
 
     /** Runs a scheduling round if one is due. Must be called by the leader only, again and again. */
     fun round() {
@@ -57,8 +57,8 @@
         if (capacity.machines.isEmpty()) return
         val plan = AssignmentPlan()
         planAssignments(waiting, usages, capacity, plan)
-        if (isFullRound && now >= guaranteesCheckedAt + GUARANTEE_PREEMPTION_INTERVAL) {
-            guaranteesCheckedAt = now
+        if (isFullRound && now >= lastGuaranteeCheckAt + GUARANTEE_PREEMPTION_INTERVAL) {
+            lastGuaranteeCheckAt = now
             planGuaranteePreemptions(jobs, usages, plan)
         }
         writer.write(plan)
@@ -94,9 +94,9 @@
             if (job.blocked) continue
             val assigned = job.assignments()
             val usage = usages[spec.team] ?: continue
-            usage.use(spec.request * (assigned.size + writer.unresolvedTasks(job.id)))
+            usage.addUsed(spec.request * (assigned.size + writer.unresolvedTasks(job.id)))
             val isActive = !job.complete && !job.cancelled
-            val isGuaranteed = isActive && usage.request(spec.request * job.wantedTasks) && !job.failing
+            val isGuaranteed = isActive && usage.addRequested(spec.request * job.wantedTasks) && !job.failing
             schedulable += SchedulableJob(job, spec, record.acceptedAtMillis, assigned, isGuaranteed)
         }
         return schedulable
--- a/src/main/kotlin/copperglade/scheduling/SchedulingPolicy.kt
+++ b/src/main/kotlin/copperglade/scheduling/SchedulingPolicy.kt
@@ -5,4 +5,8 @@
 import copperglade.settings.Team
 
 /** What the leader's scheduling rounds are to respect: quotas and guarantees, objectives, and the share of starving jobs. */
-class SchedulingPolicy(val teams: Map<TeamName, Team>, val objectives: ServiceLevelObjectives, val fairShare: FairShare)
+class SchedulingPolicy(
+    val teams: Map<TeamName, Team>,
+    val objectives: ServiceLevelObjectives,
+    val starvationPrevention: StarvationPrevention,
+)
--- a/src/main/kotlin/copperglade/scheduling/FairShare.kt
+++ b/src/main/kotlin/copperglade/scheduling/StarvationPrevention.kt
@@ -20,7 +20,7 @@
 )
 
 /** How many [tasks] of a starving [job] are assigned ahead of the deadline plan. */
-data class JobShare<T>(val job: T, val tasks: Int)
+data class StarvingJobShare<T>(val job: T, val tasks: Int)
 
 /**
  * Bounds the starvation that [DeadlinePlan] alone would allow: it defers the largest jobs as long as smaller ones keep
@@ -30,27 +30,27 @@
  * meet their deadlines any more also share a part of the machines in order of arrival; that part grows with the waiting time
  * of the first of them. All other capacity is left to the plan.
  */
-class FairShare(private val starvationThresholdSeconds: Double, private val starvationShare: Double) {
+class StarvationPrevention(private val starvationThresholdSeconds: Double, private val starvationShare: Double) {
     /** The shares of the starving ones among [jobs] on machines that have [poolCpus] in all, longest waiting first. */
-    fun <T> of(jobs: List<WaitingJob<T>>, poolCpus: Double): List<JobShare<T>> {
+    fun <T> sharesOf(jobs: List<WaitingJob<T>>, poolCpus: Double): List<StarvingJobShare<T>> {
         val starving = jobs.filter { it.waitedSeconds >= starvationThresholdSeconds }.sortedByDescending { it.waitedSeconds }
         val late = starving.filter { !it.canMeetDeadline }
-        val growth = (late.firstOrNull()?.waitedSeconds ?: 0.0) / starvationThresholdSeconds
-        val poolShare = min(starvationShare * growth, max(starvationShare, MAX_STARVATION_SHARE))
+        val waitRatio = (late.firstOrNull()?.waitedSeconds ?: 0.0) / starvationThresholdSeconds
+        val poolShare = min(starvationShare * waitRatio, max(starvationShare, MAX_STARVATION_SHARE))
         var remainingCpus = poolCpus * poolShare - late.sumOf { it.runningCpus }
-        val shares = ArrayList<JobShare<T>>()
+        val shares = ArrayList<StarvingJobShare<T>>()
         for (job in starving) {
-            var tasks = if (job.hasStarted) 0 else FIRST_TASKS
+            var tasks = if (job.hasStarted) 0 else INITIAL_TASKS
             if (!job.canMeetDeadline && remainingCpus > 0.0) tasks = maxOf(tasks, (remainingCpus / job.taskCpus).toInt())
             if (tasks == 0) continue
             remainingCpus -= tasks * job.taskCpus
-            shares += JobShare(job.job, tasks)
+            shares += StarvingJobShare(job.job, tasks)
         }
         return shares
     }
 
     private companion object {
-        const val FIRST_TASKS = 2
+        const val INITIAL_TASKS = 2
 
         /** The deadline plan keeps half of the machines however many jobs starve, unless the operators set a larger share. */
         const val MAX_STARVATION_SHARE = 0.5
--- a/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
+++ b/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
@@ -17,7 +17,7 @@
         return team.allows(after.cpus, after.gpus)
     }
 
-    fun use(resources: Resources) {
+    fun addUsed(resources: Resources) {
         used += resources
     }
 
@@ -25,7 +25,7 @@
      * Counts the [resources] that one of the team's jobs requests in all, and returns whether the team's guarantee covers it.
      * Jobs must be counted in order of acceptance: the guarantee goes to the earliest.
      */
-    fun request(resources: Resources): Boolean {
+    fun addRequested(resources: Resources): Boolean {
         requested += resources
         return team.guarantees(requested.cpus, requested.gpus)
     }
--- a/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
@@ -7,11 +7,11 @@
 
 class DeadlinePlanTest {
     /** How many of [order] are in time on a pool of one CPU. */
-    private fun inTime(order: List<PlannedJob<Int>>): Int {
-        var end = 0.0
+    private fun jobsInTime(order: List<PlannedJob<Int>>): Int {
+        var endSeconds = 0.0
         return order.count { job ->
-            end += job.workCpuSeconds
-            end <= job.dueInSeconds[0]
+            endSeconds += job.workCpuSeconds
+            endSeconds <= job.dueInSeconds[0]
         }
     }
 
@@ -33,7 +33,7 @@
         repeat(60) {
             val jobs = List(6) { PlannedJob(it, 1.0 + random.nextInt(9), listOf(2.0 + random.nextInt(25))) }
             val planned = DeadlinePlan(1.0).order(jobs).map { jobs[it] }
-            assertEquals(permutations(jobs).maxOf(::inTime), inTime(planned))
+            assertEquals(permutations(jobs).maxOf(::jobsInTime), jobsInTime(planned))
         }
     }
 
--- a/src/test/kotlin/copperglade/scheduling/FairShareTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/StarvationPreventionTest.kt
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test
 import java.util.Random
 
-class FairShareTest {
+class StarvationPreventionTest {
     /**
      * A pool that gets half as much again as it can do, for ever: arrays of two classes and three teams, one in ten of
      * them ten times as large. Whoever waits gets CPUs in the plan's order, fair shares first.
      */
-    private class Overload(private val fairShare: FairShare, seed: Long) {
+    private class Overload(private val starvationPrevention: StarvationPrevention, seed: Long) {
         class Arrival(val atS: Double, val cls: Int, val team: Int, val large: Boolean, val cpus: Int, val runS: Double) {
             var left = cpus
             var begunAt: Double? = null
@@ -45,8 +45,8 @@
             }
             val waiting = jobs.filter { it.left > 0 }
             val due = { job: Arrival -> listOf(40.0 + job.atS - now).filter { it > job.runS } }
-            fairShare
-                .of(
+            starvationPrevention
+                .sharesOf(
                     waiting.map {
                         WaitingJob(it, now - it.atS, 1.0, it.running.size.toDouble(), it.begunAt != null, due(it).isNotEmpty())
                     },
@@ -72,7 +72,7 @@
 
     @Test
     fun `in an overload that never ends every class, team and size is served, and the largest begin in time`() {
-        val overload = Overload(FairShare(60.0, 0.15), 3).apply { run(2600) }
+        val overload = Overload(StarvationPrevention(60.0, 0.15), 3).apply { run(2600) }
         assertTrue(servedAtLeastHalf(overload))
         val late = overload.jobs.filter { it.atS < 2300 && (it.begunAt ?: Double.MAX_VALUE) - it.atS > 240 }
         assertEquals(emptyList<Double>(), late.map { it.atS })
@@ -80,7 +80,7 @@
 
     @Test
     fun `without fair shares the largest jobs would starve`() {
-        val overload = Overload(FairShare(1e9, 1e-9), 3).apply { run(2600) }
+        val overload = Overload(StarvationPrevention(1e9, 1e-9), 3).apply { run(2600) }
         assertFalse(servedAtLeastHalf(overload))
     }
 }
