--- a/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
@@ -12,8 +12,9 @@
 /** Builds the next version of the record of a job's task range. */
 internal class AssignmentRangeBuilder(private val replica: Replica) {
     /**
-     * The record of task range [range] of [job] with the tasks of [choices] assigned and [guaranteePreemptions] marked, and
-     * without tasks that are done or given back. The shards of all choices must have an owner.
+     * Returns the record of task range [range] of [job] in which the tasks of [choices] are assigned and those of
+     * [guaranteePreemptions] are marked for preemption. Tasks that are done or that their shard owner has returned to the
+     * leader are left out. Each shard in [choices] must have an owner.
      */
     fun build(job: Job, range: Int, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): AssignmentRange {
         val current = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
@@ -28,9 +29,11 @@
     }
 
     /**
-     * Adds the [chosen] tasks to the [groups] of [shard]. A task from [frontier] on was never assigned, so it can't have been
-     * given back either and may join a present group of the shard: with a group per round the record would outgrow a value.
-     * A task that is assigned again goes into a group of its own with the new [generation].
+     * Adds the [chosen] tasks to the [groups] of [shard].
+     *
+     * Tasks with an index of [frontier] or above were never assigned, so no shard owner can have returned them. These tasks
+     * may join an existing group of the shard: with a new group per round the record would outgrow a stored value. Tasks that
+     * are assigned again go into a group of their own with the new [generation].
      */
     private fun addToGroups(
         groups: MutableList<AssignmentGroup>,
@@ -59,7 +62,7 @@
         if (!reassigned.isEmpty) groups += AssignmentGroup(shard, fencingToken, generation, reassigned)
     }
 
-    /** The present groups without tasks that are done or given back. */
+    /** Returns the groups of the [current] record without tasks that are done or returned to the leader. */
     private fun assignedGroups(job: Job, range: Int, current: AssignmentRange): MutableList<AssignmentGroup> {
         val groups = ArrayList<AssignmentGroup>()
         for (group in current.groups) {
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -24,7 +24,7 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Writes the assignments that the leader plans, and tracks those whose outcome is not known yet. */
+/** Writes the leader's planned assignments to the state service, and tracks the writes whose outcome is not known yet. */
 internal class AssignmentWriter(
     private val loop: EventLoop,
     private val store: StateClient,
@@ -32,7 +32,7 @@
     private val leadership: Leadership,
     private val capacityTable: CapacityTable,
 ) {
-    /** The encoded record of a task range, and those of its choices that fit into it. */
+    /** The encoded record of a task range, and the choices that the record contains. */
     private class FittingRecord(val choices: List<PlacementChoice>, val bytes: ByteArray)
 
     /** A transaction in flight, and the leadership [term] in which it was sent. */
@@ -44,7 +44,10 @@
         val term: Revision,
     )
 
-    /** Arrays are rewritten many times while they run, services rarely; in packed records of their own, a round of arrays changes few of them. */
+    /**
+     * The packers by job kind. Assignments of arrays are rewritten many times while the arrays run, those of services rarely.
+     * With separate packed records for each kind, a scheduling round that assigns arrays changes few records.
+     */
     private val packers = JobKind.entries.associateWith { kind ->
         RecordPacker(
             replica,
@@ -63,8 +66,8 @@
     private var lastNonUrgentWriteAt = MonotonicTime.NEVER
 
     /**
-     * Drops what is left of an earlier leadership term. Its writes can't be applied any more, since that term's revision is a
-     * condition of each.
+     * Discards the in-flight writes of an earlier leadership term. The state service can no longer apply these writes, since
+     * each has the revision of its own term as a condition.
      */
     fun beginRound() {
         if (term == leadership.revision) return
@@ -77,12 +80,12 @@
 
     fun unresolvedTasks(job: JobId): Int = unresolvedTasks.of(job)
 
-    /** Whether no write is in flight that one of task range [range] would have to wait for. */
+    /** Returns whether a write of task range [range] would not have to wait for a write in flight; false for a job without a spec. */
     fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, range) } ?: false
 
     /**
-     * Writes as much of [plan] as the write budget allows now. What remains is planned again by a later round: a queue of
-     * assignments of low priority would delay urgent ones behind it.
+     * Writes as much of [plan] as the write budget allows now. A later round plans the rest again: in a queue, assignments of
+     * low priority would delay urgent ones behind them.
      */
     fun write(plan: AssignmentPlan) {
         val changes = LinkedHashMap<TaskRange, ByteArray>()
@@ -104,7 +107,10 @@
 
     private fun isUrgent(packedWrite: PackedWrite) = packedWrite.ranges.any { replica.jobs[it.job]?.spec?.isUrgent ?: false }
 
-    /** Whether the budget allows a write without urgent jobs. Even where it does not, one is admitted from time to time. */
+    /**
+     * Returns whether a write without urgent jobs may be sent. While the write budget is too small for such writes, one is
+     * admitted every [MAX_NON_URGENT_DELAY].
+     */
     private fun admitNonUrgent(affordableWrites: Int): Boolean {
         if (affordableWrites <= store.urgentReserve && loop.now() < lastNonUrgentWriteAt + MAX_NON_URGENT_DELAY) {
             store.recordUnmetDemand(1)
@@ -115,8 +121,9 @@
     }
 
     /**
-     * The record of a task range with as many of the [choices] as a stored value can hold; the other tasks are assigned once
-     * some of the range have ended. Null where no value can hold even the present content, or nothing would change.
+     * Returns the record of a task range with the [choices], halved until the record fits into a stored value. The other tasks
+     * are assigned once some tasks of the range have ended. Returns null where not even the current content fits into a stored
+     * value, or where nothing would change.
      */
     private fun fittingRecord(range: TaskRange, choices: List<PlacementChoice>, guaranteePreemptions: BitSet?): FittingRecord? {
         val job = replica.jobs.getValue(range.job)
@@ -131,7 +138,7 @@
         }
     }
 
-    /** Services first, since most of them are urgent. */
+    /** Packs the records of services first, since most services are urgent. */
     private fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> = packers.entries
         .sortedBy { it.key != JobKind.SERVICE }
         .flatMap { (kind, packer) -> packer.pack(changes.filterKeys { replica.jobs[it.job]?.spec?.kind == kind }) }
@@ -148,7 +155,10 @@
         store.commit(WritePriority.ASSIGNMENT, transaction) { outcome -> if (isCurrent(write)) onOutcome(write, outcome) }
     }
 
-    /** Still leading, every job's live record unchanged, and every shard still owned by the owner that reported the capacity. */
+    /**
+     * Returns the conditions of a write: this controller is still the leader, the live record of each job is unchanged, and each
+     * shard still has the owner that reported the capacity.
+     */
     private fun conditionsOf(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>): Set<Condition> {
         val conditions = LinkedHashSet<Condition>()
         conditions += leadership.condition
@@ -163,7 +173,7 @@
         return conditions
     }
 
-    /** Commits the first half of what would need too many conditions for one transaction; a later round plans the rest again. */
+    /** Commits the first half of [choices] that need too many conditions for one transaction. A later round plans the rest again. */
     private fun commitFirstHalf(choices: Map<TaskRange, List<PlacementChoice>>) {
         val half = firstHalf(choices)
         if (half.isEmpty()) return log.warn("assignment_needs_too_many_conditions task_ranges={}", choices.keys)
@@ -173,21 +183,22 @@
         pack(changes).forEach { packedWrite -> commit(packedWrite, packedWrite.ranges.associateWith { half.getValue(it) }) }
     }
 
-    /** Half of the task ranges, or half of the tasks where there is one range. */
+    /** Returns the first half of the task ranges, or the first half of the tasks where there is one range. */
     private fun firstHalf(choices: Map<TaskRange, List<PlacementChoice>>): Map<TaskRange, List<PlacementChoice>> {
         if (choices.size > 1) return choices.entries.take(choices.size / 2).associate { it.key to it.value }
         return choices.mapValues { (_, chosen) -> chosen.take(chosen.size / 2) }.filterValues { it.isNotEmpty() }
     }
 
-    /** Whether the leadership term in which [write] was made still lasts. */
+    /** Returns whether [write] was sent in the current leadership term. */
     private fun isCurrent(write: AssignmentWrite) = write.term == term
 
     private fun onOutcome(write: AssignmentWrite, outcome: TransactionOutcome) = when (outcome) {
         is TransactionOutcome.Applied -> onApplied(write, outcome.revision)
         TransactionOutcome.Refused -> loop.after(RESOLVE_DELAY_AFTER_REFUSAL) { markResolvedIfCurrent(write) }
-        // Surely not applied; but the job or shard record that has changed must be known before planning again.
+        // The write was not applied. The replica must read the changed job or shard record before the tasks are planned again.
         is TransactionOutcome.Conflict -> replica.catchUp { markResolvedIfCurrent(write) }
-        // It may still be applied: if others got its share of the quota meanwhile, the team could exceed the quota.
+        // The write may still be applied. Its tasks count against the quota until its outcome is known: if other tasks used that
+        // part of the quota in the meantime, the team could exceed the quota.
         TransactionOutcome.Unknown, TransactionOutcome.NoSuchLease ->
             unresolvedWrites.resolve(write.packedWrite, isOwner = { isCurrent(write) }) { markResolved(write) }
     }
@@ -206,14 +217,14 @@
         if (isCurrent(write)) markResolved(write)
     }
 
-    /** The outcome of [write] is known, and none of its copies can be applied any more. */
+    /** Marks [write] as resolved. Its outcome must be known, and the state service must no longer be able to apply any copy of it. */
     private fun markResolved(write: AssignmentWrite) {
         write.packedWrite.packer.clearInFlight(write.packedWrite)
         unresolvedTasks.resolve(write.tasksByJob)
     }
 
     private companion object {
-        /** How long writes without urgent jobs may be held back for the sake of urgent ones. */
+        /** The longest time for which writes without urgent jobs are delayed in favour of urgent ones. */
         val MAX_NON_URGENT_DELAY = 1500.milliseconds
         val RESOLVE_DELAY_AFTER_REFUSAL = 200.milliseconds
         val log = LoggerFactory.getLogger("scheduling")
--- a/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
+++ b/src/main/kotlin/copperglade/scheduling/CapacityTable.kt
@@ -10,10 +10,10 @@
 import copperglade.storage.Replica
 
 /**
- * The leader's view of each machine's free capacity: what the shard's owner last reported, less the assignments that it did
- * not know of when it reported.
+ * The leader's view of each machine's free capacity: the capacity that the shard's owner last reported, less the assignments
+ * that the shard's owner had not yet read when it reported.
  *
- * @param statusOf the last status of a controller; null where that is too old to assign by.
+ * @param statusOf returns the last status of a controller, or null where that status is too old to base assignments on.
  */
 class CapacityTable(
     private val replica: Replica,
@@ -25,7 +25,7 @@
 
     private val reservations = HashMap<MachineName, MutableList<Reservation>>()
 
-    /** The machines of all shards whose present owner has reported their capacity under its present fencing token. */
+    /** Returns the machines of all shards whose current owner has reported their capacity under its current fencing token. */
     fun capacities(): List<MachineCapacity> {
         val capacities = ArrayList<MachineCapacity>()
         for (shard in shardMap.all) {
@@ -42,14 +42,20 @@
         return capacities
     }
 
-    /** Counts a task with this [request], assigned by the write of [revision], until the shard's owner knows that revision. */
+    /**
+     * Counts a task with this [request], assigned by the write of [revision], against [machine] until the shard's owner reports
+     * that it has read that revision.
+     */
     fun reserve(machine: MachineCapacity, revision: Revision, request: Resources) {
         reservations.getOrPut(machine.machine.name) { ArrayList() } += Reservation(revision, request)
     }
 
     fun zoneOf(shard: ShardName): String = shardMap.zoneOf(shard)
 
-    /** Reservations that an owner which knows the records up to [knownRevision] has not counted yet; the others are dropped. */
+    /**
+     * Returns the reservations of [machine] that are newer than [knownRevision], the revision up to which the shard's owner had
+     * read the records when it reported. Drops the other reservations of the machine.
+     */
     private fun unconfirmedReservations(machine: MachineName, knownRevision: Revision): List<Reservation> {
         val machineReservations = reservations[machine] ?: return emptyList()
         machineReservations.removeIf { it.revision <= knownRevision }
--- a/src/main/kotlin/copperglade/scheduling/DeadlinePlan.kt
+++ b/src/main/kotlin/copperglade/scheduling/DeadlinePlan.kt
@@ -4,10 +4,11 @@
 import java.util.PriorityQueue
 
 /**
- * A job as the deadline plan sees it.
+ * A job to be ordered by the [DeadlinePlan].
  *
- * @property workCpuSeconds the CPU time that its unfinished tasks need.
- * @property dueInSeconds when it is due at each multiple of its deadline that counts and is feasible, in ascending order.
+ * @property workCpuSeconds the CPU time that the job's unfinished tasks need.
+ * @property dueInSeconds the times from now at which the job is due, in ascending order: one for each multiple of its deadline
+ * that the objectives name and that is still feasible.
  */
 class PlannedJob<T>(
     val job: T,
@@ -18,15 +19,15 @@
 )
 
 /**
- * Orders jobs with deadlines so that as many as possible meet them, by the Moore-Hodgson algorithm with all machines taken
- * as one pool. Jobs that can't meet their deadline are planned for its next multiple, after those that can; jobs that can
- * meet none come last, those with the least work first, unless others have waited for long.
+ * Orders jobs so that as many as possible meet their deadlines, by the Moore-Hodgson algorithm with all machines taken as one
+ * pool. Jobs that can't meet their deadline are planned for its next multiple, after the jobs that can. Jobs that can meet no
+ * multiple come last, those with the least work first, unless other jobs have waited for long.
  *
- * Each team's quota is planned as a pool of its own first. Measured against all machines a team at its quota would seem to
- * have capacity for all its jobs, and ordering these by due time alone would make nearly all of them late.
+ * Each team's quota is first planned as a separate pool. Measured against all machines, a team at its quota would appear to
+ * have capacity for all its jobs, and an order by due time alone would make nearly all of these jobs late.
  */
 class DeadlinePlan(private val poolCpus: Double, private val teamCpus: (TeamName) -> Double = { poolCpus }) {
-    /** The jobs in the order in which they should be assigned. */
+    /** Returns the jobs in the order in which they should be assigned. */
     fun <T> order(jobs: List<PlannedJob<T>>): List<T> {
         val ordered = ArrayList<T>(jobs.size)
         var remaining = jobs
@@ -47,15 +48,15 @@
         return ordered + remaining.sortedBy(::lateOrder).map { it.job }
     }
 
-    /** Ranks a job that is late in any case: by its work, less for each second that it has waited. */
+    /** Returns the rank of a job that is late in any case: its work, reduced for each second that the job has waited. */
     private fun lateOrder(job: PlannedJob<*>): Double = job.workCpuSeconds / poolCpus * WAITED_SECONDS_PER_WORK_SECOND - job.waitedSeconds
 
     private fun cpusOf(team: TeamName?): Double = team?.let(teamCpus)?.coerceIn(MIN_POOL_CPUS, poolCpus) ?: poolCpus
 
     /**
-     * The largest set of [jobs] that can all meet the given [multiple] of their deadlines on [cpus] that are busy for
-     * [busySeconds], in order of due time: takes the jobs in that order, and drops the one with the most work whenever the
-     * jobs so far can't all be in time.
+     * Returns the largest set of [jobs] that can all meet the given [multiple] of their deadlines on [cpus] that are busy for
+     * [busySeconds], in order of due time. Takes the jobs in that order, and drops the job with the most work whenever the jobs
+     * taken so far can't all be in time.
      */
     private fun <T> mooreHodgson(jobs: List<PlannedJob<T>>, multiple: Int, busySeconds: Double, cpus: Double): List<PlannedJob<T>> {
         val onTime = PriorityQueue<PlannedJob<T>>(compareByDescending { it.workCpuSeconds })
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -10,17 +10,22 @@
 /** Unassigned tasks that a team's guarantee covers. */
 internal class GuaranteeClaim(val team: TeamName, val request: Resources, val tasks: Int)
 
-/** Assigned tasks of a job that its team's guarantee does not cover. */
+/** A job that the guarantee of the job's team does not cover, and the job's assigned tasks. */
 internal class BorrowedQuota(val job: Job, val spec: JobSpec, val assigned: List<Assignment>)
 
 /**
- * Chooses tasks to preempt so that teams get their guarantees, among those that other teams run beyond their own.
+ * Chooses tasks to preempt so that teams get their guaranteed capacity, among the tasks that other teams run beyond their own
+ * guarantees.
  *
- * Tasks that write checkpoints are preempted first, then those assigned last, which lose the least; never more than the
- * claims need, nor more than a team has borrowed. A team that has a claim itself loses nothing.
+ * Tasks that write checkpoints are preempted first, then the tasks assigned last, which lose the least work. No more tasks are
+ * preempted than the claims need, and no more of a team's tasks than the team has borrowed. A team that has a claim itself
+ * loses no tasks.
  */
 internal class GuaranteePreemption(private val teams: Map<TeamName, Team>) {
-    /** The assignments to preempt, by job, in the order in which the jobs are preempted. [usedCpus] are the CPUs that each team's assigned tasks request. */
+    /**
+     * Returns the assignments to preempt, by job, in the order in which the jobs are preempted. [usedCpus] are the CPUs that each
+     * team's assigned tasks request.
+     */
     fun choose(
         claims: List<GuaranteeClaim>,
         borrowedQuotas: List<BorrowedQuota>,
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -5,17 +5,17 @@
 import copperglade.protocol.TeamName
 import copperglade.transport.EventLoop
 
-/** A job's turn in a scheduling round, in which at most [maxTasks] of its tasks are assigned. */
+/** A job in the queue of a scheduling round, and the limit on the number of its tasks that are assigned from this entry. */
 internal class QueuedJob(val job: SchedulableJob, val maxTasks: Int)
 
 /**
- * Orders the waiting jobs of a scheduling round: urgent ones first, then the shares of starving jobs ([StarvationPrevention]), then
+ * Orders the waiting jobs of a scheduling round: urgent jobs first, then the shares of starving jobs ([StarvationPrevention]), then
  * the rest by priority, guarantee and [DeadlinePlan].
  */
 internal class JobQueue(private val loop: EventLoop, private val policy: SchedulingPolicy) {
     private val objectives = policy.objectives
 
-    /** The order in which [waiting] jobs are assigned to machines that have [poolCpus] in all. */
+    /** Returns the order in which [waiting] jobs are assigned to machines with [poolCpus] CPUs in total. */
     fun order(waiting: List<SchedulableJob>, poolCpus: Double): List<QueuedJob> {
         val (urgent, others) = byPriority(waiting, poolCpus).partition { it.isUrgent }
         val shares = policy.starvationPrevention.sharesOf(others.map(::waitingJob), poolCpus)
@@ -25,7 +25,7 @@
             others.filter { it !in withShare }.map { QueuedJob(it, MAX_TASKS_PER_JOB_PER_ROUND) }
     }
 
-    /** How long the job could have been running already. */
+    /** Returns the time since the job could first have been started. */
     fun waitedSeconds(job: SchedulableJob): Double = (loop.wallMillis() - job.job.startableSinceMillis) / MILLIS_PER_SECOND
 
     private fun byPriority(waiting: List<SchedulableJob>, poolCpus: Double): List<SchedulableJob> {
@@ -36,8 +36,8 @@
         planned.forEachIndexed { index, job -> rank[job.job.id] = index }
         return (withoutDeadline + planned).sortedWith(
             compareBy<SchedulableJob> { it.spec.priority }
-                // A job that is too late for its guarantee goes by the plan: otherwise a team's late jobs, being its oldest,
-                // would use up its guarantee and make the next ones late as well.
+                // A job that has waited too long for its guarantee is ranked by the plan alone. Otherwise a team's late jobs,
+                // which are its oldest, would use up the team's guarantee and make the next jobs late as well.
                 .thenBy { if (it.isGuaranteed && waitedSeconds(it) <= objectives.guaranteeWithinSeconds) 0 else 1 }
                 .thenBy { rank[it.job.id] ?: -1 }
                 .thenBy { it.acceptedAtMillis },
@@ -55,7 +55,7 @@
         val spec = job.spec
         val waitedSeconds = waitedSeconds(job)
         val feasible = dueInSeconds(job).filter { isFeasible(spec, it) }
-        // A job that is late for every multiple of its deadline still has an objective to meet, after all that can be in time.
+        // A job that is late for every multiple of its deadline is still due by its objective, after all jobs that can be in time.
         val objective = objectives
             .latestEndSeconds(
                 spec.load,
@@ -70,10 +70,10 @@
     private fun canMeetDeadline(job: SchedulableJob): Boolean =
         isFeasible(job.spec, dueInSeconds(job).lastOrNull() ?: -waitedSeconds(job))
 
-    /** Whether a job can be done by its deadline on unlimited capacity: its last task still needs its own run time. */
+    /** Returns whether a job can end in time on unlimited capacity: the job's last task still needs its own run time. */
     private fun isFeasible(spec: JobSpec, dueInSeconds: Double) = dueInSeconds > spec.estimatedSeconds * FEASIBILITY_FACTOR
 
-    /** In how many seconds the job is due, at each multiple of its deadline that the objectives of the deadline's load name. */
+    /** Returns the times from now at which the job is due, for each deadline multiple that the objectives of the deadline's load name. */
     private fun dueInSeconds(job: SchedulableJob): List<Double> {
         val deadline = job.deadline ?: return emptyList()
         val nowMillis = loop.wallMillis()
--- a/src/main/kotlin/copperglade/scheduling/MachineCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/MachineCapacity.kt
@@ -6,7 +6,7 @@
 import copperglade.protocol.ShardName
 
 /**
- * The capacity of one machine during a scheduling round, reduced by what the round assigns to it.
+ * The capacity of one machine during a scheduling round, reduced by the tasks that the round assigns to the machine.
  *
  * @property machine the machine as its shard's owner reported it.
  */
@@ -17,14 +17,17 @@
     var free = free
         private set
 
-    /** Whether it is reserved for a task that does not fit yet; otherwise small tasks would take all capacity that is freed. */
+    /**
+     * Whether the machine is reserved for a task that does not fit yet. Without the reservation, small tasks would take all
+     * capacity that is freed.
+     */
     var isReserved = false
 
-    /** Whether a task of [spec] fits after preempting all tasks of lower priority, of which there must be some. */
+    /** Returns whether a task of [spec] fits after preempting all tasks of lower priority; false where there are none. */
     fun fitsWithPreemption(spec: JobSpec): Boolean =
         preemptible.hasBelow(spec.priority) && preemptible.fitsWithPreemption(spec, free)
 
-    /** Allocates resources for a task of [spec], by preemption where [free] does not suffice. */
+    /** Allocates resources for a task of [spec], counting on preemption where [free] does not suffice. */
     fun allocate(spec: JobSpec) {
         free = preemptible.coverDeficit(free - spec.request, spec.priority)
     }
--- a/src/main/kotlin/copperglade/scheduling/MachineSelector.kt
+++ b/src/main/kotlin/copperglade/scheduling/MachineSelector.kt
@@ -10,13 +10,13 @@
  * its tasks onto them in that order.
  */
 internal class MachineSelector(private val types: MachineTypeCatalog, private val zoneOf: (ShardName) -> String) {
-    /** A machine that could take tasks of a job, with or without preemption, and what a task costs there. */
+    /** A machine that could take tasks of a job, with or without preemption, and the [PlacementCost] of a task there. */
     private class ScoredMachine(val capacity: MachineCapacity, val preempts: Boolean, val cost: Double) {
         fun fits(spec: JobSpec): Boolean = !capacity.isReserved &&
             if (preempts) capacity.fitsWithPreemption(spec) else spec.request.fitsIn(capacity.free)
     }
 
-    /** Steps through scored machines. Capacity only shrinks in a round, so a machine that has become full is never tried again. */
+    /** Steps through scored machines. Capacity only shrinks during a round, so the cursor never returns to a full machine. */
     private class Cursor(private val machines: List<ScoredMachine>, private val spec: JobSpec, private val zones: ZoneConstraint) {
         private var index = 0
 
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Selects machines for up to [maxTasks] tasks of [job], as far as its team's quota and the capacity go, and counts them
-     * in [usage] and [round]. Where the capacity does not suffice, a machine is reserved for the job until the round ends.
+     * Selects machines for up to [maxTasks] tasks of [job] within the team's quota and the free capacity, and counts these tasks
+     * in [usage] and [round]. Where the capacity does not suffice, reserves a machine for the job until the round ends.
      */
     fun select(job: SchedulableJob, usage: TeamUsage, round: RoundCapacity, maxTasks: Int): List<PlacementChoice> {
         val spec = job.spec
@@ -76,7 +76,7 @@
         largest?.isReserved = true
     }
 
-    /** The machines that could take tasks of the job, cheapest first, then fullest. */
+    /** Returns the machines that could take tasks of the job, cheapest first, then fullest. */
     private fun score(job: SchedulableJob, zones: ZoneConstraint, round: RoundCapacity): List<ScoredMachine> {
         val spec = job.spec
         val preferredShards = preferredShards(job, round)
@@ -99,7 +99,7 @@
         return spec.allows(machine.type, machine.zone, machine.spot) && zones.allows(machine.zone)
     }
 
-    /** Shards that the job should keep to: the fewer it is in, the fewer records are written for it. */
+    /** Returns the shards that the job should stay in: the fewer shards a job uses, the fewer records are written for it. */
     private fun preferredShards(job: SchedulableJob, round: RoundCapacity): Set<ShardName> {
         if (job.assigned.isNotEmpty()) return job.assigned.mapTo(HashSet()) { it.shard }
         val shards = round.shards
@@ -113,7 +113,7 @@
     }
 
     private companion object {
-        /** Each further shard of a job costs records in it. */
+        /** Each further shard of a job needs records of its own. */
         const val FURTHER_SHARD_COST_SECONDS = 0.4
         const val SHARDS_OF_NEW_JOB = 2
 
--- a/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/PreemptibleCapacity.kt
@@ -5,20 +5,20 @@
 import copperglade.protocol.Resources
 
 /**
- * What preempting array tasks on a machine would free. Services are never preempted.
+ * The resources that preempting array tasks on a machine would free. Services are never preempted.
  *
  * @property byPriority the resources of preemptible tasks, by the ordinal of their [Priority].
  */
 class PreemptibleCapacity(val byPriority: List<Resources>) {
     private val lowestPriority = byPriority.indexOfLast { it.cpus > 0.0 }
 
-    /** What [coverDeficit] has not used up. */
+    /** The preemptible resources that [coverDeficit] has not used yet, by priority. */
     private val remaining = byPriority.toTypedArray()
 
-    /** Whether there were any tasks of lower priority than [priority] to begin with. */
+    /** Returns whether there were any tasks of lower priority than [priority] before the first [coverDeficit]. */
     fun hasBelow(priority: Priority): Boolean = lowestPriority > priority.ordinal
 
-    /** Whether a task of [spec] fits into [free] after preempting all tasks of lower priority. */
+    /** Returns whether a task of [spec] fits into [free] after preempting all tasks of lower priority. */
     fun fitsWithPreemption(spec: JobSpec, free: Resources): Boolean = spec.request.fitsIn(withAllBelow(spec.priority, free))
 
     private fun withAllBelow(priority: Priority, free: Resources): Resources {
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Covers the CPUs that [free] is short of by preempting tasks of lower priority than [priority], the lowest first;
-     * returns what is free then, which may still be too little.
+     * Covers a deficit of CPUs, which shows as negative CPUs in [free], by preempting tasks of lower priority than [priority],
+     * the lowest first. Returns the free resources after that, which may still be too few.
      */
     fun coverDeficit(free: Resources, priority: Priority): Resources {
         var sum = free
--- a/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
@@ -13,15 +13,21 @@
             .sumOf { capacity -> capacity.machine.free.cpus + capacity.machine.preemptible.sumOf { it.cpus } }
             .coerceAtLeast(1.0)
 
-    /** Jobs whose tasks fit on no machine any more. In an overload hundreds of jobs request the same, so one check serves them all. */
+    /**
+     * The specs of jobs whose tasks fit on no machine any more. In an overload hundreds of jobs request the same resources, so
+     * one check serves all of these jobs.
+     */
     private val unplaceableSpecs = ArrayList<JobSpec>()
 
-    /** Notes that no machine can take another task of [spec] in this round. */
+    /** Records that no machine can take another task of [spec] in this round. */
     fun markFullFor(spec: JobSpec) {
         if (!spec.oneZone && !spec.spread && unplaceableSpecs.size < MAX_UNPLACEABLE_SPECS) unplaceableSpecs += spec
     }
 
-    /** Whether the round is full for a task that requests no more than one of [spec] and may run wherever that one may. */
+    /**
+     * Returns whether this round has no machine for a task of [spec]: [markFullFor] was called for a spec that requests no more
+     * and may run wherever [spec] may.
+     */
     fun isFullFor(spec: JobSpec): Boolean = unplaceableSpecs.any { it.isNoHarderToPlaceThan(spec) }
 
     private fun JobSpec.isNoHarderToPlaceThan(other: JobSpec): Boolean =
--- a/src/main/kotlin/copperglade/scheduling/SchedulableJob.kt
+++ b/src/main/kotlin/copperglade/scheduling/SchedulableJob.kt
@@ -5,11 +5,11 @@
 import copperglade.storage.Assignment
 import copperglade.storage.Job
 
-/** Whether jobs of this priority are scheduled in urgent rounds, ahead of the batch window of the others. */
+/** Whether jobs of this priority are scheduled in urgent rounds, ahead of the batch window of other jobs. */
 internal val JobSpec.isUrgent: Boolean get() = priority <= Priority.HIGH
 
 /**
- * An accepted job as a scheduling round sees it.
+ * An accepted job that a scheduling round considers.
  *
  * @property assigned the tasks that were assigned when the round began.
  * @property isGuaranteed whether the guarantee of the job's team covers it.
--- a/src/main/kotlin/copperglade/scheduling/Scheduler.kt
+++ b/src/main/kotlin/copperglade/scheduling/Scheduler.kt
@@ -17,12 +17,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's scheduling rounds: each assigns waiting tasks to shards with free capacity, within the quotas of the teams,
- * and records that before any shard owner may start them.
+ * Runs the leader's scheduling rounds. Each round assigns waiting tasks to shards with free capacity, within the quotas of the
+ * teams, and writes the assignments to the state service before any shard owner may start the tasks.
  *
- * A full round looks at all jobs at the end of a batch window; an urgent round, in between, at jobs of high priority only.
+ * A full round considers all jobs at the end of a batch window. Urgent rounds in between consider jobs of high priority only.
  *
- * Invariant: an assigned task counts against its team's quota until its records show that it can be on no machine any more.
+ * Invariant: an assigned task counts against its team's quota until the task's records show that no machine can still run it.
  */
 class Scheduler(
     private val loop: EventLoop,
@@ -42,7 +42,7 @@
     private var nextUrgentRoundAt = MonotonicTime.NEVER
     private var lastGuaranteeCheckAt = MonotonicTime.NEVER
 
-    /** Runs a scheduling round if one is due. Must be called by the leader only, again and again. */
+    /** Runs a scheduling round if one is due. Only the leader may call this function, and must do so periodically. */
     fun round() {
         writer.beginRound()
         val now = loop.now()
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Sets when the next rounds are due: the scarcer the write budget, the longer the windows, and the more each write
-     * decides. Urgent jobs have a window too: a write for each of a burst of them would take the whole budget.
+     * Sets when the next rounds are due. The scarcer the write budget, the longer the batch windows, and the more assignments
+     * go into each write. Urgent jobs have a window too: one write for each job of a burst would use up the whole budget.
      */
     private fun openBatchWindows(now: MonotonicTime, isFullRound: Boolean) {
         nextUrgentRoundAt = now + MAX_URGENT_BATCH_WINDOW * (1.0 - store.writeBudgetLevel())
@@ -82,7 +82,10 @@
     private fun isWaiting(job: SchedulableJob): Boolean =
         !writer.hasUnresolvedTasks(job.job.id) && !job.job.cancelled && !job.job.complete && job.unassignedTasks > 0
 
-    /** All jobs that are accepted and not blocked, in order of acceptance; counts what they use and request in [usages]. */
+    /**
+     * Returns all jobs that are accepted and not blocked, in order of acceptance, and counts the resources that these jobs use
+     * and request in [usages].
+     */
     private fun schedulableJobs(usages: Map<TeamName, TeamUsage>): List<SchedulableJob> {
         val schedulable = ArrayList<SchedulableJob>()
         val accepted = replica.jobs.values
@@ -118,7 +121,7 @@
         }
     }
 
-    /** Plans to preempt borrowed quota where tasks within a team's guarantee have waited for capacity. */
+    /** Plans to preempt tasks of teams beyond their guarantees where tasks within a team's guarantee have waited for capacity. */
     private fun planGuaranteePreemptions(jobs: List<SchedulableJob>, usages: Map<TeamName, TeamUsage>, plan: AssignmentPlan) {
         val planned = plan.choices.keys.mapTo(HashSet()) { it.job }
         val claims = jobs
@@ -145,7 +148,7 @@
         val MAX_URGENT_BATCH_WINDOW = 500.milliseconds
         val MIN_BATCH_WINDOW = 150.milliseconds
 
-        /** By how much the batch window grows while the write budget is used up. */
+        /** The extension of the batch window when the write budget is used up. */
         val EXTRA_BATCH_WINDOW = 1000.milliseconds
         val GUARANTEE_PREEMPTION_INTERVAL = 1.seconds
         const val GUARANTEE_PREEMPTION_AFTER_SECONDS = 3.0
--- a/src/main/kotlin/copperglade/scheduling/SchedulingPolicy.kt
+++ b/src/main/kotlin/copperglade/scheduling/SchedulingPolicy.kt
@@ -4,7 +4,7 @@
 import copperglade.settings.ServiceLevelObjectives
 import copperglade.settings.Team
 
-/** What the leader's scheduling rounds are to respect: quotas and guarantees, objectives, and the share of starving jobs. */
+/** The rules of the leader's scheduling rounds: quotas and guarantees, objectives, and the share of starving jobs. */
 class SchedulingPolicy(
     val teams: Map<TeamName, Team>,
     val objectives: ServiceLevelObjectives,
--- a/src/main/kotlin/copperglade/scheduling/StarvationPrevention.kt
+++ b/src/main/kotlin/copperglade/scheduling/StarvationPrevention.kt
@@ -6,9 +6,9 @@
 /**
  * A job with unassigned tasks.
  *
- * @property runningCpus CPUs of its tasks that are assigned.
- * @property hasStarted whether any of its tasks has ever been assigned.
- * @property canMeetDeadline whether any multiple of its deadline that counts is still feasible.
+ * @property runningCpus the CPUs of the job's assigned tasks.
+ * @property hasStarted whether any of the job's tasks has ever been assigned.
+ * @property canMeetDeadline whether any multiple of the job's deadline that the objectives name is still feasible.
  */
 class WaitingJob<T>(
     val job: T,
@@ -19,19 +19,19 @@
     val canMeetDeadline: Boolean,
 )
 
-/** How many [tasks] of a starving [job] are assigned ahead of the deadline plan. */
+/** The number of [tasks] of a starving [job] that are assigned ahead of the [DeadlinePlan]. */
 data class StarvingJobShare<T>(val job: T, val tasks: Int)
 
 /**
- * Bounds the starvation that [DeadlinePlan] alone would allow: it defers the largest jobs as long as smaller ones keep
- * arriving, so that under lasting overload these would never run.
+ * Bounds the starvation that [DeadlinePlan] alone would allow: the plan defers the largest jobs as long as smaller ones keep
+ * arriving, so that under lasting overload the largest jobs would never run.
  *
- * A job that has waited for the starvation threshold starts with a few tasks, whatever else waits. Starving jobs that can't
- * meet their deadlines any more also share a part of the machines in order of arrival; that part grows with the waiting time
- * of the first of them. All other capacity is left to the plan.
+ * A job that has waited for the starvation threshold starts with a few tasks, whatever other jobs are waiting. Starving jobs
+ * that can't meet their deadlines any more also share a part of the machines in order of arrival; that part grows with the
+ * waiting time of the first of these jobs. The plan assigns all other capacity.
  */
 class StarvationPrevention(private val starvationThresholdSeconds: Double, private val starvationShare: Double) {
-    /** The shares of the starving ones among [jobs] on machines that have [poolCpus] in all, longest waiting first. */
+    /** Returns the shares of the starving [jobs] on machines with [poolCpus] CPUs in total, longest waiting first. */
     fun <T> sharesOf(jobs: List<WaitingJob<T>>, poolCpus: Double): List<StarvingJobShare<T>> {
         val starving = jobs.filter { it.waitedSeconds >= starvationThresholdSeconds }.sortedByDescending { it.waitedSeconds }
         val late = starving.filter { !it.canMeetDeadline }
@@ -52,7 +52,7 @@
     private companion object {
         const val INITIAL_TASKS = 2
 
-        /** The deadline plan keeps half of the machines however many jobs starve, unless the operators set a larger share. */
+        /** The deadline plan keeps half of the machines for any number of starving jobs, unless the operators set a larger share. */
         const val MAX_STARVATION_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
+++ b/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.Resources
 import copperglade.settings.Team
 
-/** What a team's jobs use and request, as counted during one scheduling round. */
+/** The resources that a team's jobs use and request, counted during one scheduling round. */
 internal class TeamUsage(val team: Team) {
     /** Resources of the team's tasks that are assigned, or whose assignment is still unresolved. */
     var used = Resources.ZERO
@@ -11,7 +11,7 @@
 
     private var requested = Resources.ZERO
 
-    /** Whether the team's quota allows another task with this [request]. */
+    /** Returns whether the team's quota allows another task with this [request]. */
     fun allows(request: Resources): Boolean {
         val after = used + request
         return team.allows(after.cpus, after.gpus)
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Counts the [resources] that one of the team's jobs requests in all, and returns whether the team's guarantee covers it.
-     * Jobs must be counted in order of acceptance: the guarantee goes to the earliest.
+     * Counts the [resources] that one of the team's jobs requests in total, and returns whether the team's guarantee covers the
+     * job. Jobs must be counted in order of acceptance: the guarantee covers the earliest ones.
      */
     fun addRequested(resources: Resources): Boolean {
         requested += resources
--- a/src/main/kotlin/copperglade/scheduling/UnresolvedTasks.kt
+++ b/src/main/kotlin/copperglade/scheduling/UnresolvedTasks.kt
@@ -2,7 +2,10 @@
 
 import copperglade.protocol.JobId
 
-/** Counts, by job, the tasks whose assignment is in flight or of unknown outcome. They count as assigned until it is resolved. */
+/**
+ * Counts, by job, the tasks whose assignment is in flight or has an unknown outcome. Such tasks count as assigned until the
+ * outcome is resolved.
+ */
 internal class UnresolvedTasks {
     private val tasksByJob = HashMap<JobId, Int>()
 
--- a/src/main/kotlin/copperglade/scheduling/ZoneConstraint.kt
+++ b/src/main/kotlin/copperglade/scheduling/ZoneConstraint.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.JobSpec
 
-/** Which zones the `oneZone` and `spread` options of [spec] leave open, given the zones of the job's [assigned] tasks. */
+/** The zones that the `oneZone` and `spread` options of [spec] allow, given the zones of the job's [assigned] tasks. */
 internal class ZoneConstraint(private val spec: JobSpec, assigned: List<String>) {
     private val tasksByZone = HashMap<String, Int>()
 
