--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -13,39 +13,39 @@
 import copperglade.tasks.RunState
 import kotlin.time.Duration.Companion.seconds
 
-/** What a [Placer] asks of its shard, and what it has done there. */
+/** The decisions and actions of a shard's owner that a [Placer] calls. */
 internal interface PlacementActions {
-    /** Whether tasks of lower priority may be preempted for [run]. */
+    /** Returns whether tasks of lower priority may be preempted for [run]. */
     fun mayPreemptFor(run: Run): Boolean
 
-    /** Whether the run's job is kept from [machine] because it has just failed there. */
+    /** Returns whether [run] must avoid [machine] because the run's job has just failed there. */
     fun mustAvoid(run: Run, machine: Machine): Boolean
 
     fun start(run: Run, machine: Machine)
 
     fun preempt(victim: Run)
 
-    /** Gives [run] back to the leader, which may assign it to another shard. */
+    /** Returns [run] to the leader, which may assign the task to another shard. */
     fun returnToLeader(run: Run)
 }
 
 /**
- * Places the waiting runs of a shard on its machines: filters and scores the machines for each run, binds it to the best,
- * and preempts tasks of lower priority where none has the capacity.
+ * Places the waiting runs of a shard on its machines: filters and scores the machines for each run, binds the run to the best
+ * machine, and preempts tasks of lower priority where no machine has the capacity.
  */
 internal class Placer(
     private val types: MachineTypeCatalog,
     private val requestOf: (TaskId) -> Resources?,
     private val actions: PlacementActions,
 ) {
-    /** A usable machine, and its free capacity less what this round has placed there. */
+    /** A usable machine, and its free capacity less the runs that this round has placed there. */
     private class Candidate(val machine: Machine, val type: MachineType, var free: Resources) {
         /** Built on demand: most machines are never considered for preemption. */
         private val preemptible by lazy(
             LazyThreadSafetyMode.NONE,
         ) { machine.runs.filter { !it.isPreemptedForWaitingRun }.preemptibleCapacity() }
 
-        /** Whether a task of [spec] fits after preempting all tasks of lower priority. */
+        /** Returns whether a task of [spec] fits after preempting all tasks of lower priority. */
         fun fitsWithPreemption(spec: JobSpec): Boolean = preemptible.fitsWithPreemption(spec, free)
     }
 
@@ -53,16 +53,19 @@
 
     private class PreemptionPlan(val cost: Double, val victims: List<Run>)
 
-    /** One pass over the waiting runs. Free capacity only shrinks in it. */
+    /** One pass over the waiting runs. Free capacity only shrinks during a round. */
     private class Round(val candidates: List<Candidate>, val now: MonotonicTime) {
-        /** Jobs of which a task was found to fit nowhere; then none of its other tasks fits either. */
+        /** Jobs with a task that fits on no machine. No other task of such a job fits either. */
         val unplaceableJobs = HashSet<JobId>()
 
         /** Jobs for which a machine has been reserved. */
         val jobsWithReservation = HashSet<JobId>()
     }
 
-    /** Starts those of the [waiting] runs that fit on [usable] machines; preempts for, or gives back, the others. */
+    /**
+     * Starts those of the [waiting] runs that fit on [usable] machines. For each of the others, preempts tasks of lower priority,
+     * or returns the run to the leader once it has waited for [MAX_WAIT_FOR_CAPACITY].
+     */
     fun place(waiting: List<Run>, usable: List<Machine>, now: MonotonicTime) {
         val candidates = usable.mapNotNull { machine ->
             types[machine.typeName]?.let { Candidate(machine, it, machine.freeCapacity(it, now, requestOf)) }
@@ -75,7 +78,7 @@
         if (run.task.job in round.unplaceableJobs) return returnToLeaderIfExpired(run, round)
         val selected = select(run, round.candidates)
         if (selected != null) return bind(run, selected)
-        // Victims that write a checkpoint take a while to stop.
+        // The run waits for its victims to stop. Victims that write a checkpoint take a while.
         if (run.awaitsPreemption) return
         if (actions.mayPreemptFor(run) && preemptFor(run, round.candidates)) return
         leaveUnplaced(run, round)
@@ -89,12 +92,12 @@
 
     private fun leaveUnplaced(run: Run, round: Round) {
         if (round.jobsWithReservation.add(run.task.job)) reserveLargestMachine(run, round)
-        // A run that avoids machines where it has failed says nothing about the other runs of its job.
+        // Other runs of the job may fit on the machines that this run avoids because it has failed there.
         if (run.avoidedMachines.isEmpty()) round.unplaceableJobs += run.task.job
         returnToLeaderIfExpired(run, round)
     }
 
-    /** Keeps the allowed machine with the most free CPUs from smaller tasks, which would take all capacity that is freed. */
+    /** Reserves the allowed machine with the most free CPUs. Without this, smaller tasks would take all capacity that is freed. */
     private fun reserveLargestMachine(run: Run, round: Round) {
         round.candidates
             .filter { isAllowed(run.spec, it.machine) }
@@ -108,7 +111,10 @@
 
     private fun isAllowed(spec: JobSpec, machine: Machine) = spec.allows(machine.typeName, machine.zone, machine.spot)
 
-    /** The machine to which the run is to be moved if it has one, else the cheapest, then the fullest, so that others become idle. */
+    /**
+     * Returns the restart target of [run] if the run has one that fits, else the cheapest machine, then the fullest, so that other
+     * machines become idle. Null where no machine fits.
+     */
     private fun select(run: Run, candidates: List<Candidate>): Candidate? = candidates
         .filter {
             run.spec.request.fitsIn(it.free) && isAllowed(run.spec, it.machine) && it.machine.name !in run.avoidedMachines &&
@@ -125,9 +131,9 @@
     }
 
     /**
-     * Preempts tasks of lower priority for [run], on the cheapest machine and there as few as possible. Returns whether any
-     * were; the run can start once they have left the machine. Victims are chosen on the cheapest machines only, since that
-     * means sorting a machine's runs.
+     * Preempts as few tasks of lower priority as possible for [run], on the cheapest machine. Returns whether any were preempted;
+     * the run can start once these tasks have left the machine. Victims are chosen on the [MAX_PREEMPTION_PLANS] cheapest machines
+     * only, since choosing them requires sorting a machine's runs.
      */
     private fun preemptFor(run: Run, candidates: List<Candidate>): Boolean {
         val plan = candidates
@@ -143,8 +149,8 @@
     }
 
     /**
-     * The runs to preempt so that [run] fits: those that are stopping already, then the lowest priorities, then the latest
-     * starts. Null where preemption can't make it fit.
+     * Returns the runs to preempt so that [run] fits: runs that are stopping already, then the lowest priorities, then the latest
+     * starts. Null where preemption can't make [run] fit.
      */
     private fun victims(run: Run, candidate: Candidate): List<Run>? {
         var free = candidate.free
@@ -165,7 +171,7 @@
     }
 
     private companion object {
-        /** A run that finds no capacity here for this long may find some in another shard. */
+        /** A run that finds no capacity in this shard for this long may find some in another shard. */
         val MAX_WAIT_FOR_CAPACITY = 2.seconds
         const val MAX_PREEMPTION_PLANS = 16
     }
--- a/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
+++ b/src/main/kotlin/copperglade/placement/PreemptibleRuns.kt
@@ -9,7 +9,7 @@
 /** Whether this run may be preempted by tasks of higher priority. */
 internal val Run.isPreemptible: Boolean get() = occupiesMachine && spec.kind == JobKind.ARRAY
 
-/** What preempting these runs would free, as far as they are preemptible. */
+/** Returns the resources that preempting the preemptible ones of these runs would free. */
 internal fun Collection<Run>.preemptibleCapacity(): PreemptibleCapacity {
     val byPriority = Array(Priority.entries.size) { Resources.ZERO }
     for (run in this) if (run.isPreemptible) byPriority[run.spec.priority.ordinal] += run.spec.request
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -16,8 +16,8 @@
 /**
  * Decides which of a shard's waiting runs may be placed now, and has a [Placer] place them.
  *
- * Invariant: nothing is placed unless [Membership.mayStart], which needs newer knowledge than keeping what runs. Guards
- * against starting tasks of a job that was cancelled meanwhile.
+ * Invariant: no run is placed unless [Membership.mayStart], which requires newer records than keeping running tasks does. This
+ * guards against starting tasks of a job that was cancelled in the meantime.
  */
 class ShardPlacement(
     private val state: ShardState,
@@ -31,19 +31,22 @@
     private val machinesWithPendingStarts = LinkedHashSet<Machine>()
     private val placer = Placer(types, state::requestOf, Actions())
 
-    /** Starts waiting runs that fit. Runs that have found no capacity for too long are given back to the leader. */
+    /** Starts the waiting runs that fit. Runs that have found no capacity for too long are returned to the leader. */
     fun place(now: MonotonicTime) {
         if (!eligibility.mayStartAny) return
         returnAllButOneRetry()
         val waiting = state.runs.waiting.filter { eligibility.mayStart(it, now) }
         if (waiting.isEmpty()) return
         placer.place(waiting, state.machines.values.filter { health.isUsable(it, now) }, now)
-        // All that a machine is to start goes in one message.
+        // Each machine gets all of its starts in one message.
         machinesWithPendingStarts.forEach(commands::sendDue)
         machinesWithPendingStarts.clear()
     }
 
-    /** One task of a failing job waits here for its trial; the others would only use up capacity and their team's quota. */
+    /**
+     * Keeps one run of each failing job in this shard for the next retry, and returns the job's other waiting runs to the leader:
+     * they would only use up capacity and their team's quota.
+     */
     private fun returnAllButOneRetry() {
         val failing = state.runs.waiting.filter(eligibility::isFailing)
         for ((job, runs) in failing.groupBy { it.task.job }) {
--- a/src/main/kotlin/copperglade/placement/ShardScheduling.kt
+++ b/src/main/kotlin/copperglade/placement/ShardScheduling.kt
@@ -9,9 +9,10 @@
 import copperglade.transport.Clock
 
 /**
- * The parts of a shard's owner that decide what runs where, and describe the shard's machines to others. Only wires them.
+ * Creates and connects the components of a shard's owner that select machines for tasks and report the shard's machines to other
+ * controllers.
  *
- * @param stragglerFactor a straggler has run for this multiple of its job's average run time.
+ * @param stragglerFactor a task that has run for more than this multiple of its job's average run time is a straggler.
  */
 class ShardScheduling(
     state: ShardState,
@@ -48,6 +49,6 @@
     /** Restarts stragglers. */
     val stragglers = StragglerRestarts(state, stragglerDetector, outcomes, agents.stopper, clock)
 
-    /** Describes the machines to the leader and to later owners. */
+    /** Reports the shard's machines to the leader and to later owners. */
     val summary = ShardSummary(state, agents.health, knowledge.types, knowledge.failingJobs, clock)
 }
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -14,8 +14,8 @@
 import copperglade.transport.Clock
 
 /**
- * Describes a shard's machines to others: their free and preemptible capacity to the leader, their cached images to a
- * later owner. Both are hints; whoever acts on one checks it against the records first.
+ * Reports a shard's machines to other controllers: the free and preemptible capacity to the leader, the cached images to a later
+ * owner. Both are hints; a controller that acts on a hint checks the records first.
  */
 class ShardSummary(
     private val state: ShardState,
@@ -25,8 +25,8 @@
     private val clock: Clock,
 ) {
     /**
-     * The capacity of the shard's fenced machines. A machine whose worker has not seen our token is left out, since what
-     * it reports may still change by a former owner's commands.
+     * Returns the capacity of the shard's fenced machines. A machine whose worker has not received the owner's fencing token is
+     * left out, since commands of a former owner may still change what the worker reports.
      */
     fun capacity(): ShardCapacity {
         val now = clock.now()
@@ -60,7 +60,10 @@
         )
     }
 
-    /** What is left of [free] for new tasks once the waiting ones that fit are placed; removes these from [waitingRequests]. */
+    /**
+     * Returns the part of [free] that remains for new tasks once the waiting tasks that fit are placed. Removes the requests of
+     * these tasks from [waitingRequests].
+     */
     private fun freeAfterWaiting(waitingRequests: MutableList<Resources>, free: Resources): Resources {
         var remaining = free
         val requests = waitingRequests.iterator()
@@ -73,7 +76,7 @@
         return remaining
     }
 
-    /** The cached images of the shard's machines, as many as fit into a value of [limitBytes]. */
+    /** Returns the cached images of the shard's machines, as many as fit into a stored value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord {
         var remainingBytes = limitBytes
         val imagesByMachine = state.machines.values.sortedBy { it.name.text }.mapNotNull { machine ->
--- a/src/main/kotlin/copperglade/placement/StartEligibility.kt
+++ b/src/main/kotlin/copperglade/placement/StartEligibility.kt
@@ -11,7 +11,7 @@
 import copperglade.tasks.RunTable
 import copperglade.transport.Clock
 
-/** Decides which of a shard's waiting runs may be started now, and which machines each of them must avoid. */
+/** Decides which of a shard's waiting runs may be started now, and which machines each run must avoid. */
 class StartEligibility(
     private val runs: RunTable,
     private val membership: Membership,
@@ -24,17 +24,20 @@
     /** Whether this controller may start tasks at all now. */
     val mayStartAny: Boolean get() = membership.mayStart
 
-    /** Whether [run]'s job is failing: one task of it is tried at a time, and nothing is preempted for it. */
+    /** Returns whether [run]'s job is failing. A failing job retries one task at a time, and no task is preempted for it. */
     fun isFailing(run: Run): Boolean = run.task.job in failingJobs
 
-    /** Whether [run] may be started as of [now], as far as its own retry delay, the records and its job's failures are concerned. */
+    /** Returns whether the retry delay of [run], the records and the failures of the run's job allow a start as of [now]. */
     fun mayStart(run: Run, now: MonotonicTime): Boolean {
         if (now < run.earliestStartAt || isRefused(run)) return false
         val job = run.task.job
         return job !in failingJobs || (backoff.mayRetry(job, now) && runs.ofJob(job).none { it.occupiesMachine })
     }
 
-    /** The leader that assigned the task may have known less than this controller, or may be of a version without dependencies. */
+    /**
+     * Returns whether the records forbid starting [run]. The leader that assigned the task may have read older records than this
+     * controller, or may run a version without support for dependencies between jobs.
+     */
     private fun isRefused(run: Run): Boolean {
         val refusal = guard.refusalByRecords(run.task)
         if (refusal != null && refusal != run.lastRefusal) audit.recordRefusal(run.task, refusal)
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Whether [run] must avoid [machine], since its job has just failed there. A job with completed tasks avoids no machine as a whole:
-     * each of its failing tasks looks for another machine by itself.
+     * Returns whether [run] must avoid [machine] because the run's job has just failed there. A job with completed tasks avoids no
+     * machine as a whole: each of its failing tasks avoids machines separately.
      */
     fun mustAvoid(run: Run, machine: Machine): Boolean {
         val job = run.task.job
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -25,7 +25,7 @@
 internal class StragglerRestart(val run: Run, val target: MachineName)
 
 /**
- * Finds the stragglers of one shard, and assesses the risk of restarting them on another of its machines (section 6 of the
+ * Finds the stragglers of one shard, and assesses the risk of restarting each on another machine of the shard (section 6 of the
  * paper and DESIGN).
  */
 internal class StragglerDetector(
@@ -37,10 +37,10 @@
     private val requestOf: (TaskId) -> Resources?,
 ) {
     /**
-     * How far a straggler is.
+     * The progress of a straggler.
      *
-     * @property jobAverageSeconds the average run time of its job's tasks.
-     * @property remainingSeconds the run time that is predicted to remain on its present machine.
+     * @property jobAverageSeconds the average run time of the tasks of the straggler's job.
+     * @property remainingSeconds the predicted remaining run time on the straggler's current machine.
      */
     private class Progress(val elapsedSeconds: Double, val jobAverageSeconds: Double, val remainingSeconds: Double)
 
@@ -48,8 +48,8 @@
     private var rotationOffset = 0
 
     /**
-     * Assesses a few of the stragglers on [machines] and returns those that are worth restarting. With hundreds of stragglers
-     * each takes its turn in a later check. Empty between checks.
+     * Assesses up to [MAX_ASSESSED_PER_CHECK] of the stragglers on [machines] and returns those that are worth restarting. Later
+     * checks assess the other stragglers in rotation. Returns an empty list between checks.
      */
     fun findRestarts(machines: Collection<Machine>, now: MonotonicTime): List<StragglerRestart> {
         if (now < nextCheckAt) return emptyList()
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The free capacity of the machines that may be the target of a restart. */
+    /** Returns the free capacity of the machines that may be the target of a restart. */
     private fun freeCapacity(machines: Collection<Machine>, now: MonotonicTime): MutableMap<MachineName, Resources> {
         val free = HashMap<MachineName, Resources>()
         for (machine in machines) {
@@ -83,10 +83,10 @@
         return (stragglers.drop(first) + stragglers.take(first)).take(MAX_ASSESSED_PER_CHECK)
     }
 
-    /** Services never finish, gangs run together or not at all, and any task is restarted once at most. */
+    /** Excludes services, which never finish, gangs, which run together or not at all, and tasks that were restarted once already. */
     private fun isEligible(run: Run) = run.state == RunState.RUNNING && run.spec.kind == JobKind.ARRAY && !run.restarted
 
-    /** Whether it has run for longer than its job's tasks do on average (section 6.1). */
+    /** Returns whether [run] has run for longer than [stragglerFactor] times the average of its job's tasks (section 6.1). */
     private fun isStraggler(run: Run, now: MonotonicTime): Boolean {
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return false)
         val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
@@ -97,7 +97,7 @@
         val source = run.machine ?: return null
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return null)
         val jobAverageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
-        // On a slow machine less of the task is done than the elapsed time says.
+        // On a slow machine less of the task is done than the elapsed time suggests.
         val doneSeconds = elapsedSeconds * profiles.speedOf(source.name)
         val similarTasks = profiles.similarTasks(run.spec.load, doneSeconds)
         val prediction = profiles.predict(source.name, factors(source, run, source.runs.size), similarTasks) ?: return null
@@ -111,7 +111,7 @@
         }
     }
 
-    /** The machines on which [run] fits, those with the most free CPUs first. */
+    /** Returns up to [MAX_RESTART_OPTIONS] machines on which [run] fits, those with the most free CPUs first. */
     private fun possibleTargets(
         run: Run,
         source: Machine,
@@ -125,7 +125,7 @@
         }.sortedByDescending { free.getValue(it.name).cpus }
         .take(MAX_RESTART_OPTIONS)
 
-    /** Null where too few similar tasks are known, or the machine's type is not. */
+    /** Returns null where the store holds too few similar tasks, or where the machine's type is unknown. */
     private fun restartOption(run: Run, machine: Machine, similarTasks: List<SimilarTask>): RestartOption<MachineName>? {
         val type = types[machine.typeName] ?: return null
         val prediction = profiles.predict(machine.name, factors(machine, run, machine.runs.size + 1), similarTasks)
@@ -178,7 +178,7 @@
         const val MIN_FETCH_GB_PER_SECOND = 1e-6
         const val MAX_ASSESSED_PER_CHECK = 4
 
-        /** Predictions for each straggler on all machines would take a large part of the processor. */
+        /** Predictions for each straggler on all machines would use a large part of the processor time. */
         const val MAX_RESTART_OPTIONS = 8
         const val MAX_HEARTBEAT_INTERVALS = 2.0
         val CHECK_INTERVAL = 2.seconds
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -9,8 +9,8 @@
 import copperglade.transport.Clock
 
 /**
- * Restarts stragglers where [StragglerDetector] finds it worth the risk. A task is restarted once at most: that it was is
- * recorded with its outcome, so that a later owner does not restart it again.
+ * Restarts the stragglers for which [StragglerDetector] considers a restart worth the risk. A task is restarted once at most: the
+ * restart is recorded with the task's outcome, so that a later owner of the shard does not restart the task again.
  */
 class StragglerRestarts internal constructor(
     private val state: ShardState,
@@ -19,7 +19,7 @@
     private val stopper: RunStopper,
     private val clock: Clock,
 ) {
-    /** Assesses a few stragglers and stops those worth restarting; each starts on its target once its worker confirms the stop. */
+    /** Assesses a few stragglers and stops those worth restarting. Each starts on its target once its worker confirms the stop. */
     fun restartStragglers(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
 
     private fun restart(restart: StragglerRestart) {
--- a/src/main/kotlin/copperglade/prediction/FactorWeights.kt
+++ b/src/main/kotlin/copperglade/prediction/FactorWeights.kt
@@ -5,12 +5,12 @@
 import kotlin.math.min
 import kotlin.math.sqrt
 
-/** How much each factor matters on one machine, fitted to how similar the run times of its tasks really were (section 5.3). */
+/** The weight of each factor on one machine, fitted to the real similarity of the run times of its tasks (section 5.3 of the paper). */
 class FactorWeights(private val fittingRate: Double) {
     /** The weights by factor. */
     val values: DoubleArray = TaskFactors.INITIAL_WEIGHTS.copyOf()
 
-    /** Formula (1): the weighted Euclidean distance. */
+    /** Returns the weighted Euclidean distance of [a] and [b]: formula (1). */
     fun distance(a: TaskFactors, b: TaskFactors): Double {
         var sum = 0.0
         for (factor in 0 until TaskFactors.COUNT) {
@@ -36,7 +36,7 @@
     }
 
     companion object {
-        /** Formula (4): how similar a real run time is to a predicted range. */
+        /** Returns the similarity of a real run time to a predicted range: formula (4). */
         fun realSimilarity(runSeconds: Double, predicted: RunTimePrediction): Double {
             val gap = min(abs(runSeconds - predicted.worstSeconds), abs(predicted.bestSeconds - runSeconds))
             return 1.0 - gap / max(max(runSeconds, predicted.averageSeconds), MIN_RUN_SECONDS)
--- a/src/main/kotlin/copperglade/prediction/MachineSpeeds.kt
+++ b/src/main/kotlin/copperglade/prediction/MachineSpeeds.kt
@@ -8,20 +8,23 @@
 import kotlin.math.sqrt
 
 /**
- * The speeds of machines, measured by the tasks that finished on them. The paper assumes that machines keep their speed.
+ * The speeds of machines, measured by the tasks that finished on them. The paper assumes that a machine's speed does not change.
  *
- * @param profiles the finished tasks, as they come and go.
+ * @param profiles a live view of the profiles of finished tasks; the owner of the collection adds and removes profiles.
  */
 internal class MachineSpeeds(private val profiles: Collection<TaskProfile>, private val averages: RunTimeAverages) {
     private var speeds: Map<MachineName, Double> = emptyMap()
     private var recordedSinceMeasured = 0
 
-    /** Must be called for each task that is added to the profiles. */
+    /** Must be called after each profile that is added to the profiles. */
     fun onRecorded() {
         recordedSinceMeasured++
     }
 
-    /** How fast [machine] is, where 1 is the average. Measured again only after some tasks, since one changes it little. */
+    /**
+     * Returns the relative speed of [machine], where 1 is the average. The speeds are measured again only after
+     * [TASKS_PER_MEASUREMENT] tasks, since one task changes them little.
+     */
     fun of(machine: MachineName): Double {
         if (recordedSinceMeasured >= TASKS_PER_MEASUREMENT) {
             recordedSinceMeasured = 0
@@ -30,7 +33,7 @@
         return speeds[machine] ?: 1.0
     }
 
-    /** The speeds that can't be explained by chance. */
+    /** Returns the speeds of the machines whose difference from the average is larger than their likely error. */
     private fun measure(): Map<MachineName, Double> {
         val speeds = HashMap<MachineName, Double>()
         for ((machine, tasks) in profiles.groupBy { it.machine }) {
@@ -40,10 +43,11 @@
     }
 
     /**
-     * The logarithm of a machine's speed by its [tasks]: the median of how much faster than the average of their jobs they
-     * were, reduced by its likely error. Null where it is within that error. Run times within a job differ by more than most
-     * machines do, so an uncorrected median of a few tasks would make ordinary machines look slow, and lead to restarts that
-     * lose time.
+     * Returns the logarithm of a machine's speed by its [tasks]: the median of each task's speed relative to the average of its
+     * job, reduced by the likely error of the median. Null where there are too few tasks, or the median is within its likely error.
+     *
+     * Run times within a job differ by more than most machines do, so an uncorrected median of a few tasks would make ordinary
+     * machines appear slow, and lead to restarts that lose time.
      */
     private fun logSpeed(tasks: List<TaskProfile>): Double? {
         val logs = tasks
@@ -61,7 +65,7 @@
         const val TASKS_PER_MEASUREMENT = 10
         const val MIN_TASKS_PER_MACHINE = 8
 
-        /** By how many times its standard error a median must differ from the average to count. */
+        /** The number of standard errors by which a median must differ from the average to count. */
         const val ERROR_FACTOR = 2.5
         const val MIN_RUN_SECONDS = 0.1
     }
--- a/src/main/kotlin/copperglade/prediction/NearestTasks.kt
+++ b/src/main/kotlin/copperglade/prediction/NearestTasks.kt
@@ -10,7 +10,10 @@
     /** The run times of the nearest tasks, nearest first. */
     val runTimesSeconds: List<Double> get() = runSeconds.take(size)
 
-    /** Inserts the task in order of distance. Sorting all tasks offered would take much longer than keeping the few nearest. */
+    /**
+     * Inserts the task in order of distance if it is among the nearest. Sorting all offered tasks would take much longer than
+     * keeping the few nearest.
+     */
     fun offer(distance: Double, taskRunSeconds: Double) {
         if (size == capacity && distance >= distances[size - 1]) return
         var index = if (size < capacity) size++ else size - 1
--- a/src/main/kotlin/copperglade/prediction/ProfileStore.kt
+++ b/src/main/kotlin/copperglade/prediction/ProfileStore.kt
@@ -5,13 +5,13 @@
 import copperglade.protocol.Resources
 
 /**
- * The profiles of tasks that finished while this controller watched, and the predictions drawn from them. Nothing is kept
- * across a restart: a new controller predicts nothing until tasks have finished under it.
+ * Stores the profiles of tasks that finished under this controller, and predicts run times from these profiles. The store is in
+ * memory only: a restarted controller predicts nothing until tasks have finished under it.
  *
- * @param nearestTasks how many similar tasks a prediction is made of.
- * @param fittingSteps how many of a machine's latest tasks a finished one is compared with to fit the machine's weights.
+ * @param nearestTasks the largest number of similar tasks that a prediction is made of.
+ * @param fittingSteps the number of a machine's latest tasks that a finished task is compared with to fit the machine's weights.
  * @param fittingRate how far each comparison moves the weights.
- * @param capacity how many profiles are kept.
+ * @param capacity the largest number of profiles that are kept.
  */
 class ProfileStore(
     private val nearestTasks: Int,
@@ -27,7 +27,7 @@
     private val averages = RunTimeAverages()
     private val speeds = MachineSpeeds(profiles, averages)
 
-    /** Adds the profile of a finished task, which may displace the oldest, and fits the weights of its machine. */
+    /** Adds the profile of a finished task, evicts the oldest profile of a full store, and fits the weights of the task's machine. */
     fun record(profile: TaskProfile) {
         fitWeights(profile)
         profiles.addLast(profile)
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The finished tasks of [load] that ran for more than [doneSeconds] on a machine of average speed, which a task that has
-     * already done so much resembles. Without that condition a task that is merely long would look as if it finished sooner
-     * when restarted.
+     * Returns the finished tasks of [load] that take more than [doneSeconds] on a machine of average speed. A task that has already
+     * done [doneSeconds] of work resembles these. Without this condition a task that merely has much work would appear to finish
+     * sooner when restarted.
      */
     fun similarTasks(load: String, doneSeconds: Double = 0.0): List<SimilarTask> = profiles.mapNotNull { profile ->
         if (profile.factors.load != load) return@mapNotNull null
@@ -55,7 +55,8 @@
     }
 
     /**
-     * Predicts the run time of a task on [machine] by the nearest of [similarTasks] (section 5.1); null where there are too few.
+     * Predicts the run time of a task on [machine] from the nearest of [similarTasks] (section 5.1 of the paper). Returns null where
+     * there are too few similar tasks.
      */
     fun predict(machine: MachineName, factors: TaskFactors, similarTasks: List<SimilarTask>): RunTimePrediction? {
         val machineWeights = weights[machine] ?: UNFITTED_WEIGHTS
@@ -66,21 +67,27 @@
         return RunTimePrediction(nearest.runTimesSeconds.map { it / speed }.sorted())
     }
 
-    /** Predicts the run time of a task on [machine] that has already done [doneSeconds] of work; null as above. */
+    /**
+     * Predicts the run time of a task on [machine] that has already done [doneSeconds] of work. Returns null where there are too few
+     * similar tasks.
+     */
     fun predict(machine: MachineName, factors: TaskFactors, doneSeconds: Double = 0.0): RunTimePrediction? =
         predict(machine, factors, similarTasks(factors.load, doneSeconds))
 
-    /** How fast a machine has proved to be, where 1 is the average. */
+    /** Returns the measured speed of [machine], where 1 is the average. */
     fun speedOf(machine: MachineName): Double = speeds.of(machine)
 
-    /** The predicted average run time of a task that is not placed yet; null where too few similar tasks have finished. */
+    /** Returns the predicted average run time of a task that is not placed yet; null where too few similar tasks have finished. */
     fun expectedRunSeconds(job: JobId, load: String, request: Resources): Double? =
         predict(ANY_MACHINE, TaskFactors(job, load, type = "", request, tasksOnMachine = 0))?.averageSeconds
 
-    /** The average run time of the job's finished tasks, or of its load's where too few have finished; null where those are too few. */
+    /**
+     * Returns the average run time of the finished tasks of [job], or of [load] where too few tasks of the job have finished; null
+     * where too few tasks of the load have finished either.
+     */
     fun averageRunSeconds(job: JobId, load: String): Double? = averages.ofJob(job) ?: averages.ofLoad(load)
 
-    /** Drops the fitted weights of a machine that is gone. Its tasks' profiles still count. */
+    /** Drops the fitted weights of a machine that was removed. The profiles of the machine's tasks still count. */
     fun removeMachine(machine: MachineName) {
         weights.remove(machine)
         latestTasks.remove(machine)
--- a/src/main/kotlin/copperglade/prediction/RestartOption.kt
+++ b/src/main/kotlin/copperglade/prediction/RestartOption.kt
@@ -1,11 +1,11 @@
 package copperglade.prediction
 
 /**
- * A machine on which a straggler could be restarted, and what is expected of it there.
+ * A machine on which a straggler could be restarted, and the predicted run time there.
  *
- * @property fetchSeconds how long the machine has to fetch the image first.
+ * @property fetchSeconds how long the machine needs to fetch the image before the start.
  */
 class RestartOption<T>(val target: T, val prediction: RunTimePrediction, val fetchSeconds: Double) {
-    /** How long the straggler takes there at worst. */
+    /** The longest time until the straggler ends on [target], including the image fetch. */
     val worstSeconds: Double get() = prediction.worstSeconds + fetchSeconds
 }
--- a/src/main/kotlin/copperglade/prediction/RiskAssessment.kt
+++ b/src/main/kotlin/copperglade/prediction/RiskAssessment.kt
@@ -1,12 +1,12 @@
 package copperglade.prediction
 
-/** The risk-aware assignment of section 6, with the profit function of DESIGN. */
+/** The risk-aware assignment of section 6 of the paper, with the profit function of DESIGN. */
 object RiskAssessment {
     private class AssessedOption<T>(val option: RestartOption<T>, val profitSeconds: Double)
 
     /**
-     * Algorithm 2: chooses the option with the largest expected profit, and restarts the straggler only if the worst run
-     * time there is less than [remainingSeconds], which it is expected to need where it is.
+     * Algorithm 2: chooses the option with the largest expected profit, and restarts the straggler only if the worst run time of
+     * that option is less than [remainingSeconds], the expected remaining run time on the straggler's current machine.
      */
     fun <T> assess(options: List<RestartOption<T>>, remainingSeconds: Double): RestartVerdict<T> {
         val best = options
@@ -22,8 +22,8 @@
     }
 
     /**
-     * E = sum of P·U over the ranges before and after the straggler's expected finish, in [remainingSeconds] from now.
-     * U = that finish − (now + the range's average), so that it is the time saved. Formulas (5), (6) and (8).
+     * Returns the expected profit E = sum of P·U over the ranges before and after the straggler's expected finish, which is in
+     * [remainingSeconds] from now. U = expected finish − (now + the range's average) is the time saved. Formulas (5), (6) and (8).
      */
     fun expectedProfitSeconds(prediction: RunTimePrediction, fetchSeconds: Double, remainingSeconds: Double): Double {
         val (before, after) = prediction.runSeconds.map { it + fetchSeconds }.partition { it <= remainingSeconds }
--- a/src/main/kotlin/copperglade/prediction/RunTimeAverages.kt
+++ b/src/main/kotlin/copperglade/prediction/RunTimeAverages.kt
@@ -9,7 +9,7 @@
             private set
         private var sumSeconds = 0.0
 
-        /** Null where too few tasks have finished to tell. */
+        /** Null where fewer than [MIN_TASKS] tasks have finished. */
         val averageSeconds: Double? get() = if (count >= MIN_TASKS) sumSeconds / count else null
 
         fun add(runSeconds: Double) {
@@ -39,10 +39,10 @@
         if (ofJob.count == 0) byJob.remove(profile.factors.job)
     }
 
-    /** Null where too few of the job's tasks have finished. */
+    /** Returns null where too few of the job's tasks have finished. */
     fun ofJob(job: JobId): Double? = byJob[job]?.averageSeconds
 
-    /** Null where too few tasks of the load have finished. */
+    /** Returns null where too few tasks of the load have finished. */
     fun ofLoad(load: String): Double? = byLoad[load]?.averageSeconds
 
     private companion object {
--- a/src/main/kotlin/copperglade/prediction/RunTimePrediction.kt
+++ b/src/main/kotlin/copperglade/prediction/RunTimePrediction.kt
@@ -1,6 +1,6 @@
 package copperglade.prediction
 
-/** A predicted run time: always a range, given by the run times of similar finished tasks in ascending order; never empty. */
+/** A predicted range of run times: the run times of similar finished tasks in ascending order. [runSeconds] must not be empty. */
 class RunTimePrediction(val runSeconds: List<Double>) {
     val bestSeconds: Double get() = runSeconds.first()
     val worstSeconds: Double get() = runSeconds.last()
--- a/src/main/kotlin/copperglade/prediction/SimilarTask.kt
+++ b/src/main/kotlin/copperglade/prediction/SimilarTask.kt
@@ -1,4 +1,4 @@
 package copperglade.prediction
 
-/** A finished task that another one resembles, and how long it would have run on a machine of average speed. */
+/** A finished task that resembles another task, and the finished task's run time scaled to a machine of average speed. */
 class SimilarTask(val profile: TaskProfile, val secondsOnAverageMachine: Double)
--- a/src/main/kotlin/copperglade/prediction/TaskFactors.kt
+++ b/src/main/kotlin/copperglade/prediction/TaskFactors.kt
@@ -6,10 +6,10 @@
 import kotlin.math.max
 
 /**
- * What the run time of a task is assumed to depend on (section 5.2 of the paper; the factors are those of DESIGN).
+ * The factors on which the run time of a task is assumed to depend (section 5.2 of the paper; the factors are those of DESIGN).
  *
- * @property load the recurring name of the task's job.
- * @property tasksOnMachine how many tasks its machine runs, this one included.
+ * @property load the workload class of the task's job.
+ * @property tasksOnMachine the number of tasks on the task's machine, this task included.
  */
 class TaskFactors(
     val job: JobId,
@@ -19,8 +19,8 @@
     val tasksOnMachine: Int,
 ) {
     /**
-     * The distance from [other] along the factor of index [factor], from 0 to 1. Names are equal or not; amounts differ by their
-     * relative difference, so that no unit outweighs another before the weights have been fitted.
+     * Returns the distance from [other] along the factor of index [factor], from 0 to 1. Names are either equal (0) or different (1).
+     * The distance of amounts is their relative difference, so that no unit outweighs another before the weights are fitted.
      */
     fun distance(other: TaskFactors, factor: Int): Double = when (factor) {
         LOAD -> if (load == other.load) 0.0 else 1.0
@@ -43,10 +43,10 @@
         private const val PROCESSORS = 3
         private const val MEMORY = 4
 
-        /** How many factors there are; their indices run from 0. */
+        /** The number of factors; their indices start at 0. */
         const val COUNT = 6
 
-        /** The weights by factor before any task has been profiled: the load and the job tell the most. */
+        /** The weights by factor before any task has been profiled: the load and the job predict the run time best. */
         val INITIAL_WEIGHTS = doubleArrayOf(0.4, 0.2, 0.1, 0.1, 0.1, 0.1)
     }
 }
