--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Keeps one run of each failing job in this shard for the next retry, and returns the job's other waiting runs to the leader:
-     * they would only use up capacity and their team's quota.
+     * Keeps at most one run of each failing job in this shard: the current retry, or the next one. Returns the job's other waiting
+     * runs to the leader, since these would only use up capacity and their team's quota.
      */
     private fun returnAllButOneRetry() {
         val failing = state.runs.waiting.filter(eligibility::isFailing)
--- a/src/test/kotlin/copperglade/prediction/FactorWeightsTest.kt
+++ b/src/test/kotlin/copperglade/prediction/FactorWeightsTest.kt
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test
 import kotlin.math.sqrt
 
-/** The paper's formulas, worked through by hand. */
+/** Compares the paper's formulas with results calculated by hand. */
 class FactorWeightsTest {
     private val factors = TaskFactors(JobId("job-1"), "render", "box", Resources(2.0, 0.0, 8.0), 3)
 
     @Test
-    fun `distance is the weighted Euclidean one of formula 1`() {
+    fun `distance is the weighted Euclidean distance of formula 1`() {
         val other = TaskFactors(JobId("job-2"), "render", "box", Resources(4.0, 0.0, 8.0), 3)
         assertArrayEquals(
             doubleArrayOf(0.0, 1.0, 0.0, 0.5, 0.0, 0.0),
@@ -25,7 +25,7 @@
     }
 
     @Test
-    fun `real similarity is formula 4`() {
+    fun `real similarity follows formula 4`() {
         // min(|30 - 20|, |10 - 30|) / max(30, 15) = 10 / 30
         assertEquals(1 - 10.0 / 30.0, FactorWeights.realSimilarity(30.0, RunTimePrediction(listOf(10.0, 20.0))), 1e-12)
     }
--- a/src/test/kotlin/copperglade/prediction/ProfileStoreTest.kt
+++ b/src/test/kotlin/copperglade/prediction/ProfileStoreTest.kt
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `nothing is predicted without history, and a prediction is a range`() {
+    fun `an empty store predicts nothing, and a prediction is a range of run times`() {
         assertNull(profileStore(emptyMap()).predict(MachineName("i-1"), factors))
         val prediction = profileStore(mapOf("i-1" to listOf(10.0, 12.0, 14.0))).predict(MachineName("i-1"), factors)
         assertNotNull(prediction)
@@ -28,14 +28,14 @@
     }
 
     @Test
-    fun `a task that is merely long is not similar to the short ones`() {
+    fun `a task that has run for long is predicted from longer tasks only`() {
         val profileStore = profileStore(mapOf("i-1" to listOf(5.0, 6.0, 7.0, 8.0, 30.0, 31.0, 32.0)))
         val prediction = profileStore.predict(MachineName("i-2"), factors, doneSeconds = 20.0)
         assertEquals(listOf(30.0, 31.0, 32.0), prediction?.runSeconds)
     }
 
     @Test
-    fun `a slow machine is known by its tasks`() {
+    fun `the speed of a machine is measured by its finished tasks`() {
         val profileStore = profileStore(mapOf("fast" to List(20) { 10.0 }, "slow" to List(8) { 40.0 }))
         assertTrue(profileStore.speedOf(MachineName("slow")) < 0.5)
         assertTrue(profileStore.speedOf(MachineName("fast")) > 1.0)
--- a/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/DeadlinePlanTest.kt
@@ -6,7 +6,7 @@
 import java.util.Random
 
 class DeadlinePlanTest {
-    /** How many of [order] are in time on a pool of one CPU. */
+    /** Returns how many jobs of [order] end by their due time on a pool of one CPU. */
     private fun jobsInTime(order: List<PlannedJob<Int>>): Int {
         var endSeconds = 0.0
         return order.count { job ->
@@ -28,7 +28,7 @@
         }
 
     @Test
-    fun `as many jobs are in time as in the best of all orders`() {
+    fun `the plan meets as many deadlines as the best of all orders`() {
         val random = Random(9)
         repeat(60) {
             val jobs = List(6) { PlannedJob(it, 1.0 + random.nextInt(9), listOf(2.0 + random.nextInt(25))) }
@@ -38,17 +38,17 @@
     }
 
     @Test
-    fun `what misses its deadline is planned for the next multiple, the hopeless go last`() {
+    fun `a job that misses its deadline is planned for the next multiple, a job without a feasible multiple comes last`() {
         val jobs = listOf(
-            PlannedJob("hopeless", 1.0, emptyList()),
-            PlannedJob("second chance", 10.0, listOf(5.0, 20.0)),
+            PlannedJob("infeasible", 1.0, emptyList()),
+            PlannedJob("next multiple", 10.0, listOf(5.0, 20.0)),
             PlannedJob("in time", 4.0, listOf(5.0, 10.0)),
         )
-        assertEquals(listOf("in time", "second chance", "hopeless"), DeadlinePlan(1.0).order(jobs))
+        assertEquals(listOf("in time", "next multiple", "infeasible"), DeadlinePlan(1.0).order(jobs))
     }
 
     @Test
-    fun `a team at its limit is planned within it`() {
+    fun `the jobs of a team at its quota are planned within that quota`() {
         val team = TeamName("small")
         val jobs = listOf(
             PlannedJob("large", 100.0, listOf(10.5), team = team),
@@ -56,7 +56,7 @@
             PlannedJob("second", 10.0, listOf(12.0), team = team),
             PlannedJob("other", 100.0, listOf(30.0), team = TeamName("other")),
         )
-        // With all 100 CPUs everything would be in time; with the team's 10, "large" would make the rest late.
+        // Planned on all 100 CPUs, all jobs would be in time. On the team's 10 CPUs, "large" would make the other jobs late.
         val order = DeadlinePlan(100.0) { if (it == team) 10.0 else 100.0 }.order(jobs)
         assertEquals(listOf("first", "second", "other", "large"), order)
     }
--- a/src/test/kotlin/copperglade/scheduling/StarvationPreventionTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/StarvationPreventionTest.kt
@@ -8,8 +8,9 @@
 
 class StarvationPreventionTest {
     /**
-     * A pool that gets half as much again as it can do, for ever: arrays of two classes and three teams, one in ten of
-     * them ten times as large. Whoever waits gets CPUs in the plan's order, fair shares first.
+     * A pool under lasting overload, in which the largest jobs starve if the deadline plan alone decides: it receives 1.5 times the
+     * work that it can do, as arrays of two load classes and three teams, one in ten of them ten times as large. Free CPUs go to the
+     * shares of starving jobs first, then to the other waiting jobs in the plan's order.
      */
     private class OverloadedPool(private val starvationPrevention: StarvationPrevention, seed: Long) {
         class Arrival(
@@ -85,7 +86,7 @@
     }
 
     @Test
-    fun `in an overload that never ends every class, team and size is served, and the largest begin in time`() {
+    fun `under lasting overload half of each class, team and size ends, and each job starts within 240 s`() {
         val overloadedPool = OverloadedPool(StarvationPrevention(60.0, 0.15), 3).apply { run(2600) }
         assertTrue(servedAtLeastHalf(overloadedPool))
         val late = overloadedPool.jobs.filter {
@@ -96,7 +97,7 @@
     }
 
     @Test
-    fun `without fair shares the largest jobs would starve`() {
+    fun `without shares for starving jobs less than half of some class, team or size ends`() {
         val overloadedPool = OverloadedPool(StarvationPrevention(1e9, 1e-9), 3).apply { run(2600) }
         assertFalse(servedAtLeastHalf(overloadedPool))
     }
