--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -23,13 +23,13 @@
         DUPLICATE,
 
         /** It may be from before the worker restarted, and the machine doesn't answer commands. */
-        UNVERIFIED_AND_SILENT,
+        UNVERIFIED_AND_UNREACHABLE,
 
         /** Earlier responses don't reach the worker: it shows none of the fencing tokens that they carried. */
-        RESPONSES_DO_NOT_ARRIVE,
+        RESPONSES_NOT_RECEIVED,
 
         /** Its machine is not a fenced machine of this owner, or another owner has commanded it since. */
-        NOT_OURS_TO_EXTEND,
+        MACHINE_NOT_OWNED,
     }
 }
 
@@ -53,11 +53,11 @@
             tracker.probeRemovedMachine(heartbeat)
             return notAcknowledged(HeartbeatOutcome.Reason.MACHINE_REMOVED)
         }
-        val known = state.machines[heartbeat.machine]
+        val trackedMachine = state.machines[heartbeat.machine]
         return when {
-            known != null && known.sequence.isUnverified(heartbeat) -> handleUnverified(known, heartbeat)
-            known != null && known.sequence.isDuplicate(heartbeat) -> {
-                commands.sendFencingToken(known)
+            trackedMachine != null && trackedMachine.sequence.isUnverified(heartbeat) -> handleUnverified(trackedMachine, heartbeat)
+            trackedMachine != null && trackedMachine.sequence.isDuplicate(heartbeat) -> {
+                commands.sendFencingToken(trackedMachine)
                 notAcknowledged(HeartbeatOutcome.Reason.DUPLICATE)
             }
             else -> handleTrusted(heartbeat)
@@ -67,9 +67,9 @@
     private fun handleTrusted(heartbeat: Heartbeat): HeartbeatOutcome {
         val machine = tracker.receive(heartbeat)
         machine.recordHeartbeat(heartbeat, clock.now())
-        if (responsesDoNotArrive(machine)) {
+        if (responsesNotReceived(machine)) {
             commands.sendFencingToken(machine)
-            return notAcknowledged(HeartbeatOutcome.Reason.RESPONSES_DO_NOT_ARRIVE)
+            return notAcknowledged(HeartbeatOutcome.Reason.RESPONSES_NOT_RECEIVED)
         }
         machine.renewLease(clock.now())
         if (!state.isOpen || !state.isFenced(machine)) {
@@ -88,7 +88,7 @@
     private fun handleUnverified(machine: Machine, heartbeat: Heartbeat): HeartbeatOutcome {
         commands.sendFencingToken(machine)
         if (clock.now() >= machine.lastContactAt + timeouts.heartbeatTimeout) {
-            return notAcknowledged(HeartbeatOutcome.Reason.UNVERIFIED_AND_SILENT)
+            return notAcknowledged(HeartbeatOutcome.Reason.UNVERIFIED_AND_UNREACHABLE)
         }
         machine.recordUnverifiedHeartbeat(clock.now())
         machine.renewLease(clock.now())
@@ -101,10 +101,10 @@
      * where the machine is not a fenced one of this owner.
      */
     fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome {
-        val known = state.machines[heartbeat.machine]?.takeIf { state.isOpen && state.isFenced(it) }
-        val mayExtend = known != null && heartbeat.fencingToken <= state.fencingToken &&
-            !known.sequence.isUnverified(heartbeat) && !known.sequence.isDuplicate(heartbeat)
-        if (!mayExtend) return notAcknowledged(HeartbeatOutcome.Reason.NOT_OURS_TO_EXTEND)
+        val trackedMachine = state.machines[heartbeat.machine]?.takeIf { state.isOpen && state.isFenced(it) }
+        val mayExtend = trackedMachine != null && heartbeat.fencingToken <= state.fencingToken &&
+            !trackedMachine.sequence.isUnverified(heartbeat) && !trackedMachine.sequence.isDuplicate(heartbeat)
+        if (!mayExtend) return notAcknowledged(HeartbeatOutcome.Reason.MACHINE_NOT_OWNED)
         val machine = tracker.receive(heartbeat)
         machine.recordHeartbeat(heartbeat, clock.now())
         machine.renewLease(clock.now())
@@ -115,7 +115,7 @@
      * Whether the responses don't reach a worker whose heartbeats arrive: it shows no token of this owner. Each response that was sent
      * may have renewed the lease, so the worker gets none any more, and its lease certainly expires.
      */
-    private fun responsesDoNotArrive(machine: Machine): Boolean =
+    private fun responsesNotReceived(machine: Machine): Boolean =
         state.isOpen && !state.isFenced(machine) && machine.unacknowledgedResponses >= MAX_UNACKNOWLEDGED_RESPONSES
 
     private fun notAcknowledged(reason: HeartbeatOutcome.Reason) = HeartbeatOutcome.NotAcknowledged(reason)
--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -20,7 +20,7 @@
 class HeartbeatResponses(
     private val state: ShardState,
     private val planner: CommandPlanner,
-    private val unresolved: UnresolvedStarts,
+    private val unresolvedStarts: UnresolvedStarts,
     private val guard: ActionGuard,
     private val audit: ActionAudit,
     private val timeouts: HeartbeatTimeouts,
@@ -49,7 +49,7 @@
         val commands = guard.approveCommands(machine.name, planned + unknownTaskStops)
         if (commands.isNotEmpty()) {
             planner.markSent(machine, commands)
-            unresolved.begin(machine, commands, expiresAt = clock.now() + RESPONSE_LIFETIME)
+            unresolvedStarts.recordSent(machine, commands, expiresAt = clock.now() + RESPONSE_LIFETIME)
         }
         return commands
     }
@@ -59,7 +59,7 @@
      * machine without tasks, which counts as idle only once it is empty.
      */
     private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.occupiesMachine } ||
-        clock.now() >= machine.channel.lastRemovalSentAt + timeouts.heartbeatIntervals(HEARTBEATS_PER_REMOVAL)
+        clock.now() >= machine.channel.lastRemovalSentAt + timeouts.heartbeatIntervals(REMOVAL_DELAY_INTERVALS)
 
     private fun compose(heartbeat: Heartbeat, commands: List<Command>): ByteArray {
         val stops = guard.requiredStops(heartbeat)
@@ -70,7 +70,7 @@
     }
 
     private companion object {
-        const val HEARTBEATS_PER_REMOVAL = 2.0
+        const val REMOVAL_DELAY_INTERVALS = 2.0
 
         /** Workers drop responses that come later than 4 s after their heartbeat. */
         val RESPONSE_LIFETIME = 5.seconds
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -28,17 +28,17 @@
      * 4 s turns to another controller, so this shows well before its lease expires.
      */
     fun countUnreachable(now: MonotonicTime): Int {
-        val limit = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEATS)
+        val limit = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEAT_INTERVALS)
         return state.machines.values.count { now >= it.lastContactAt + limit }
     }
 
     private fun isHealthy(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
-        !machine.deleting && !machine.evictionNoticed && !failureEvidence.blamesMachine(machine.name) && !isSilent(machine, now)
+        !machine.deleting && !machine.evictionNoticed && !failureEvidence.isFaultyMachine(machine.name) && !heartbeatTimedOut(machine, now)
 
-    private fun isSilent(machine: Machine, now: MonotonicTime): Boolean = now >= machine.lastContactAt + timeouts.heartbeatTimeout
+    private fun heartbeatTimedOut(machine: Machine, now: MonotonicTime): Boolean = now >= machine.lastContactAt + timeouts.heartbeatTimeout
 
     private companion object {
         /** Heartbeat intervals without contact after which a machine counts as unreachable. */
-        const val UNREACHABLE_HEARTBEATS = 1.6
+        const val UNREACHABLE_HEARTBEAT_INTERVALS = 1.6
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -20,7 +20,7 @@
 class MachineTracker(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
-    private val observer: TaskObserver,
+    private val reportReconciler: TaskReportReconciler,
     private val client: WorkerClient,
     private val history: MachineHistory,
     private val timeouts: HeartbeatTimeouts,
@@ -30,7 +30,7 @@
     private val removedMachines = RemovedMachines(clock)
 
     /** Removed machines with a probe in flight. */
-    private val probed = HashSet<MachineName>()
+    private val probesInFlight = HashSet<MachineName>()
 
     /** Accepts [heartbeat], the worker's own or a reply, if it is news, and returns the machine it is from. */
     fun receive(heartbeat: Heartbeat): Machine {
@@ -38,7 +38,7 @@
         val epochBefore = machine.epoch
         if (machine.update(heartbeat, clock.now())) {
             if (machine.epoch > epochBefore) releaseAll(machine, "agent epoch ${machine.epoch} began")
-            if (state.isOpen && state.isFenced(machine)) observer.reconcile(machine)
+            if (state.isOpen && state.isFenced(machine)) reportReconciler.reconcile(machine)
         }
         return machine
     }
@@ -48,30 +48,30 @@
      * had been accepted, and yet replies with no higher numbers, counts from the start again.
      */
     override fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        if (sentAt > machine.lastUpdateAt && !machine.sequence.isNews(heartbeat)) workerRestarted(machine, heartbeat)
+        if (sentAt > machine.lastUpdateAt && !machine.sequence.isNewerThanAccepted(heartbeat)) workerRestarted(machine, heartbeat)
         receive(heartbeat)
     }
 
     /** Whether [heartbeat] is from a removed machine, and from before its removal or from a worker that counts from the start again. */
-    fun isFromRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.covers(heartbeat)
+    fun isFromRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.predatesRemoval(heartbeat)
 
     /** Asks the removed machine that [heartbeat] is from whether it lives; the heartbeat itself may be a late copy. */
     fun probeRemovedMachine(heartbeat: Heartbeat) {
-        if (!state.isOpen || removedMachines.isPermanent(heartbeat.machine) || !probed.add(heartbeat.machine)) return
+        if (!state.isOpen || removedMachines.isDeleted(heartbeat.machine) || !probesInFlight.add(heartbeat.machine)) return
         client.probe(heartbeat.endpoint, state.fencingToken, heartbeat.epoch) { reply -> onProbeReply(heartbeat.machine, reply) }
     }
 
     private fun onProbeReply(name: MachineName, reply: CommandReply) {
-        val answer = when (reply) {
+        val heartbeat = when (reply) {
             is CommandReply.Answered -> reply.readHeartbeat()
             CommandReply.TimedOut -> null
         }
-        probed -= name
-        if (answer == null || answer.machine != name || !removedMachines.knows(name)) return
-        log.info("machine_returned machine={} epoch={}", name, answer.epoch)
-        val removedEpoch = removedMachines.epochOf(name)
-        receive(answer).sequence.markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
-        removedMachines.forget(name)
+        probesInFlight -= name
+        if (heartbeat == null || heartbeat.machine != name || !removedMachines.isRemoved(name)) return
+        log.info("machine_returned machine={} epoch={}", name, heartbeat.epoch)
+        val removedEpoch = removedMachines.removalEpochOf(name)
+        receive(heartbeat).sequence.markUnverifiedUpTo(removedEpoch, Long.MAX_VALUE)
+        removedMachines.remove(name)
     }
 
     /** Removes machines whose workers were last acknowledged more than a lease ago: they have ended their tasks. */
@@ -86,11 +86,11 @@
     /** Removes a machine that the cloud has deleted. */
     fun onDeleted(machine: Machine) {
         remove(machine)
-        removedMachines.deleted(machine.name)
+        removedMachines.recordDeleted(machine.name)
     }
 
     private fun discover(heartbeat: Heartbeat): Machine {
-        val startedUnderCurrentOwner = removedMachines.knows(heartbeat.machine)
+        val startedUnderCurrentOwner = removedMachines.isRemoved(heartbeat.machine)
         val discovered = Machine(
             heartbeat.machine,
             heartbeat.zone,
@@ -118,13 +118,13 @@
                 lifecycle.release(run, "worker of ${machine.name} restarted")
             }
         }
-        if (state.isFenced(machine)) observer.reconcile(machine)
+        if (state.isFenced(machine)) reportReconciler.reconcile(machine)
     }
 
     private fun remove(machine: Machine) {
         machines.remove(machine.name)
-        history.forget(machine.name)
-        removedMachines.expired(machine.name, machine.epoch)
+        history.remove(machine.name)
+        removedMachines.recordExpired(machine.name, machine.epoch)
         releaseAll(machine, "${machine.name} is gone")
     }
 
--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -15,12 +15,12 @@
     /** Records the run time of [run], which has just completed on [machine]; no effect for services and for runs not seen running. */
     fun record(run: Run, machine: Machine) {
         val runningSince = run.runningSince ?: return
-        val seconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
+        val runSeconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
         run.stragglerRunSeconds?.let {
-            log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, seconds, it)
+            log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, runSeconds, it)
         }
-        profiles.record(TaskProfile(machine.name, factors(run, machine), seconds))
+        profiles.record(TaskProfile(machine.name, factors(run, machine), runSeconds))
     }
 
     private fun factors(run: Run, machine: Machine) =
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -23,35 +23,35 @@
     val size: Int get() = removals.size
 
     /** Records that the lease of [machine] has certainly expired: if it lives, it is in a later agent epoch than [epoch]. */
-    fun expired(machine: MachineName, epoch: Long) {
+    fun recordExpired(machine: MachineName, epoch: Long) {
         removals.remove(machine)
         removals[machine] = Removal(epoch, clock.now())
-        forgetOldest()
+        evictOldRemovals()
     }
 
-    private fun forgetOldest() {
+    private fun evictOldRemovals() {
         val now = clock.now()
         val oldest = removals.values.iterator()
         while (oldest.hasNext() && now >= oldest.next().at + RETENTION) oldest.remove()
     }
 
     /** Records that [machine] was deleted; machine names are never reused. */
-    fun deleted(machine: MachineName) = expired(machine, DELETED)
+    fun recordDeleted(machine: MachineName) = recordExpired(machine, DELETED_EPOCH)
 
     /** Whether [machine] was removed. */
-    fun knows(machine: MachineName): Boolean = machine in removals
+    fun isRemoved(machine: MachineName): Boolean = machine in removals
 
     /** The agent epoch in which [machine] was removed; 0 where it was not. */
-    fun epochOf(machine: MachineName): Long = removals[machine]?.epoch ?: 0L
+    fun removalEpochOf(machine: MachineName): Long = removals[machine]?.epoch ?: 0L
 
     /** Whether [heartbeat] is from before its machine's removal, or from a worker that counts from the start again. */
-    fun covers(heartbeat: Heartbeat): Boolean = removals[heartbeat.machine]?.let { heartbeat.epoch <= it.epoch } ?: false
+    fun predatesRemoval(heartbeat: Heartbeat): Boolean = removals[heartbeat.machine]?.let { heartbeat.epoch <= it.epoch } ?: false
 
     /** Whether [machine] was deleted and can never come back. */
-    fun isPermanent(machine: MachineName): Boolean = removals[machine]?.epoch == DELETED
+    fun isDeleted(machine: MachineName): Boolean = removals[machine]?.epoch == DELETED_EPOCH
 
     /** Records that [machine] is back. */
-    fun forget(machine: MachineName) {
+    fun remove(machine: MachineName) {
         removals.remove(machine)
     }
 
@@ -60,6 +60,6 @@
         val RETENTION = 1.hours
 
         /** In place of an agent epoch: every heartbeat is from before the removal. */
-        const val DELETED = Long.MAX_VALUE
+        const val DELETED_EPOCH = Long.MAX_VALUE
     }
 }
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -46,7 +46,7 @@
             if (assignment.preemptedForGuarantee) stopper.stop(run, StopReason.PREEMPTED_FOR_GUARANTEE)
             if (job.cancelled) stopper.stop(run, StopReason.CANCELLED)
         }
-        runs.ofJob(job.id).filter { it.task.index !in assigned }.forEach(::forget)
+        runs.ofJob(job.id).filter { it.task.index !in assigned }.forEach(::removeRun)
     }
 
     /** The run that follows [assignment]. One that was returned to the leader is replaced once its task is assigned here again. */
@@ -64,12 +64,12 @@
 
     /** Removes the runs of [job], which has ended or is no longer known. */
     fun removeJob(job: JobId) {
-        runs.ofJob(job).forEach(::forget)
-        backoff.forget(job)
+        runs.ofJob(job).forEach(::removeRun)
+        backoff.remove(job)
     }
 
     /** The outcome is recorded; whatever the machine's worker still reports of the task is removed as an unknown task. */
-    private fun forget(run: Run) {
+    private fun removeRun(run: Run) {
         audit.recordDroppedRun(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
         run.unbind()
         runs.remove(run)
--- a/src/main/kotlin/copperglade/agents/ShardAgents.kt
+++ b/src/main/kotlin/copperglade/agents/ShardAgents.kt
@@ -2,13 +2,13 @@
 
 import copperglade.membership.FormerIncarnations
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.HeartbeatTimeouts
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.ShardConnections
 import copperglade.tasks.ShardState
+import copperglade.tasks.SharedClusterData
 
 /**
  * The parts of a shard's owner that deal with its machines' workers and the tasks on them. Only wires them, in the order in which
@@ -16,10 +16,10 @@
  */
 class ShardAgents(
     state: ShardState,
-    outcomes: OutcomeLog,
+    outcomes: OutcomeWriter,
     connections: ShardConnections,
     control: ActionControl,
-    knowledge: ClusterKnowledge,
+    clusterData: SharedClusterData,
     formerIncarnations: FormerIncarnations,
     timeouts: HeartbeatTimeouts,
 ) {
@@ -30,7 +30,7 @@
     private val planner = CommandPlanner(state, guard, loop)
 
     /** Judges which machines may be given tasks. */
-    val health = MachineHealth(state, knowledge.failureEvidence, timeouts)
+    val health = MachineHealth(state, clusterData.failureEvidence, timeouts)
 
     /** The state transitions of the shard's runs. */
     val lifecycle = RunLifecycle(loop, outcomes)
@@ -49,23 +49,23 @@
 
     /** Stops runs. */
     val stopper = RunStopper(lifecycle, commands)
-    private val profileRecorder = ProfileRecorder(knowledge.profiles, loop)
-    private val exits = TaskExitHandler(state, lifecycle, outcomes, backoff, knowledge.failingJobs, profileRecorder, loop)
+    private val profileRecorder = ProfileRecorder(clusterData.profiles, loop)
+    private val exitHandler = TaskExitHandler(state, lifecycle, outcomes, backoff, clusterData.failingJobs, profileRecorder, loop)
 
     /** Brings the runs in line with what the workers report. */
-    val observer = TaskObserver(state, lifecycle, stopper, commands, exits, knowledge.types, guard)
-    private val machineHistory = MachineHistory(knowledge.profiles, knowledge.failureEvidence)
+    val reportReconciler = TaskReportReconciler(state, lifecycle, stopper, commands, exitHandler, clusterData.types, guard)
+    private val machineHistory = MachineHistory(clusterData.profiles, clusterData.failureEvidence)
 
     /** Tracks which machines the shard has. */
-    val tracker: MachineTracker = MachineTracker(state, lifecycle, observer, client, machineHistory, timeouts, loop)
+    val tracker: MachineTracker = MachineTracker(state, lifecycle, reportReconciler, client, machineHistory, timeouts, loop)
     private val responses = HeartbeatResponses(state, planner, unresolvedStarts, guard, audit, timeouts, loop)
 
     /** Decides which heartbeats are trusted and acknowledged. */
-    val heartbeats = HeartbeatHandler(state, tracker, commands, responses, timeouts, loop)
+    val heartbeatHandler = HeartbeatHandler(state, tracker, commands, responses, timeouts, loop)
 
     /** Brings the runs in line with the records. */
     val reconciler = RunReconciler(state, stopper, backoff, audit, loop)
 
     /** Lets missing runs start once no worker can hold them. */
-    val missingRuns = MissingRunRelease(state, stopper, guard, formerIncarnations, timeouts)
+    val missingRunRelease = MissingRunRelease(state, stopper, guard, formerIncarnations, timeouts)
 }
--- a/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
+++ b/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.ExitCause
 import copperglade.tasks.FailingJobs
 import copperglade.tasks.Machine
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
@@ -17,17 +17,17 @@
 class TaskExitHandler(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val backoff: RetryBackoff,
     private val failingJobs: FailingJobs,
-    private val profiles: ProfileRecorder,
+    private val profileRecorder: ProfileRecorder,
     private val clock: Clock,
 ) {
     /** The worker of [machine] reports that the task of [run] has exited for [cause]. */
     fun onExit(run: Run, machine: Machine, cause: ExitCause) {
         when (cause) {
             ExitCause.DONE -> {
-                profiles.record(run, machine)
+                profileRecorder.record(run, machine)
                 failingJobs.recordCompletion(run.task.job, machine.name)
                 lifecycle.finish(run, RunState.DONE, "completed")
             }
--- a/src/main/kotlin/copperglade/agents/TaskObserver.kt
+++ b/src/main/kotlin/copperglade/agents/TaskReportReconciler.kt
@@ -18,18 +18,18 @@
  * Invariant: only heartbeats of a fenced machine are used, since on others a former owner's commands may still take effect. Guards
  * against a task that is taken for ended, and started again, while it runs.
  */
-class TaskObserver(
+class TaskReportReconciler(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
     private val stopper: RunStopper,
     private val commands: WorkerCommands,
-    private val exits: TaskExitHandler,
+    private val exitHandler: TaskExitHandler,
     private val types: MachineTypeCatalog,
     private val guard: ActionGuard,
 ) {
     /** Brings the runs in line with what the worker of the fenced [machine] reports, and sends it the commands that follow. */
     fun reconcile(machine: Machine) {
-        for (reported in machine.reportedTasks) adopt(machine, reported)
+        for (reported in machine.reportedTasks) bindMissingRun(machine, reported)
         for (run in machine.runs.toList()) {
             val reported = machine.reportedTask(run.task, run.attempt)
             if (reported != null) onReported(run, machine, reported) else onNotReported(run, machine)
@@ -38,7 +38,7 @@
     }
 
     /** Binds a missing run to the machine on which a former owner started it. */
-    private fun adopt(machine: Machine, reported: ReportedTask) {
+    private fun bindMissingRun(machine: Machine, reported: ReportedTask) {
         val run = state.runs[reported.task] ?: return
         if (run.state != RunState.MISSING) return
         if (reported.state == ReportedTaskState.EXITED && reported.cause != ExitCause.DONE) return
@@ -59,7 +59,7 @@
                 if (!stopping) lifecycle.transition(run, RunState.RUNNING, "reported")
             }
             ReportedTaskState.CHECKPOINTING -> Unit
-            ReportedTaskState.EXITED -> exits.onExit(run, machine, reported.cause ?: ExitCause.OTHER)
+            ReportedTaskState.EXITED -> exitHandler.onExit(run, machine, reported.cause ?: ExitCause.OTHER)
         }
     }
 
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -26,7 +26,7 @@
      * Records that the starts among [commands] are being sent to [machine], and returns them for [resolve]. [expiresAt] is null where
      * a copy may arrive at any later time.
      */
-    fun begin(machine: Machine, commands: List<Command>, expiresAt: MonotonicTime?): List<UnresolvedStart> {
+    fun recordSent(machine: Machine, commands: List<Command>, expiresAt: MonotonicTime?): List<UnresolvedStart> {
         val starts = commands
             .filterIsInstance<Command.Start>()
             .map { UnresolvedStart(it.task, it.attempt, machine.epoch, state.fencingToken, clock.now(), expiresAt) }
@@ -38,7 +38,7 @@
     fun resolve(machine: Machine, starts: List<UnresolvedStart>) = machine.channel.resolve(starts)
 
     /** Drops starts that were sent with a heartbeat response which its worker would ignore by [now]. */
-    fun forgetExpired(now: MonotonicTime) = state.machines.values.forEach { it.channel.forgetExpired(now) }
+    fun discardExpired(now: MonotonicTime) = state.machines.values.forEach { it.channel.discardExpired(now) }
 
     /**
      * Whether an unresolved start blocks something that only a higher fencing token can unblock: a late copy of it could still take
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -28,7 +28,7 @@
 class WorkerCommands(
     private val state: ShardState,
     private val planner: CommandPlanner,
-    private val unresolved: UnresolvedStarts,
+    private val unresolvedStarts: UnresolvedStarts,
     private val lifecycle: RunLifecycle,
     private val client: WorkerClient,
     private val membership: Membership,
@@ -66,7 +66,7 @@
         planner.markSent(machine, commands)
         val sentAt = clock.now()
         machine.channel.commandSent(sentAt)
-        val starts = unresolved.begin(machine, commands, expiresAt = null)
+        val starts = unresolvedStarts.recordSent(machine, commands, expiresAt = null)
         client.send(machine.endpoint, state.fencingToken, machine.epoch, commands) { reply -> onReply(machine, reply, starts, sentAt) }
     }
 
@@ -81,7 +81,7 @@
     }
 
     private fun onAnswer(machine: Machine, answer: CommandReply.Answered, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
-        if (answer.isFinal) unresolved.resolve(machine, starts)
+        if (answer.isFinal) unresolvedStarts.resolve(machine, starts)
         val heartbeat = answer.readHeartbeat()
         if (heartbeat != null && heartbeat.machine == machine.name) {
             if (heartbeat.fencingToken > state.fencingToken) {
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -47,11 +47,11 @@
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.FailingJobs
 import copperglade.tasks.FailureEvidence
 import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.ShardConnections
+import copperglade.tasks.SharedClusterData
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 import copperglade.transport.RequestHandler
@@ -125,7 +125,7 @@
         ShardConnections(loop, http, store),
         replica,
         ActionControl(membership, guard, audit),
-        ClusterKnowledge(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
+        SharedClusterData(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
         formerIncarnations,
         HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.leaseSeconds),
         metrics,
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -16,7 +16,7 @@
 import copperglade.storage.Job
 import copperglade.storage.Replica
 import copperglade.tasks.Machine
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
 import copperglade.transport.Clock
 import kotlin.time.Duration.Companion.milliseconds
@@ -31,7 +31,7 @@
     private val state: ShardState,
     private val agents: ShardAgents,
     private val scheduling: ShardScheduling,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val replica: Replica,
     private val membership: Membership,
     private val metrics: EventLoopMetrics,
@@ -57,7 +57,7 @@
     fun open() {
         state.isOpen = true
         replica.jobs.values.forEach(::reconcile)
-        machines.values.toList().forEach { if (state.isFenced(it)) agents.observer.reconcile(it) }
+        machines.values.toList().forEach { if (state.isFenced(it)) agents.reportReconciler.reconcile(it) }
     }
 
     /** Stops commanding workers: the shard no longer belongs to this process. */
@@ -75,10 +75,10 @@
     fun removeJob(job: JobId) = agents.reconciler.removeJob(job)
 
     /** Handles a worker's own heartbeat. The caller has checked that this controller may act. */
-    fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.handle(heartbeat)
+    fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeatHandler.handle(heartbeat)
 
     /** Handles a heartbeat while this controller may no longer act but knows of no other that would. */
-    fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.extendWorkerLease(heartbeat)
+    fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeatHandler.extendWorkerLease(heartbeat)
 
     /**
      * Does what is due, always in this order: records outcomes, places waiting runs, removes machines whose leases have expired,
@@ -97,9 +97,9 @@
 
     /** Finds what only the passing of time has changed; what a heartbeat or a record changes is acted on at once. */
     private fun sweep(now: MonotonicTime) {
-        agents.unresolvedStarts.forgetExpired(now)
+        agents.unresolvedStarts.discardExpired(now)
         agents.tracker.removeExpired(now)
-        agents.missingRuns.releaseDue(now)
+        agents.missingRunRelease.releaseDue(now)
         if (membership.mayAct) machines.values.toList().forEach(agents.commands::sendDue)
     }
 
--- a/src/main/kotlin/copperglade/ownership/ShardOwnerFactory.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnerFactory.kt
@@ -8,11 +8,11 @@
 import copperglade.protocol.ShardName
 import copperglade.storage.Replica
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.HeartbeatTimeouts
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardConnections
 import copperglade.tasks.ShardState
+import copperglade.tasks.SharedClusterData
 
 /**
  * Creates the owners of shards that are granted to this process.
@@ -23,7 +23,7 @@
     private val connections: ShardConnections,
     private val replica: Replica,
     private val control: ActionControl,
-    private val knowledge: ClusterKnowledge,
+    private val clusterData: SharedClusterData,
     private val formerIncarnations: FormerIncarnations,
     private val timeouts: HeartbeatTimeouts,
     private val metrics: EventLoopMetrics,
@@ -33,9 +33,9 @@
     fun create(name: ShardName, grantToken: FencingToken): ShardOwner {
         val loop = connections.loop
         val state = ShardState(name, grantToken, grantedAt = loop.now(), replica)
-        val outcomes = OutcomeLog(loop, connections.store, replica, state, knowledge.failingJobs)
-        val agents = ShardAgents(state, outcomes, connections, control, knowledge, formerIncarnations, timeouts)
-        val scheduling = ShardScheduling(state, agents, outcomes, control, knowledge, timeouts, stragglerFactor, loop)
+        val outcomes = OutcomeWriter(loop, connections.store, replica, state, clusterData.failingJobs)
+        val agents = ShardAgents(state, outcomes, connections, control, clusterData, formerIncarnations, timeouts)
+        val scheduling = ShardScheduling(state, agents, outcomes, control, clusterData, timeouts, stragglerFactor, loop)
         return ShardOwner(state, agents, scheduling, outcomes, replica, control.membership, metrics, loop)
     }
 }
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -33,7 +33,7 @@
         if (changes.clusterRecordsChanged) reconcile()
         for (id in changes.jobs) {
             val job = replica.jobs[id]
-            if (job?.live == null) failureEvidence.forgetJob(id)
+            if (job?.live == null) failureEvidence.removeJob(id)
             for (shard in owned.all) if (job == null) shard.removeJob(id) else shard.reconcile(job)
         }
     }
--- a/src/main/kotlin/copperglade/placement/ShardScheduling.kt
+++ b/src/main/kotlin/copperglade/placement/ShardScheduling.kt
@@ -2,10 +2,10 @@
 
 import copperglade.agents.ShardAgents
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.HeartbeatTimeouts
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
+import copperglade.tasks.SharedClusterData
 import copperglade.transport.Clock
 
 /**
@@ -16,9 +16,9 @@
 class ShardScheduling(
     state: ShardState,
     agents: ShardAgents,
-    outcomes: OutcomeLog,
+    outcomes: OutcomeWriter,
     control: ActionControl,
-    knowledge: ClusterKnowledge,
+    clusterData: SharedClusterData,
     timeouts: HeartbeatTimeouts,
     stragglerFactor: Double,
     clock: Clock,
@@ -28,18 +28,18 @@
         control.membership,
         control.guard,
         control.audit,
-        knowledge.failingJobs,
+        clusterData.failingJobs,
         agents.backoff,
         clock,
     )
 
     /** Starts waiting runs. */
     val placement =
-        ShardPlacement(state, agents.health, agents.lifecycle, agents.stopper, agents.commands, eligibility, knowledge.types)
+        ShardPlacement(state, agents.health, agents.lifecycle, agents.stopper, agents.commands, eligibility, clusterData.types)
     private val stragglerDetector = StragglerDetector(
-        knowledge.profiles,
-        knowledge.types,
-        knowledge.failureEvidence,
+        clusterData.profiles,
+        clusterData.types,
+        clusterData.failureEvidence,
         timeouts,
         stragglerFactor,
         state::requestOf,
@@ -49,5 +49,5 @@
     val stragglers = StragglerRestarts(state, stragglerDetector, outcomes, agents.stopper, clock)
 
     /** Describes the machines to the leader and to later owners. */
-    val summary = ShardSummary(state, agents.health, knowledge.types, knowledge.failingJobs, clock)
+    val summary = ShardSummary(state, agents.health, clusterData.types, clusterData.failingJobs, clock)
 }
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -74,7 +74,7 @@
     }
 
     private fun isPossibleTarget(machine: Machine, now: MonotonicTime): Boolean =
-        !machine.draining && !machine.deleting && !machine.evictionNoticed && !failureEvidence.blamesMachine(machine.name) &&
+        !machine.draining && !machine.deleting && !machine.evictionNoticed && !failureEvidence.isFaultyMachine(machine.name) &&
             now < machine.lastContactAt + timeouts.heartbeatIntervals(MAX_HEARTBEAT_INTERVALS)
 
     private fun nextInRotation(stragglers: List<Run>): List<Run> {
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -3,7 +3,7 @@
 import copperglade.agents.RunStopper
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.secondsSince
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 import copperglade.transport.Clock
@@ -15,7 +15,7 @@
 class StragglerRestarts internal constructor(
     private val state: ShardState,
     private val detector: StragglerDetector,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val stopper: RunStopper,
     private val clock: Clock,
 ) {
--- a/src/main/kotlin/copperglade/tasks/CommandChannel.kt
+++ b/src/main/kotlin/copperglade/tasks/CommandChannel.kt
@@ -87,12 +87,12 @@
     }
 
     /** Drops starts that the worker would refuse or ignore by [now], had they not arrived. */
-    fun forgetExpired(now: MonotonicTime) {
+    fun discardExpired(now: MonotonicTime) {
         unresolved.removeIf { it.expiresAt != null && now >= it.expiresAt }
     }
 
     /** Drops what is settled once the worker has reported [reportedTasks] in agent epoch [epoch] under [fencingToken]. */
-    fun settle(epoch: Long, fencingToken: FencingToken, reportedTasks: List<ReportedTask>) {
+    fun discardResolved(epoch: Long, fencingToken: FencingToken, reportedTasks: List<ReportedTask>) {
         unresolved.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
     }
--- a/src/main/kotlin/copperglade/tasks/FailingJobs.kt
+++ b/src/main/kotlin/copperglade/tasks/FailingJobs.kt
@@ -16,7 +16,7 @@
     /** Whether the job [id] is failing, by the records or by what this process has seen itself. */
     operator fun contains(id: JobId): Boolean {
         val job = replica.jobs[id] ?: return false
-        return job.failing || (job.spec?.kind == JobKind.ARRAY && job.done.isEmpty && failureEvidence.blamesJob(id))
+        return job.failing || (job.spec?.kind == JobKind.ARRAY && job.done.isEmpty && failureEvidence.isFailingJob(id))
     }
 
     /** Whether the records already name [job] as failing; its failures then say nothing new, least of all about machines. */
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -25,25 +25,25 @@
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
     /** Once blamed, a job stays blamed until one of its tasks completes, whatever else fails on its machines later. */
-    private val blamedJobs = HashSet<JobId>()
+    private val failingJobs = HashSet<JobId>()
 
     /** Records that a task of [job] has failed on [machine]. */
     fun recordFailure(job: JobId, machine: MachineName, now: MonotonicTime) {
         machinesByJob.getOrPut(job) { HashSet() } += machine
         failuresByMachine.getOrPut(machine) { HashMap() }[job] = now
-        if (failsEverywhere(job)) blamedJobs += job
+        if (failsEverywhere(job)) failingJobs += job
     }
 
     /** Records that a task of [job] has completed on [machine], which clears both. */
     fun recordCompletion(job: JobId, machine: MachineName) {
         machinesByJob.remove(job)
-        blamedJobs.remove(job)
+        failingJobs.remove(job)
         val cleared = failuresByMachine.remove(machine) ?: return
-        blamedJobs += cleared.keys.filter(::failsEverywhere)
+        failingJobs += cleared.keys.filter(::failsEverywhere)
     }
 
     /** Whether [job] fails wherever it runs, as far as this process has seen. */
-    fun blamesJob(job: JobId): Boolean = job in blamedJobs
+    fun isFailingJob(job: JobId): Boolean = job in failingJobs
 
     private fun failsEverywhere(job: JobId): Boolean {
         val machines = machinesByJob[job] ?: return false
@@ -52,8 +52,8 @@
     }
 
     /** Whether [machine] fails the tasks of healthy jobs and should be replaced. */
-    fun blamesMachine(machine: MachineName): Boolean =
-        failuresByMachine[machine].orEmpty().keys.count { !blamesJob(it) } >= JOBS_TO_BLAME_MACHINE
+    fun isFaultyMachine(machine: MachineName): Boolean =
+        failuresByMachine[machine].orEmpty().keys.count { !isFailingJob(it) } >= FAULTY_MACHINE_JOB_THRESHOLD
 
     /**
      * Whether [job] has failed on [machine] so recently that its tasks should run elsewhere. Other jobs may still use the machine:
@@ -63,18 +63,18 @@
         failuresByMachine[machine]?.get(job)?.let { now < it + AVOIDANCE_PERIOD } ?: false
 
     /** Drops the evidence that [job], which has ended, left against itself and against the machines on which it failed. */
-    fun forgetJob(job: JobId) {
-        blamedJobs.remove(job)
+    fun removeJob(job: JobId) {
+        failingJobs.remove(job)
         machinesByJob.remove(job)?.forEach { failuresByMachine[it]?.remove(job) }
     }
 
     /** Drops the evidence against [machine], which no longer exists. */
-    fun forgetMachine(machine: MachineName) {
+    fun removeMachine(machine: MachineName) {
         failuresByMachine.remove(machine)
     }
 
     private companion object {
-        const val JOBS_TO_BLAME_MACHINE = 2
+        const val FAULTY_MACHINE_JOB_THRESHOLD = 2
 
         /** How long a job's tasks keep away from a machine on which one of them has failed. */
         val AVOIDANCE_PERIOD = 10.seconds
--- a/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
@@ -34,7 +34,7 @@
     fun isUnverified(heartbeat: Heartbeat): Boolean = !heartbeat.isNewerThan(unverifiedUpTo)
 
     /** Whether [heartbeat], or the reply to a command, is newer than all that was accepted. */
-    fun isNews(heartbeat: Heartbeat): Boolean = heartbeat.isNewerThan(accepted)
+    fun isNewerThanAccepted(heartbeat: Heartbeat): Boolean = heartbeat.isNewerThan(accepted)
 
     /** Records that the worker itself sent [heartbeat] and waits for the response. */
     fun recordHeartbeat(heartbeat: Heartbeat) {
--- a/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
@@ -18,13 +18,13 @@
     val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.DRIFT) + LEASE_MARGIN_SECONDS).seconds
 
     /** A machine that has not been heard from for this long counts as silent. */
-    val heartbeatTimeout: Duration get() = heartbeatIntervals(MISSED_HEARTBEATS)
+    val heartbeatTimeout: Duration get() = heartbeatIntervals(HEARTBEAT_TIMEOUT_INTERVALS)
 
     /** The time in which a worker sends [count] heartbeats. */
     fun heartbeatIntervals(count: Double): Duration = (heartbeatIntervalSeconds * count).seconds
 
     private companion object {
         const val LEASE_MARGIN_SECONDS = 0.5
-        const val MISSED_HEARTBEATS = 2.5
+        const val HEARTBEAT_TIMEOUT_INTERVALS = 2.5
     }
 }
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -110,7 +110,7 @@
      * changes nothing, and doesn't even show that the machine lives.
      */
     fun update(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
-        if (!sequence.isNews(heartbeat)) return false
+        if (!sequence.isNewerThanAccepted(heartbeat)) return false
         apply(heartbeat, now)
         return true
     }
@@ -128,10 +128,10 @@
         if (heartbeat.epoch != epoch) leaseRenewedAt = now
         sequence.accept(heartbeat)
         if (heartbeat.fencingToken > fencingToken) fencingToken = heartbeat.fencingToken
-        load.report(heartbeat.reportedTasks)
+        load.updateReportedTasks(heartbeat.reportedTasks)
         evictionNoticed = heartbeat.evictionNoticeSeconds != null
         endpoint = heartbeat.endpoint
-        channel.settle(epoch, fencingToken, reportedTasks)
+        channel.discardResolved(epoch, fencingToken, reportedTasks)
         if (reportedTasks.any { it.state != ReportedTaskState.EXITED }) idleSince = now
     }
 
--- a/src/main/kotlin/copperglade/tasks/MachineLoad.kt
+++ b/src/main/kotlin/copperglade/tasks/MachineLoad.kt
@@ -37,7 +37,7 @@
     }
 
     /** Replaces the tasks that the worker reports. */
-    fun report(tasks: List<ReportedTask>) {
+    fun updateReportedTasks(tasks: List<ReportedTask>) {
         reportedTasks = tasks
         invalidateFreeCapacity()
     }
--- a/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
@@ -37,12 +37,12 @@
         for (run in shard.runs.inRange(TaskRange(job.id, rangeIndex))) draft.add(run, job.cancelled)
         val failing = draft.done.isEmpty && (present.failing || job.id in failingJobs)
         if (!draft.changed && failing == present.failing) return null
-        val returned = stillNeeded(draft.returned, job.assignmentRanges[rangeIndex]?.value)
+        val returned = retainAssigned(draft.returned, job.assignmentRanges[rangeIndex]?.value)
         return OutcomeRecord(draft.done, returned, draft.restarted, present.version + 1, failing)
     }
 
     /** Returned tasks matter only as long as the leader's record [range] still names the assignment. */
-    private fun stillNeeded(returned: Map<Int, BitSet>, range: AssignmentRange?): Map<Int, BitSet> {
+    private fun retainAssigned(returned: Map<Int, BitSet>, range: AssignmentRange?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in range?.groups.orEmpty()) {
             if (group.shard != shard.name) continue
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeWriter.kt
@@ -24,14 +24,14 @@
  * write budget is, and for longest while the task range has runs that have not ended. Until it is recorded that a task is done, its
  * worker keeps reporting it, so that a new owner finds it.
  */
-class OutcomeLog(
+class OutcomeWriter(
     private val loop: EventLoop,
     private val store: StateClient,
     private val replica: Replica,
     private val shard: ShardState,
     failingJobs: FailingJobs,
 ) {
-    private val records = OutcomeRecordBuilder(shard, failingJobs)
+    private val recordBuilder = OutcomeRecordBuilder(shard, failingJobs)
     private val packer = RecordPacker(
         replica,
         store.limits,
@@ -84,7 +84,7 @@
         for (range in dirtySince.keys.toList()) {
             if (changes.size == maxRangesPerFlush) break
             val job = replica.jobs[range.job]?.takeIf { it.live != null }
-            val record = job?.let { records.update(it, range.index) }
+            val record = job?.let { recordBuilder.update(it, range.index) }
             if (job == null || record == null) {
                 dirtySince.remove(range)
             } else if (packer.ready(job, range.index)) {
--- a/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
+++ b/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
@@ -38,7 +38,7 @@
     fun mayRetry(job: JobId, now: MonotonicTime): Boolean = historyByJob[job]?.let { now >= it.nextStartAt } ?: true
 
     /** Drops the history of [job], which has ended or left the shard. */
-    fun forget(job: JobId) {
+    fun remove(job: JobId) {
         historyByJob.remove(job)
     }
 
--- a/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
@@ -9,7 +9,7 @@
  * Invariant: a run becomes [RunState.WAITING] or [RunState.GONE] only when its task is certainly on no machine. Guards against
  * a task that runs twice at the same time.
  */
-class RunLifecycle(private val clock: Clock, private val outcomes: OutcomeLog) {
+class RunLifecycle(private val clock: Clock, private val outcomes: OutcomeWriter) {
     /** Moves [run] to the state [next] as of now; no effect where it is in that state already. */
     fun transition(run: Run, next: RunState, reason: String) = run.transitionTo(next, reason, clock.now())
 
--- a/src/main/kotlin/copperglade/tasks/ShardServices.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardServices.kt
@@ -16,7 +16,7 @@
 class ActionControl(val membership: Membership, val guard: ActionGuard, val audit: ActionAudit)
 
 /** What the process has learned about machines and jobs, shared by the owners of all its shards. For wiring only. */
-class ClusterKnowledge(
+class SharedClusterData(
     val types: MachineTypeCatalog,
     val profiles: ProfileStore,
     val failureEvidence: FailureEvidence,
--- a/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
+++ b/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
@@ -22,22 +22,22 @@
 
     @Test
     fun `a fleet lost at once is remembered whole for as long as late copies may come`() {
-        repeat(MACHINES) { removed.expired(machine(it), epoch = 3) }
+        repeat(MACHINES) { removed.recordExpired(machine(it), epoch = 3) }
         sim.run(50 * 60_000.0)
-        removed.deleted(machine(MACHINES))
+        removed.recordDeleted(machine(MACHINES))
         repeat(MACHINES) { number ->
-            assertTrue(removed.covers(heartbeat(number, epoch = 3)))
-            assertFalse(removed.covers(heartbeat(number, epoch = 4)))
+            assertTrue(removed.predatesRemoval(heartbeat(number, epoch = 3)))
+            assertFalse(removed.predatesRemoval(heartbeat(number, epoch = 4)))
         }
     }
 
     @Test
     fun `what was removed long ago takes no memory`() {
-        repeat(MACHINES) { removed.deleted(machine(it)) }
+        repeat(MACHINES) { removed.recordDeleted(machine(it)) }
         sim.run(61 * 60_000.0)
-        removed.expired(machine(MACHINES), epoch = 1)
+        removed.recordExpired(machine(MACHINES), epoch = 1)
         assertEquals(1, removed.size)
-        assertTrue(removed.knows(machine(MACHINES)))
+        assertTrue(removed.isRemoved(machine(MACHINES)))
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -20,8 +20,8 @@
     @Test
     fun `one failure only keeps the job from the machine for a while`() {
         fail(1, 1)
-        assertFalse(failureEvidence.blamesJob(job(1)))
-        assertFalse(failureEvidence.blamesMachine(machine(1)))
+        assertFalse(failureEvidence.isFailingJob(job(1)))
+        assertFalse(failureEvidence.isFaultyMachine(machine(1)))
         assertTrue(failureEvidence.shouldAvoid(job(1), machine(1), now))
         assertFalse(failureEvidence.shouldAvoid(job(2), machine(1), now))
         assertFalse(failureEvidence.shouldAvoid(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
@@ -31,17 +31,17 @@
     fun `a job that fails on several machines is blamed, and they are not`() {
         fail(1, 1)
         fail(1, 2)
-        assertTrue(failureEvidence.blamesJob(job(1)))
+        assertTrue(failureEvidence.isFailingJob(job(1)))
         fail(3, 1)
-        assertFalse(failureEvidence.blamesMachine(machine(1)))
-        assertFalse(failureEvidence.blamesMachine(machine(2)))
+        assertFalse(failureEvidence.isFaultyMachine(machine(1)))
+        assertFalse(failureEvidence.isFaultyMachine(machine(2)))
     }
 
     @Test
     fun `several failing jobs on one machine don't make it faulty`() {
         (1..3).forEach { job -> (1..3).forEach { fail(job, it) } }
-        (1..3).forEach { assertTrue(failureEvidence.blamesJob(job(it))) }
-        (1..3).forEach { assertFalse(failureEvidence.blamesMachine(machine(it))) }
+        (1..3).forEach { assertTrue(failureEvidence.isFailingJob(job(it))) }
+        (1..3).forEach { assertFalse(failureEvidence.isFaultyMachine(machine(it))) }
     }
 
     @Test
@@ -50,9 +50,9 @@
         fail(2, 1)
         fail(1, 2)
         fail(3, 2)
-        assertTrue(failureEvidence.blamesMachine(machine(1)))
-        assertTrue(failureEvidence.blamesMachine(machine(2)))
-        assertFalse(failureEvidence.blamesJob(job(1)))
+        assertTrue(failureEvidence.isFaultyMachine(machine(1)))
+        assertTrue(failureEvidence.isFaultyMachine(machine(2)))
+        assertFalse(failureEvidence.isFailingJob(job(1)))
     }
 
     @Test
@@ -61,17 +61,17 @@
         fail(2, 1)
         fail(2, 2)
         failureEvidence.recordCompletion(job(3), machine(1))
-        assertFalse(failureEvidence.blamesMachine(machine(1)))
-        assertTrue(failureEvidence.blamesJob(job(2)))
+        assertFalse(failureEvidence.isFaultyMachine(machine(1)))
+        assertTrue(failureEvidence.isFailingJob(job(2)))
         failureEvidence.recordCompletion(job(2), machine(3))
-        assertFalse(failureEvidence.blamesJob(job(2)))
+        assertFalse(failureEvidence.isFailingJob(job(2)))
     }
 
     @Test
     fun `what a job that is over left open is not held against its machines`() {
         fail(1, 1)
         fail(2, 1)
-        failureEvidence.forgetJob(job(1))
-        assertFalse(failureEvidence.blamesMachine(machine(1)))
+        failureEvidence.removeJob(job(1))
+        assertFalse(failureEvidence.isFaultyMachine(machine(1)))
     }
 }
