--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -14,22 +14,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Works out which commands a machine's worker has still to be given: starts and stops of its runs, and stops and removals of tasks
- * that it reports but that no run is bound to (*unknown* tasks).
+ * Determines which commands are due for a machine's worker: starts and stops of the machine's runs, and stops and removals of *unknown*
+ * tasks, which the worker reports without a run being bound to the machine.
  *
- * Invariant: an attempt whose start is unresolved is never removed from its machine, since a late copy of the start could run it
- * once more.
+ * Invariant: an attempt whose start is unresolved is never removed from its machine, since a late copy of the start could execute the
+ * task again.
  */
 class CommandPlanner(private val state: ShardState, private val guard: ActionGuard, private val clock: Clock) {
-    /** The commands due for [machine], see [dueCommands] with the commands for unknown tasks. */
+    /** Returns the commands due for [machine] now, those for unknown tasks included. */
     fun dueCommands(machine: Machine): List<Command> {
         val now = clock.now()
         return dueCommands(machine, unknownTaskCommands(machine, now), now)
     }
 
     /**
-     * The commands due for [machine], [unknownTaskCommands] among them: stops first, since they free capacity and may be urgent, and
-     * no more than one message may hold.
+     * Returns the commands due for [machine] and the given [unknownTaskCommands], at most [MAX_COMMANDS_PER_MESSAGE]. Stops come first,
+     * since they free capacity and may be urgent.
      */
     fun dueCommands(machine: Machine, unknownTaskCommands: List<Command>, now: MonotonicTime): List<Command> {
         val commands = ArrayList(unknownTaskCommands)
@@ -37,7 +37,7 @@
         return commands.sortedBy { COMMAND_ORDER.indexOf(it::class) }.take(MAX_COMMANDS_PER_MESSAGE)
     }
 
-    /** The commands due for tasks that [machine]'s worker reports and that no run is bound to. */
+    /** Returns the commands due for tasks that [machine]'s worker reports without a run being bound to the machine. */
     fun unknownTaskCommands(machine: Machine, now: MonotonicTime): List<Command> = machine.reportedTasks
         .filter { machine.runOf(it) == null }
         .mapNotNull { unknownTaskCommand(machine, it, now) }
@@ -67,7 +67,7 @@
 
     private fun mayStart(run: Run) = guard.refusalToStart(run.task) == null
 
-    /** A cancelled task gets no time to save a checkpoint. */
+    /** Returns the time that the task may take to save a checkpoint; zero for a cancelled task. */
     private fun graceSecondsFor(run: Run): Double = if (run.stopReason ==
         StopReason.CANCELLED
     ) {
@@ -90,7 +90,7 @@
     }
 
     companion object {
-        /** How long a command has to take effect before it is sent again. */
+        /** The time after which a command without effect is sent again. */
         val RESEND_INTERVAL = 1000.milliseconds
         private const val MAX_COMMANDS_PER_MESSAGE = 200
         private const val NO_GRACE_SECONDS = 0.0
@@ -98,7 +98,7 @@
     }
 }
 
-/** These commands without the stops that are in [others] already; stops are the same where task and attempt are. */
+/** Returns these commands without the stops that [others] contains. Stops of the same task and attempt are the same. */
 internal fun List<Command>.withoutStopsIn(others: List<Command>): List<Command> = filterNot { command ->
     command is Command.Stop && others.any { it is Command.Stop && it.task == command.task && it.attempt == command.attempt }
 }
--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -6,38 +6,42 @@
 import copperglade.tasks.ShardState
 import copperglade.transport.Clock
 
-/** What becomes of a worker's heartbeat. */
+/** The result of handling a worker's heartbeat. */
 sealed interface HeartbeatOutcome {
-    /** It is acknowledged with [body], which renews the worker's lease if it arrives. */
+    /** The heartbeat is acknowledged with the response [body], which renews the worker's lease if the response arrives. */
     class Acknowledged(val body: ByteArray) : HeartbeatOutcome
 
-    /** It is not acknowledged, so that the worker's lease runs on towards its end. */
+    /** The heartbeat is not acknowledged, so the worker's lease is not renewed. */
     data class NotAcknowledged(val reason: Reason) : HeartbeatOutcome
 
     /** Why a heartbeat is not acknowledged. */
     enum class Reason {
-        /** Its machine was removed, and it is from before that or from a worker that has restarted. */
+        /** The machine was removed; the heartbeat is from before the removal, or from a restarted worker. */
         MACHINE_REMOVED,
 
-        /** It is a late copy, or the worker has restarted with low numbers: only its reply to a command can tell. */
+        /** The heartbeat is a late copy, or the worker has restarted with low numbers. Only its reply to a command distinguishes these. */
         DUPLICATE,
 
-        /** It may be from before the worker restarted, and the machine doesn't answer commands. */
+        /** The heartbeat may be from before the worker restarted, and no reply or heartbeat of the worker was accepted recently. */
         UNVERIFIED_AND_UNREACHABLE,
 
-        /** Earlier responses don't reach the worker: it shows none of the fencing tokens that they carried. */
+        /** Earlier responses don't reach the worker: its heartbeats report none of the fencing tokens in these responses. */
         RESPONSES_NOT_RECEIVED,
 
-        /** Its machine is not a fenced machine of this owner, or another owner has commanded it since. */
+        /**
+         * The machine is not a fenced machine of an open shard, the worker has reported a higher token than this owner has, or the
+         * heartbeat is unverified or a duplicate.
+         */
         MACHINE_NOT_OWNED,
     }
 }
 
 /**
- * Decides which of the workers' own heartbeats are trusted, and whether each is acknowledged.
+ * Decides which heartbeats are trusted, and whether each is acknowledged. Replies to direct commands are not handled here.
  *
- * An acknowledgement renews the worker's lease, so it counts as if it had arrived. Invariant: a late copy of a heartbeat is not
- * acknowledged and changes nothing. Guards against tasks that run twice because an old heartbeat was taken for a new one.
+ * An acknowledgement may renew the worker's lease, so the lease counts as renewed even if the response is lost. Invariant: a late copy
+ * of a heartbeat is not acknowledged and changes nothing. Guards against two executions of a task because an old heartbeat was mistaken
+ * for a new one.
  */
 class HeartbeatHandler(
     private val state: ShardState,
@@ -47,7 +51,7 @@
     private val timeouts: HeartbeatTimeouts,
     private val clock: Clock,
 ) {
-    /** Handles a worker's own heartbeat. The caller has checked that the controller may act. */
+    /** Handles a heartbeat that a worker sent on its own. The caller must have checked that the controller may act. */
     fun handle(heartbeat: Heartbeat): HeartbeatOutcome {
         if (tracker.isFromRemovedMachine(heartbeat)) {
             tracker.probeRemovedMachine(heartbeat)
@@ -82,8 +86,8 @@
     }
 
     /**
-     * A heartbeat that may be from before the worker restarted is not accepted. While the machine replies to commands its lease must go
-     * on; one that doesn't is not acknowledged.
+     * Handles a heartbeat that may be from before the worker restarted. Its content is not accepted. It is acknowledged, so that the
+     * worker's lease is renewed, only while the worker is in contact through replies to commands.
      */
     private fun handleUnverified(machine: Machine, heartbeat: Heartbeat): HeartbeatOutcome {
         commands.sendFencingToken(machine)
@@ -96,9 +100,9 @@
     }
 
     /**
-     * Handles a heartbeat while the controller may no longer act but knows of no other that would: the worker's lease goes on, and
-     * nothing is commanded but the end of what is cancelled. Not acknowledged where another owner has given the worker commands, or
-     * where the machine is not a fenced one of this owner.
+     * Handles a heartbeat while this controller may no longer act and no other controller is known that may: renews the worker's lease,
+     * without commands other than the stops of cancelled and ended tasks. Not acknowledged if another owner has sent the worker
+     * commands, or if the machine is not a fenced machine of this owner.
      */
     fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome {
         val trackedMachine = state.machines[heartbeat.machine]?.takeIf { state.isOpen && state.isFenced(it) }
@@ -112,8 +116,8 @@
     }
 
     /**
-     * Whether the responses don't reach a worker whose heartbeats arrive: it shows no token of this owner. Each response that was sent
-     * may have renewed the lease, so the worker gets none any more, and its lease certainly expires.
+     * Whether the responses don't reach a worker whose heartbeats arrive: it reports no token of this owner. Each response may have
+     * renewed the lease, so no further response is sent to the worker, and its lease certainly expires.
      */
     private fun responsesNotReceived(machine: Machine): Boolean =
         state.isOpen && !state.isFenced(machine) && machine.unacknowledgedResponses >= MAX_UNACKNOWLEDGED_RESPONSES
--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -12,10 +12,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Composes the responses that acknowledge heartbeats and so renew the workers' leases, with the commands that they carry.
+ * Composes the responses that acknowledge heartbeats and renew the workers' leases, including the commands that they carry.
  *
- * Invariant: no such response lacks the stops of cancelled and ended tasks that the heartbeat reports ([ActionGuard.requiredStops]). Guards
- * against tasks that outlive their job's cancellation.
+ * Invariant: each response carries the stops of the cancelled and ended tasks that the heartbeat reports ([ActionGuard.requiredStops]).
+ * Guards against tasks that continue to run after their job's cancellation.
  */
 class HeartbeatResponses(
     private val state: ShardState,
@@ -26,16 +26,18 @@
     private val timeouts: HeartbeatTimeouts,
     private val clock: Clock,
 ) {
-    /** The body of a response to [heartbeat] of the fenced [machine], with the commands that are due for it. */
+    /** Returns the body of a response to [heartbeat] of the fenced [machine], with the commands that are due for the machine. */
     fun withDueCommands(machine: Machine, heartbeat: Heartbeat): ByteArray = compose(heartbeat, dueCommands(machine))
 
-    /** The body of a response to [heartbeat] without commands other than the stops that every response carries. */
+    /** Returns the body of a response to [heartbeat], without commands other than the stops that every response carries. */
     fun withoutCommands(heartbeat: Heartbeat): ByteArray = compose(heartbeat, emptyList())
 
     /**
-     * The commands that go with the response to a fenced machine's heartbeat. A command in a response is never executed late, so where
-     * direct commands go unanswered all of them go this way. Removals do in any case, to save messages of their own, and so do stops of
-     * unknown tasks: direct commands may be failing unnoticed, and no lease is renewed without stopping what no run follows any more.
+     * Returns the commands for the response to a fenced machine's heartbeat.
+     *
+     * A command in a response is never executed late, so the response carries all due commands while direct commands go unanswered.
+     * Removals are always sent with responses, which saves separate messages. Stops of unknown tasks are always included: direct commands
+     * may be failing undetected, and a lease must not be renewed without stopping the tasks that have no run.
      */
     private fun dueCommands(machine: Machine): List<Command> {
         val unknownTaskCommands = planner.unknownTaskCommands(machine, clock.now())
@@ -55,8 +57,9 @@
     }
 
     /**
-     * Every removal makes the worker send one more heartbeat. So removals wait a while for the next start to go with, but not on a
-     * machine without tasks, which counts as idle only once it is empty.
+     * Whether removals are sent with this response. Each removal makes the worker send an additional heartbeat, so removals are delayed
+     * for a while to be sent along with the next start. On a machine without tasks removals are sent at once, since the machine counts as
+     * idle only when it is empty.
      */
     private fun removalsAreDue(machine: Machine): Boolean = machine.runs.none { it.occupiesMachine } ||
         clock.now() >= machine.channel.lastRemovalSentAt + timeouts.heartbeatIntervals(REMOVAL_DELAY_INTERVALS)
@@ -72,7 +75,7 @@
     private companion object {
         const val REMOVAL_DELAY_INTERVALS = 2.0
 
-        /** Workers drop responses that come later than 4 s after their heartbeat. */
+        /** Workers drop responses that arrive later than 4 s after their heartbeat. */
         val RESPONSE_LIFETIME = 5.seconds
     }
 }
--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -6,26 +6,27 @@
 import copperglade.tasks.Machine
 import copperglade.tasks.ShardState
 
-/** Judges which machines of a shard may be given tasks, and which should be replaced. */
+/** Decides on which machines of a shard tasks may be placed, and which machines should be replaced. */
 class MachineHealth(
     private val state: ShardState,
     private val failureEvidence: FailureEvidence,
     private val timeouts: HeartbeatTimeouts,
 ) {
     /**
-     * Whether tasks may be placed on [machine]. Not where a command has just gone unanswered, since they might be bound there for a
-     * whole lease; nor where the worker's own heartbeats stay away though direct commands are answered, since its lease is running out.
+     * Whether tasks may be placed on [machine]. False after an unanswered command, since the tasks might stay bound to the machine for a
+     * whole lease. False too if the worker answers direct commands but sends no heartbeats, since its lease is about to expire.
      */
     fun isUsable(machine: Machine, now: MonotonicTime): Boolean =
         isHealthy(machine, now) && !machine.channel.unresponsive && now < machine.lastHeartbeatAt + timeouts.heartbeatTimeout
 
-    /** Whether [machine] is worth its price: one that has answered no command for a lease is not expected to recover. */
+    /** Whether [machine] should not be replaced. A worker that has answered no command for a whole lease is not expected to recover. */
     fun isWorthKeeping(machine: Machine, now: MonotonicTime): Boolean =
         isHealthy(machine, now) && machine.channel.unresponsiveSince?.let { now < it + timeouts.lease } ?: true
 
     /**
-     * How many of the shard's machines are unreachable: more than a heartbeat is overdue. A worker whose heartbeat goes unanswered for
-     * 4 s turns to another controller, so this shows well before its lease expires.
+     * Returns how many of the shard's machines are unreachable, with no contact for [UNREACHABLE_HEARTBEAT_INTERVALS]. A worker whose
+     * heartbeat goes unanswered for 4 s sends it to another controller, so an unreachable machine is detected well before its lease
+     * expires.
      */
     fun countUnreachable(now: MonotonicTime): Int {
         val limit = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEAT_INTERVALS)
--- a/src/main/kotlin/copperglade/agents/MachineHistory.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHistory.kt
@@ -4,9 +4,9 @@
 import copperglade.protocol.MachineName
 import copperglade.tasks.FailureEvidence
 
-/** What the process remembers about machines beyond their present state: run times of past tasks, and failures. */
+/** The history of machines that this process keeps: run times of past tasks, and failures. */
 class MachineHistory(private val profiles: ProfileStore, private val failureEvidence: FailureEvidence) {
-    /** Drops what is remembered about [machine], which is gone. */
+    /** Drops the history of [machine], which was removed from its shard. */
     fun remove(machine: MachineName) {
         profiles.forgetMachine(machine)
         failureEvidence.removeMachine(machine)
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Tracks which machines a shard has: from a worker's first heartbeat until its lease has expired or the machine is deleted.
+ * Tracks the machines of a shard: from a worker's first heartbeat until its lease has expired or the machine is deleted.
  *
- * Invariants: of a machine only the newest heartbeat counts, by agent epoch and sequence number, unless its worker has proved that
- * it counts from the start again; a removed machine comes back only by its reply to a probe. They guard against late copies of
- * heartbeats, which may arrive minutes after they were sent and would show tasks and free capacity that are gone.
+ * Invariants: only the newest heartbeat of a machine counts, by agent epoch and sequence number, unless the worker has proved by a
+ * reply that it has restarted and reset these numbers; a removed machine is added again only after its reply to a probe. Both guard
+ * against late copies of heartbeats, which may arrive minutes after they were sent and would report outdated tasks and free capacity.
  */
 class MachineTracker(
     private val state: ShardState,
@@ -32,7 +32,7 @@
     /** Removed machines with a probe in flight. */
     private val probesInFlight = HashSet<MachineName>()
 
-    /** Accepts [heartbeat], the worker's own or a reply, if it is news, and returns the machine it is from. */
+    /** Accepts [heartbeat], sent by the worker on its own or in a reply, if it is newer than all accepted ones. Returns its machine. */
     fun receive(heartbeat: Heartbeat): Machine {
         val machine = machines.getOrPut(heartbeat.machine) { discover(heartbeat) }
         val epochBefore = machine.epoch
@@ -44,18 +44,18 @@
     }
 
     /**
-     * Accepts [heartbeat], [machine]'s reply to a command that was sent at [sentAt]. A worker that was asked after its newest heartbeat
-     * had been accepted, and yet replies with no higher numbers, counts from the start again.
+     * Accepts [heartbeat], [machine]'s reply to a command that was sent at [sentAt]. If the command was sent after the newest heartbeat
+     * had been accepted, and the reply has no higher numbers, the worker has restarted and reset them.
      */
     override fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
         if (sentAt > machine.lastUpdateAt && !machine.sequence.isNewerThanAccepted(heartbeat)) workerRestarted(machine, heartbeat)
         receive(heartbeat)
     }
 
-    /** Whether [heartbeat] is from a removed machine, and from before its removal or from a worker that counts from the start again. */
+    /** Whether [heartbeat] is from a removed machine, sent before the removal or by a restarted worker that has reset its epoch. */
     fun isFromRemovedMachine(heartbeat: Heartbeat): Boolean = removedMachines.predatesRemoval(heartbeat)
 
-    /** Asks the removed machine that [heartbeat] is from whether it lives; the heartbeat itself may be a late copy. */
+    /** Probes whether the worker of the removed machine that [heartbeat] names is alive; the heartbeat may be a late copy. */
     fun probeRemovedMachine(heartbeat: Heartbeat) {
         if (!state.isOpen || removedMachines.isDeleted(heartbeat.machine) || !probesInFlight.add(heartbeat.machine)) return
         client.probe(heartbeat.endpoint, state.fencingToken, heartbeat.epoch) { reply -> onProbeReply(heartbeat.machine, reply) }
@@ -74,7 +74,7 @@
         removedMachines.remove(name)
     }
 
-    /** Removes machines whose workers were last acknowledged more than a lease ago: they have ended their tasks. */
+    /** Removes machines whose leases have certainly expired: their workers have terminated all tasks. */
     fun removeExpired(now: MonotonicTime) {
         for (machine in machines.values.toList()) {
             if (now < machine.leaseRenewedAt + timeouts.maxLease) continue
@@ -105,8 +105,8 @@
     }
 
     /**
-     * The worker's reply to a command counts from the start again, so no task that was on the machine is there any more. A start whose
-     * outcome is unknown may yet arrive and take effect, since the new agent epoch may have the number of the old: it stays bound.
+     * Handles a worker's restart, detected by its reply to a command: none of the machine's former tasks is there any more. The run of an
+     * unresolved start stays bound, since a late copy of the start may take effect if the new agent epoch has the number of the old one.
      */
     private fun workerRestarted(machine: Machine, heartbeat: Heartbeat) {
         log.info("worker_restarted machine={} tasks_lost={}", machine.name, machine.runs.size)
@@ -125,7 +125,7 @@
         machines.remove(machine.name)
         history.remove(machine.name)
         removedMachines.recordExpired(machine.name, machine.epoch)
-        releaseAll(machine, "${machine.name} is gone")
+        releaseAll(machine, "${machine.name} removed")
     }
 
     private fun releaseAll(machine: Machine, reason: String) = machine.runs.toList().forEach { lifecycle.release(it, reason) }
--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -10,9 +10,9 @@
 import copperglade.transport.Clock
 import org.slf4j.LoggerFactory
 
-/** Records how long completed array tasks ran, for the prediction of later ones. */
+/** Records the run times of completed array tasks, from which the run times of later tasks are predicted. */
 class ProfileRecorder(private val profiles: ProfileStore, private val clock: Clock) {
-    /** Records the run time of [run], which has just completed on [machine]; no effect for services and for runs not seen running. */
+    /** Records the run time of [run], just completed on [machine]. No effect unless it is an array task that was reported as running. */
     fun record(run: Run, machine: Machine) {
         val runningSince = run.runningSince ?: return
         val runSeconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -14,10 +14,10 @@
 import copperglade.transport.Clock
 
 /**
- * Keeps a shard's runs in line with the records: one run for each of the shard's assignments, and no others.
+ * Keeps a shard's runs consistent with the records: exactly one run for each of the shard's assignments.
  *
- * Invariant: a task that was assigned before the grant is [RunState.MISSING] until no worker can hold it any more, since a former
- * owner may have started it.
+ * Invariant: the run of a task that was assigned before the grant is [RunState.MISSING] until a worker reports the task, or the task is
+ * confirmed absent from all workers, since a former owner may have started it.
  */
 class RunReconciler(
     private val state: ShardState,
@@ -28,7 +28,7 @@
 ) {
     private val runs = state.runs
 
-    /** Brings the runs of [job] in line with its records; no effect before the shard is open. */
+    /** Updates the runs of [job] from its records; no effect unless the shard is open. */
     fun reconcile(job: Job) {
         if (!state.isOpen) return
         val live = job.live
@@ -49,7 +49,7 @@
         runs.ofJob(job.id).filter { it.task.index !in assigned }.forEach(::removeRun)
     }
 
-    /** The run that follows [assignment]. One that was returned to the leader is replaced once its task is assigned here again. */
+    /** Returns the run of [assignment]. A run that was returned to the leader is replaced when its task is assigned here again. */
     private fun runFor(job: Job, spec: JobSpec, acceptedAtMillis: Long, assignment: Assignment): Run {
         val task = TaskId(job.id, assignment.task)
         val known = runs[task]
@@ -62,13 +62,13 @@
         return newRun
     }
 
-    /** Removes the runs of [job], which has ended or is no longer known. */
+    /** Removes the runs of [job], which has ended or is no longer in the replica. */
     fun removeJob(job: JobId) {
         runs.ofJob(job).forEach(::removeRun)
         backoff.remove(job)
     }
 
-    /** The outcome is recorded; whatever the machine's worker still reports of the task is removed as an unknown task. */
+    /** Removes [run], which has no assignment any more. If a worker still reports the task, it is handled as an unknown task. */
     private fun removeRun(run: Run) {
         audit.recordDroppedRun(run.task, run.state.name, run.machine?.name, run.occupiesMachine)
         run.unbind()
--- a/src/main/kotlin/copperglade/agents/RunStopper.kt
+++ b/src/main/kotlin/copperglade/agents/RunStopper.kt
@@ -6,13 +6,13 @@
 import copperglade.tasks.StopReason
 
 /**
- * Stops runs. A run that may be on a machine counts as there until its worker has confirmed that it has ended, so that its task
- * never runs in two places.
+ * Stops runs. A run that may be on a machine counts as running there until the machine's worker has confirmed its end, so that a task
+ * never runs on two machines at once.
  */
 class RunStopper(private val lifecycle: RunLifecycle, private val commands: WorkerCommands) {
     /**
-     * Stops [run] for [reason], or returns it to the leader at once where it is on no machine. A run that is already stopping takes
-     * over a reason that is final: a straggler that is cancelled must not be started again.
+     * Stops [run] for [reason]. A waiting run is returned to the leader at once. If the run is already stopping, a final [reason] replaces
+     * the former one: a cancelled straggler must not be started again.
      */
     fun stop(run: Run, reason: StopReason) {
         when (run.state) {
--- a/src/main/kotlin/copperglade/agents/ShardAgents.kt
+++ b/src/main/kotlin/copperglade/agents/ShardAgents.kt
@@ -11,8 +11,8 @@
 import copperglade.tasks.SharedClusterData
 
 /**
- * The parts of a shard's owner that deal with its machines' workers and the tasks on them. Only wires them, in the order in which
- * they depend on each other; each part gets just what it needs.
+ * Wires the components of a shard owner that handle its workers and their tasks, in the order of their dependencies. Each component
+ * gets only the dependencies that it needs.
  */
 class ShardAgents(
     state: ShardState,
@@ -29,7 +29,7 @@
     private val client = WorkerClient(connections.http, guard, audit)
     private val planner = CommandPlanner(state, guard, loop)
 
-    /** Judges which machines may be given tasks. */
+    /** Decides on which machines tasks may be placed. */
     val health = MachineHealth(state, clusterData.failureEvidence, timeouts)
 
     /** The state transitions of the shard's runs. */
@@ -41,7 +41,7 @@
     /** Starts whose outcome is unknown. */
     val unresolvedStarts = UnresolvedStarts(state, guard, timeouts, loop)
 
-    /** Sends direct commands. They need the tracker for their replies, and the tracker needs commands: the lambda ties the two. */
+    /** Sends direct commands. The replies go to the tracker through a lambda, since the tracker in turn depends on the commands. */
     val commands: WorkerCommands =
         WorkerCommands(state, planner, unresolvedStarts, lifecycle, client, control.membership, loop) { machine, heartbeat, sentAt ->
             tracker.onReply(machine, heartbeat, sentAt)
@@ -52,20 +52,20 @@
     private val profileRecorder = ProfileRecorder(clusterData.profiles, loop)
     private val exitHandler = TaskExitHandler(state, lifecycle, outcomes, backoff, clusterData.failingJobs, profileRecorder, loop)
 
-    /** Brings the runs in line with what the workers report. */
+    /** Updates the runs from the workers' reports. */
     val reportReconciler = TaskReportReconciler(state, lifecycle, stopper, commands, exitHandler, clusterData.types, guard)
     private val machineHistory = MachineHistory(clusterData.profiles, clusterData.failureEvidence)
 
-    /** Tracks which machines the shard has. */
+    /** Tracks the machines of the shard. */
     val tracker: MachineTracker = MachineTracker(state, lifecycle, reportReconciler, client, machineHistory, timeouts, loop)
     private val responses = HeartbeatResponses(state, planner, unresolvedStarts, guard, audit, timeouts, loop)
 
     /** Decides which heartbeats are trusted and acknowledged. */
     val heartbeatHandler = HeartbeatHandler(state, tracker, commands, responses, timeouts, loop)
 
-    /** Brings the runs in line with the records. */
+    /** Updates the runs from the records. */
     val reconciler = RunReconciler(state, stopper, backoff, audit, loop)
 
-    /** Lets missing runs start once no worker can hold them. */
+    /** Releases missing runs once their tasks are confirmed absent from all workers. */
     val missingRunRelease = MissingRunRelease(state, stopper, guard, formerIncarnations, timeouts)
 }
--- a/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
+++ b/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 
-/** Decides what follows from the exit of a task: it is done, or is started again later, preferably on another machine. */
+/** Handles the exit of a task: the task is done, is returned to the leader, or is started again, preferably on another machine. */
 class TaskExitHandler(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
@@ -23,7 +23,7 @@
     private val profileRecorder: ProfileRecorder,
     private val clock: Clock,
 ) {
-    /** The worker of [machine] reports that the task of [run] has exited for [cause]. */
+    /** Handles the report of [machine]'s worker that the task of [run] has exited for [cause]. */
     fun onExit(run: Run, machine: Machine, cause: ExitCause) {
         when (cause) {
             ExitCause.DONE -> {
@@ -52,7 +52,7 @@
         retryElsewhere(run, machine, backoff.delayAfterFailures(run.failures))
     }
 
-    /** Lets [run] start again after [delay], on another machine; once half of the shard's machines have been tried, on any. */
+    /** Releases [run] to be started after [delay] on another machine, or on any machine once half of the shard's have been tried. */
     private fun retryElsewhere(run: Run, machine: Machine, delay: Duration) {
         if (run.avoidedMachines.size * 2 >= state.machines.size) run.avoidedMachines.clear()
         run.avoidedMachines += machine.name
--- a/src/main/kotlin/copperglade/agents/TaskReportReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/TaskReportReconciler.kt
@@ -13,10 +13,10 @@
 import copperglade.tasks.StopReason
 
 /**
- * Brings a shard's runs in line with what the workers report.
+ * Updates a shard's runs from the tasks that the workers report.
  *
- * Invariant: only heartbeats of a fenced machine are used, since on others a former owner's commands may still take effect. Guards
- * against a task that is taken for ended, and started again, while it runs.
+ * Invariant: only heartbeats of fenced machines are used, since on other machines a former owner's commands may still take effect.
+ * Guards against a task that is considered ended, and is started again, while it still runs.
  */
 class TaskReportReconciler(
     private val state: ShardState,
@@ -27,7 +27,7 @@
     private val types: MachineTypeCatalog,
     private val guard: ActionGuard,
 ) {
-    /** Brings the runs in line with what the worker of the fenced [machine] reports, and sends it the commands that follow. */
+    /** Updates the runs from the report of the fenced [machine]'s worker, and sends the worker the commands that are due. */
     fun reconcile(machine: Machine) {
         for (reported in machine.reportedTasks) bindMissingRun(machine, reported)
         for (run in machine.runs.toList()) {
@@ -63,14 +63,14 @@
         }
     }
 
-    /** An accepted heartbeat doesn't show [run], which is bound to its machine. */
+    /** Handles an accepted heartbeat of [machine] that doesn't report [run], which is bound to the machine. */
     private fun onNotReported(run: Run, machine: Machine) {
         when {
             run.confirmedByWorker -> lifecycle.release(run, "no longer reported")
             run.state != RunState.STOPPING -> Unit
             // The start was answered or never sent, and the worker does not have the task.
             !machine.channel.commandInFlight && !machine.channel.hasUnresolvedStart(run.task, run.attempt) ->
-                lifecycle.release(run, "never arrived")
+                lifecycle.release(run, "start had no effect")
         }
     }
 }
--- a/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
+++ b/src/main/kotlin/copperglade/agents/UnresolvedStarts.kt
@@ -11,10 +11,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tracks start commands whose outcome is unknown. A late copy of one may still start its task, so the attempt stays bound to its
- * machine and is not removed there until agent epoch or fencing token have moved on.
+ * Tracks start commands whose outcome is unknown. A late copy of such a command may still start the task, so the attempt stays bound to
+ * its machine, and is not removed there, until the worker's agent epoch or fencing token is higher.
  *
- * Guards against a task that is started once more by a delayed message, after it was returned to the leader or after it ended.
+ * Guards against a task that a delayed message starts again after the task was returned to the leader or has ended.
  */
 class UnresolvedStarts(
     private val state: ShardState,
@@ -23,8 +23,8 @@
     private val clock: Clock,
 ) {
     /**
-     * Records that the starts among [commands] are being sent to [machine], and returns them for [resolve]. [expiresAt] is null where
-     * a copy may arrive at any later time.
+     * Records that the starts among [commands] are being sent to [machine], and returns them for [resolve]. [expiresAt] is null if a
+     * copy may take effect at any later time.
      */
     fun recordSent(machine: Machine, commands: List<Command>, expiresAt: MonotonicTime?): List<UnresolvedStart> {
         val starts = commands
@@ -34,17 +34,19 @@
         return starts
     }
 
-    /** The worker has answered the message that carried [starts]: that copy was executed or never will be. */
+    /** Drops [starts] after the worker has answered their message: it was executed, or no copy of it can be executed any more. */
     fun resolve(machine: Machine, starts: List<UnresolvedStart>) = machine.channel.resolve(starts)
 
-    /** Drops starts that were sent with a heartbeat response which its worker would ignore by [now]. */
+    /** Drops starts that were sent with a heartbeat response that the worker would ignore if it arrived at [now]. */
     fun discardExpired(now: MonotonicTime) = state.machines.values.forEach { it.channel.discardExpired(now) }
 
     /**
-     * Whether an unresolved start blocks something that only a higher fencing token can unblock: a late copy of it could still take
-     * effect, and its machine is alive. Where direct commands go unanswered that can wait, unless the task is cancelled: its start,
-     * held up on the way for longer than a cancellation allows, must find a higher token at the worker, which the responses to
-     * heartbeats bring.
+     * Whether some unresolved start requires a higher fencing token: a late copy of the start could still take effect, and the machine
+     * is alive.
+     *
+     * While direct commands go unanswered, only the starts of ended and cancelled jobs require one. Such a start may be delayed for
+     * longer than a cancellation may take. When it arrives, the worker must already have received the higher token with a heartbeat
+     * response.
      */
     fun needHigherToken(): Boolean {
         val now = clock.now()
@@ -59,7 +61,7 @@
             (!machine.channel.unresponsive || guard.isEndedOrCancelled(start.task.job))
 
     private companion object {
-        /** How long a start may stay unresolved before the fencing token is raised. */
+        /** The time after which an unresolved start requires a higher fencing token. */
         val TOKEN_RENEWAL_DELAY = 5.seconds
     }
 }
--- a/src/main/kotlin/copperglade/agents/WorkerClient.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerClient.kt
@@ -14,24 +14,24 @@
 import copperglade.transport.Request
 import kotlin.time.Duration.Companion.milliseconds
 
-/** How a worker answered a direct command. */
+/** A worker's reply to a direct command, or its absence. */
 sealed interface CommandReply {
-    /** No answer came in time: the commands may have been executed, or may yet be. */
+    /** No reply arrived before the timeout: the commands may have been executed, or may be executed later. */
     data object TimedOut : CommandReply
 
-    /** The worker answered with [status]. */
+    /** The worker replied with the HTTP [status]. */
     class Answered(val status: Int, private val body: ByteArray) : CommandReply {
-        /** Whether the message was executed or refused for good, so that no copy of it can take effect later. */
+        /** Whether the message was executed or permanently refused, so that no copy of it can take effect later. */
         val isFinal: Boolean get() = status == HttpStatus.OK || status == HttpStatus.CONFLICT
 
-        /** The worker's state, or null where the answer can't be read. */
+        /** Returns the worker's state, or null if the body can't be decoded. */
         fun readHeartbeat(): Heartbeat? = WorkerMessageCodec.decodeHeartbeat(body)
     }
 }
 
-/** Sends commands to workers by HTTP, checked by the [ActionGuard] and recorded in the [ActionAudit]. */
+/** Sends commands to workers over HTTP. [ActionGuard] checks the commands and [ActionAudit] records them. */
 class WorkerClient(private val http: HttpClient, private val guard: ActionGuard, private val audit: ActionAudit) {
-    /** Those of [planned] that may be sent to [machine] directly, recorded as sent under [token]. */
+    /** Returns those of the [planned] commands that may be sent directly to [machine], and records them as sent under [token]. */
     fun approve(machine: MachineName, token: FencingToken, planned: List<Command>): List<Command> {
         val commands = guard.approveCommands(machine, planned)
         audit.recordCommands(machine, token, commands, channel = "direct")
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Asks the worker at [endpoint], about which nothing is known for certain, for its state. [onReply] gets
-     * [CommandReply.TimedOut], at once, where nothing may be sent now.
+     * Requests the state of the worker at [endpoint], which may be a removed machine's, by a message without commands. If nothing may be
+     * sent now, [onReply] immediately receives [CommandReply.TimedOut].
      */
     fun probe(endpoint: Endpoint, token: FencingToken, epoch: Long, onReply: (CommandReply) -> Unit) {
         if (!guard.approveSending("probe of $endpoint")) return onReply(CommandReply.TimedOut)
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -12,18 +12,18 @@
 import copperglade.transport.Clock
 import org.slf4j.LoggerFactory
 
-/** Told of the state with which a machine's worker answered a direct command. */
+/** Receives the states that workers report in their replies to direct commands. */
 fun interface CommandReplyListener {
-    /** [heartbeat] is [machine]'s answer to a command that was sent at [sentAt]. */
+    /** Handles [heartbeat], the reply of [machine]'s worker to a command that was sent at [sentAt]. */
     fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime)
 }
 
 /**
- * Sends direct commands to the workers of a shard. Commands that go with the responses to heartbeats are [HeartbeatResponses]' task.
+ * Sends direct commands to the workers of a shard. [HeartbeatResponses] adds commands to the responses to heartbeats.
  *
- * Invariants: a machine has at most one direct command in flight; only a fenced machine is given starts, stops or removals; direct
- * commands are sent only while [Membership.mayAct], checked at the moment of sending. They guard against commands of a controller
- * that has lost the shard, and against acting on a state that a former owner's commands may still change.
+ * Invariants: a machine has at most one direct command in flight; starts, stops and removals are sent only to fenced machines; direct
+ * commands are sent only while [Membership.mayAct], which is checked immediately before sending. These guard against commands of a
+ * controller that has lost the shard, and against decisions based on a state that a former owner's commands may still change.
  */
 class WorkerCommands(
     private val state: ShardState,
@@ -35,7 +35,7 @@
     private val clock: Clock,
     private val replyListener: CommandReplyListener,
 ) {
-    /** Sends [machine] the commands that are due, or only the fencing token where its worker has not shown it. */
+    /** Sends [machine]'s worker the commands that are due, or only the fencing token if the machine isn't fenced. */
     fun sendDue(machine: Machine) {
         if (!state.isOpen || machine.channel.commandInFlight || machine.deleting || !membership.mayAct) return
         if (!state.isFenced(machine)) return sendFencingToken(machine)
@@ -45,15 +45,15 @@
         if (commands.any { it !is Command.Remove }) send(machine, commands)
     }
 
-    /** A run that was stopped before its start was sent is certainly not on the machine. */
+    /** Releases the runs that were stopped before their start was sent: their tasks can't be on [machine]. */
     private fun releaseNeverSent(machine: Machine) {
         for (run in machine.runs.toList()) {
             val neverSent = run.state == RunState.STOPPING && !run.confirmedByWorker && run.startSentAt == MonotonicTime.NEVER
-            if (neverSent) lifecycle.release(run, "never sent")
+            if (neverSent) lifecycle.release(run, "start not sent")
         }
     }
 
-    /** Shows [machine]'s worker the fencing token, and asks for its state, by a message without commands. */
+    /** Sends [machine]'s worker the fencing token in a message without commands, to which the worker replies with its state. */
     fun sendFencingToken(machine: Machine) {
         val channel = machine.channel
         if (!state.isOpen || channel.commandInFlight || clock.now() < channel.commandSentAt + CommandPlanner.RESEND_INTERVAL) return
--- a/src/main/kotlin/copperglade/tasks/CommandChannel.kt
+++ b/src/main/kotlin/copperglade/tasks/CommandChannel.kt
@@ -7,10 +7,11 @@
 import copperglade.protocol.TaskId
 
 /**
- * A start command whose outcome is unknown. A late copy of it may still take effect while agent epoch and fencing token match.
+ * A start command whose outcome is unknown. A late copy of the command may still take effect while the worker's agent epoch and
+ * fencing token match those of the command.
  *
  * @param epoch the agent epoch for which the command was sent.
- * @param expiresAt when the worker drops the command if it has not arrived; null where it may take effect at any later time.
+ * @param expiresAt from when on the worker drops a command that arrives late; null if the command may take effect at any later time.
  */
 class UnresolvedStart(
     val task: TaskId,
@@ -21,9 +22,9 @@
     val expiresAt: MonotonicTime?,
 )
 
-/** What was sent to a machine's worker: the direct command in flight, removals, and starts whose outcome is unknown. */
+/** The commands sent to a machine's worker: the direct command in flight, removals, and starts whose outcome is unknown. */
 class CommandChannel {
-    /** Whether a direct command has been sent and neither answered nor timed out. */
+    /** Whether a direct command is in flight: sent, and neither answered nor timed out. */
     var commandInFlight = false
         private set
 
@@ -31,7 +32,10 @@
     var commandSentAt = MonotonicTime.NEVER
         private set
 
-    /** Since when direct commands have gone unanswered; until one is answered, commands are sent with heartbeat responses as well. */
+    /**
+     * Since when direct commands have gone unanswered; null if the last one was answered. While this is set, commands are sent with
+     * heartbeat responses as well.
+     */
     var unresponsiveSince: MonotonicTime? = null
         private set
 
@@ -58,7 +62,7 @@
         unresponsiveSince = null
     }
 
-    /** Records that the direct command in flight has timed out; [now] is read only for the first in a row. */
+    /** Records that the direct command in flight has timed out; [now] is read only for the first timeout in a row. */
     fun commandTimedOut(now: () -> MonotonicTime) {
         commandInFlight = false
         unresponsiveSince = unresponsiveSince ?: now()
@@ -70,10 +74,10 @@
         lastRemovalSentAt = now
     }
 
-    /** When the removal of [attempt] was last sent, or [MonotonicTime.NEVER]. */
+    /** Returns when the removal of [attempt] was last sent, or [MonotonicTime.NEVER]. */
     fun removalSentAt(attempt: Attempt): MonotonicTime = removalSentAt[attempt] ?: MonotonicTime.NEVER
 
-    /** Whether a start of [attempt] at [task] may still take effect late. */
+    /** Whether a start of [attempt] at [task] is unresolved, so that a late copy of the start may still take effect. */
     fun hasUnresolvedStart(task: TaskId, attempt: Attempt): Boolean = unresolved.any { it.attempt == attempt && it.task == task }
 
     /** Adds [starts], which are being sent. */
@@ -81,17 +85,20 @@
         unresolved += starts
     }
 
-    /** Drops [starts], whose outcome is known now. */
+    /** Drops [starts], whose outcome has become known. */
     fun resolve(starts: List<UnresolvedStart>) {
         unresolved.removeAll(starts.toSet())
     }
 
-    /** Drops starts that the worker would refuse or ignore by [now], had they not arrived. */
+    /** Drops the starts that have expired by [now]: the worker would refuse or ignore a copy that arrives now. */
     fun discardExpired(now: MonotonicTime) {
         unresolved.removeIf { it.expiresAt != null && now >= it.expiresAt }
     }
 
-    /** Drops what is settled once the worker has reported [reportedTasks] in agent epoch [epoch] under [fencingToken]. */
+    /**
+     * Drops what an accepted heartbeat has resolved: starts for an earlier agent epoch than [epoch] or under a lower token than
+     * [fencingToken], and the removals of attempts that are not among [reportedTasks].
+     */
     fun discardResolved(epoch: Long, fencingToken: FencingToken, reportedTasks: List<ReportedTask>) {
         unresolved.removeIf { it.epoch < epoch || it.fencingToken < fencingToken }
         removalSentAt.keys.removeIf { attempt -> reportedTasks.none { it.attempt == attempt } }
--- a/src/main/kotlin/copperglade/tasks/FailingJobs.kt
+++ b/src/main/kotlin/copperglade/tasks/FailingJobs.kt
@@ -7,25 +7,25 @@
 import copperglade.storage.Replica
 
 /**
- * Which jobs are failing: arrays whose tasks fail wherever they run and of which no task has ever completed. Of such a job one
- * task is tried at a time, with growing delays, until its user cancels it or a task completes after all.
+ * The failing jobs: arrays whose tasks fail on every machine and of which no task has ever completed. One task of a failing job is
+ * tried at a time, with growing delays, until the user cancels the job or a task completes.
  *
- * What an owner finds out is stored with the outcomes of its shard, so that the leader and later owners know it as well.
+ * A shard owner stores which jobs are failing with the outcomes of its shard, where the leader and later owners read it.
  */
 class FailingJobs(private val replica: Replica, private val failureEvidence: FailureEvidence) {
-    /** Whether the job [id] is failing, by the records or by what this process has seen itself. */
+    /** Whether the job [id] is failing, according to the records or to the failures that this process has observed. */
     operator fun contains(id: JobId): Boolean {
         val job = replica.jobs[id] ?: return false
         return job.failing || (job.spec?.kind == JobKind.ARRAY && job.done.isEmpty && failureEvidence.isFailingJob(id))
     }
 
-    /** Whether the records already name [job] as failing; its failures then say nothing new, least of all about machines. */
+    /** Whether the records already mark [job] as failing. Further failures of the job are then no evidence against machines. */
     fun isRecorded(job: JobId): Boolean = replica.jobs[job]?.failing == true
 
-    /** Whether [job] is known and no task of it has ever completed. */
+    /** Whether the replica has [job] and no task of the job has ever completed. */
     fun neverCompleted(job: JobId): Boolean = replica.jobs[job]?.done?.isEmpty ?: false
 
-    /** Whether a task of [job] has failed on [machine] too recently for another to be placed there. */
+    /** Whether a task of [job] has failed on [machine] too recently for another task of the job to be placed there. */
     fun failedRecentlyOn(job: JobId, machine: MachineName, now: MonotonicTime): Boolean = failureEvidence.shouldAvoid(job, machine, now)
 
     /** Records that a task of [job] has failed on [machine]. */
--- a/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
+++ b/src/main/kotlin/copperglade/tasks/FailureEvidence.kt
@@ -6,25 +6,25 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells faulty machines from faulty jobs by which job's tasks have failed on which machine.
+ * Distinguishes faulty machines from failing jobs by which job's tasks have failed on which machine.
  *
- * One failure speaks against both. Failures of one job on several machines on which no other job fails speak against the job;
- * failures of several jobs on one machine, none of which fails elsewhere as well, speak against the machine. A completed task
- * clears both its job and its machine.
+ * A single failure is evidence against both the job and the machine. Failures of one job on several machines on which no other job
+ * fails are evidence against the job. Failures of several jobs on one machine, none of which fails elsewhere as well, are evidence
+ * against the machine. A completed task clears the evidence against both its job and its machine.
  *
- * Guards against two opposite errors: taking one machine after another out of use because of a job that fails everywhere, and
- * letting a faulty machine go on failing the tasks of healthy jobs.
+ * Guards against two opposite errors: replacing one machine after another because of a job that fails everywhere, and letting a
+ * faulty machine fail the tasks of healthy jobs.
  *
- * There is one instance for all shards of a process: the more machines it covers, the sooner a failing job is recognized.
+ * All shards of a process share one instance: with evidence from more machines, a failing job is recognized sooner.
  *
- * @param failingJobMachineThreshold a job is blamed once it has failed on this many machines that fail for no other job, or on one
- *   more than that whatever else fails there.
+ * @param failingJobMachineThreshold a job is considered failing once it has failed on this many machines on which no other job has
+ *   failed, or on more machines than this in total.
  */
 class FailureEvidence(private val failingJobMachineThreshold: Int) {
     private val machinesByJob = HashMap<JobId, HashSet<MachineName>>()
     private val failuresByMachine = HashMap<MachineName, HashMap<JobId, MonotonicTime>>()
 
-    /** Once blamed, a job stays blamed until one of its tasks completes, whatever else fails on its machines later. */
+    /** A job stays here until one of its tasks completes, whichever other jobs fail on its machines later. */
     private val failingJobs = HashSet<JobId>()
 
     /** Records that a task of [job] has failed on [machine]. */
@@ -34,7 +34,7 @@
         if (failsEverywhere(job)) failingJobs += job
     }
 
-    /** Records that a task of [job] has completed on [machine], which clears both. */
+    /** Records that a task of [job] has completed on [machine], which clears the evidence against both. */
     fun recordCompletion(job: JobId, machine: MachineName) {
         machinesByJob.remove(job)
         failingJobs.remove(job)
@@ -42,7 +42,7 @@
         failingJobs += cleared.keys.filter(::failsEverywhere)
     }
 
-    /** Whether [job] fails wherever it runs, as far as this process has seen. */
+    /** Whether [job] fails on every machine, according to the failures that this process has observed. */
     fun isFailingJob(job: JobId): Boolean = job in failingJobs
 
     private fun failsEverywhere(job: JobId): Boolean {
@@ -56,19 +56,19 @@
         failuresByMachine[machine].orEmpty().keys.count { !isFailingJob(it) } >= FAULTY_MACHINE_JOB_THRESHOLD
 
     /**
-     * Whether [job] has failed on [machine] so recently that its tasks should run elsewhere. Other jobs may still use the machine:
-     * if it is faulty, the next of them shows it, and if the job is failing, the machine stays in use.
+     * Whether [job] has failed on [machine] so recently that its tasks should run elsewhere. Other jobs may still use the machine: if
+     * the machine is faulty, the next job fails there too; if the job is failing, the machine stays in use.
      */
     fun shouldAvoid(job: JobId, machine: MachineName, now: MonotonicTime): Boolean =
         failuresByMachine[machine]?.get(job)?.let { now < it + AVOIDANCE_PERIOD } ?: false
 
-    /** Drops the evidence that [job], which has ended, left against itself and against the machines on which it failed. */
+    /** Drops the evidence from the failures of [job], which has ended, against the job and against the machines on which it failed. */
     fun removeJob(job: JobId) {
         failingJobs.remove(job)
         machinesByJob.remove(job)?.forEach { failuresByMachine[it]?.remove(job) }
     }
 
-    /** Drops the evidence against [machine], which no longer exists. */
+    /** Drops the evidence against [machine], which was removed from its shard. */
     fun removeMachine(machine: MachineName) {
         failuresByMachine.remove(machine)
     }
@@ -76,7 +76,7 @@
     private companion object {
         const val FAULTY_MACHINE_JOB_THRESHOLD = 2
 
-        /** How long a job's tasks keep away from a machine on which one of them has failed. */
+        /** How long a job's tasks are not placed on a machine on which one of them has failed. */
         val AVOIDANCE_PERIOD = 10.seconds
     }
 }
--- a/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
@@ -5,22 +5,22 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How long a worker may be silent before its machine counts as unreachable, and before its lease has expired.
+ * The timeouts after which a machine's heartbeat counts as timed out, and after which its worker's lease has expired.
  *
  * @param heartbeatIntervalSeconds the time between two heartbeats of a worker.
  * @param leaseSeconds how long a worker keeps its tasks running after its last acknowledged heartbeat.
  */
 class HeartbeatTimeouts(private val heartbeatIntervalSeconds: Double, private val leaseSeconds: Double) {
-    /** The lease as the worker's own clock measures it. */
+    /** The duration of the lease, measured by the worker's own clock. */
     val lease: Duration get() = leaseSeconds.seconds
 
-    /** A worker that has not been acknowledged for this long has certainly lost its lease, whatever the drift of its clock. */
+    /** The time after a worker's last acknowledged heartbeat by which its lease has certainly expired, clock drift included. */
     val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.DRIFT) + LEASE_MARGIN_SECONDS).seconds
 
-    /** A machine that has not been heard from for this long counts as silent. */
+    /** The time without an accepted heartbeat or reply after which a machine's heartbeat counts as timed out. */
     val heartbeatTimeout: Duration get() = heartbeatIntervals(HEARTBEAT_TIMEOUT_INTERVALS)
 
-    /** The time in which a worker sends [count] heartbeats. */
+    /** Returns the time in which a worker sends [count] heartbeats. */
     fun heartbeatIntervals(count: Double): Duration = (heartbeatIntervalSeconds * count).seconds
 
     private companion object {
--- a/src/main/kotlin/copperglade/tasks/ImageCache.kt
+++ b/src/main/kotlin/copperglade/tasks/ImageCache.kt
@@ -4,8 +4,8 @@
 import copperglade.protocol.ImageName
 
 /**
- * The images that a machine is believed to hold. An estimate: workers don't report their images, but keep the most recently used
- * ones that fit on the disk.
+ * Estimates which images a machine has cached. Workers don't report their images; they keep the most recently used images that fit
+ * on the disk.
  */
 class ImageCache {
     /** Sizes in gigabytes, least recently used first. */
@@ -16,10 +16,10 @@
 
     operator fun contains(image: ImageName): Boolean = image in sizeGbByImage
 
-    /** Adds [images] that a former owner recorded, unless they are present; their sizes are unknown and count as nothing. */
+    /** Adds those of [images], recorded by a former owner, that are missing. Their sizes are unknown and count as zero. */
     fun addRecorded(images: List<ImageName>) = images.forEach { sizeGbByImage.putIfAbsent(it, 0.0) }
 
-    /** Records that a task uses [image] on a machine that caches [capacityGb] gigabytes. */
+    /** Records that a task uses [image], and evicts the least recently used images that exceed the cache size [capacityGb]. */
     fun recordUse(image: Image, capacityGb: Double) {
         sizeGbByImage.remove(image.name)
         sizeGbByImage[image.name] = image.sizeGb
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -15,13 +15,13 @@
 import copperglade.protocol.TaskId
 
 /**
- * A machine of a shard, as its worker last described it.
+ * A machine of a shard, as last reported by its worker.
  *
- * The order of its heartbeats is kept in [sequence], what is on it in [load], what was sent to it in [channel], and the images that
- * it holds in [imageCache].
+ * [sequence] orders the machine's heartbeats, [load] holds its runs and reported tasks, [channel] the commands sent to its worker, and
+ * [imageCache] its images.
  *
- * @param startedUnderCurrentOwner whether its present agent epoch certainly began under the present owner, so that no command
- *   of a former owner can take effect.
+ * @param startedUnderCurrentOwner whether the machine's current agent epoch certainly began under the current shard owner, so that no
+ *   command of a former owner can take effect.
  */
 class Machine(
     val name: MachineName,
@@ -37,19 +37,19 @@
     val imageCache = ImageCache()
     private val load = MachineLoad()
 
-    /** Where its worker takes commands. */
+    /** The address at which the worker accepts commands. */
     var endpoint = endpoint
         private set
 
-    /** The highest fencing token that the worker is known to have seen. */
+    /** The highest fencing token that the worker has reported. */
     var fencingToken = FencingToken.NONE
         private set
 
-    /** Whether the cloud has announced that it takes the machine back. */
+    /** Whether the cloud has announced the eviction of the machine. */
     var evictionNoticed = false
         private set
 
-    /** When a heartbeat or reply was last accepted; the machine's discovery counts as one. */
+    /** When a heartbeat or reply was last accepted; initially when the machine was discovered. */
     var lastContactAt = now
         private set
 
@@ -57,25 +57,25 @@
     var lastUpdateAt = MonotonicTime.NEVER
         private set
 
-    /** When the worker's own heartbeats last arrived; replies to direct commands say nothing about its lease. */
+    /** When a heartbeat that the worker sent on its own last arrived. Replies to direct commands don't renew the lease. */
     var lastHeartbeatAt = MonotonicTime.NEVER
         private set
 
     /**
-     * The latest moment from which the worker's lease may count: when a heartbeat was last acknowledged, or a new agent epoch was
-     * first heard of, since an epoch has a lease from its own beginning.
+     * The latest time at which the worker's lease may have started: when a heartbeat was last acknowledged, or when a new agent epoch
+     * was first reported, since each agent epoch begins with a lease.
      */
     var leaseRenewedAt = now
         private set
 
-    /** Acknowledged heartbeats since which the worker has not shown the fencing token that the responses carried. */
+    /** The number of responses since the worker last reported a fencing token of this owner, although each response carried one. */
     var unacknowledgedResponses = 0
 
-    /** Since when the worker has reported no task that has not exited. */
+    /** Since when all tasks that the worker reports have exited. */
     var idleSince = now
         private set
 
-    /** Whether the machine is being emptied: nothing is placed on it. */
+    /** Whether the machine is being drained: no tasks are placed on it. */
     var draining = false
 
     /** Whether the cloud has been asked to delete the machine and has not answered yet. */
@@ -85,29 +85,29 @@
     val runs: Collection<Run> get() = load.runs
     val reportedTasks: List<ReportedTask> get() = load.reportedTasks
 
-    /** Whether no run is bound to it and its worker reports no task. */
+    /** Whether no run is bound to the machine and its worker reports no task. */
     val isEmpty: Boolean get() = load.isEmpty
     val cachedImages: List<ImageName> get() = imageCache.images
 
-    /** Records that the worker itself sent [heartbeat] and waits for the response. */
+    /** Records that the worker sent [heartbeat] on its own and waits for the response. */
     fun recordHeartbeat(heartbeat: Heartbeat, now: MonotonicTime) {
         lastHeartbeatAt = now
         sequence.recordHeartbeat(heartbeat)
     }
 
-    /** Records that a heartbeat has arrived whose content is unverified: the worker's lease is not running out unnoticed. */
+    /** Records that an unverified heartbeat has arrived: the worker still requests lease renewals. */
     fun recordUnverifiedHeartbeat(now: MonotonicTime) {
         lastHeartbeatAt = now
     }
 
-    /** Records that a heartbeat is being acknowledged, which renews the worker's lease if the response arrives. */
+    /** Records that a heartbeat is being acknowledged. The worker's lease is renewed if the response arrives. */
     fun renewLease(now: MonotonicTime) {
         leaseRenewedAt = now
     }
 
     /**
-     * Accepts [heartbeat], the worker's own or the reply to a command. Returns false where a newer one is known already: then it
-     * changes nothing, and doesn't even show that the machine lives.
+     * Accepts [heartbeat], sent by the worker on its own or in reply to a command. Returns false, and changes nothing, if
+     * an equally new or newer one has been accepted already: a late copy is no evidence that the machine is alive.
      */
     fun update(heartbeat: Heartbeat, now: MonotonicTime): Boolean {
         if (!sequence.isNewerThanAccepted(heartbeat)) return false
@@ -115,7 +115,7 @@
         return true
     }
 
-    /** Accepts [heartbeat] from a worker that has restarted and counts from the start again. */
+    /** Accepts [heartbeat] from a worker that has restarted and reset its agent epoch and sequence number. */
     fun restart(heartbeat: Heartbeat, now: MonotonicTime) {
         sequence.restart()
         fencingToken = FencingToken.NONE
@@ -141,22 +141,22 @@
     /** Releases [run] from the machine; called by [Run.unbind]. */
     fun detach(run: Run) = load.detach(run)
 
-    /** To be called when a run bound to the machine has changed its state. */
+    /** Must be called when a run bound to the machine has changed its state. */
     fun invalidateFreeCapacity() = load.invalidateFreeCapacity()
 
-    /** The run that [reportedTask] is an attempt of, or null where none is bound here. */
+    /** Returns the run bound to this machine of which [reportedTask] is an attempt, or null if there is none. */
     fun runOf(reportedTask: ReportedTask): Run? = load.runOf(reportedTask)
 
-    /** How the worker reports [attempt] at [task], or null where it doesn't. */
+    /** Returns the worker's report of [attempt] at [task], or null if the worker doesn't report the attempt. */
     fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? = load.reportedTask(task, attempt)
 
-    /** Whether the machine is believed to hold [image]. */
+    /** Whether the machine has presumably cached [image]. */
     fun hasImage(image: Image): Boolean = image.name in imageCache
 
     /** Whether a task on the machine is fetching [image]. */
     fun isFetching(image: Image): Boolean = runs.any { it.spec.image.name == image.name && it.state == RunState.FETCHING }
 
-    /** The capacity that is free for further tasks, see [MachineLoad.freeCapacity]. */
+    /** Returns the capacity that is free for further tasks, see [MachineLoad.freeCapacity]. */
     fun freeCapacity(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources =
         load.freeCapacity(type, now, requestOf)
 }
--- a/src/main/kotlin/copperglade/tasks/MachineLoad.kt
+++ b/src/main/kotlin/copperglade/tasks/MachineLoad.kt
@@ -9,7 +9,7 @@
 import copperglade.protocol.TaskId
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What is on a machine: the runs that are bound to it, the tasks that its worker reports, and the capacity that they leave. */
+/** The load of a machine: the runs bound to it, the tasks that its worker reports, and the capacity that remains free. */
 class MachineLoad {
     private val runsByAttempt = LinkedHashMap<Attempt, Run>()
 
@@ -23,7 +23,7 @@
     private var freeComputedAt = MonotonicTime.NEVER
     private var cachedFree = Resources.ZERO
 
-    /** Whether no run is bound to the machine and its worker reports no task, not even one that has exited. */
+    /** Whether no run is bound to the machine and its worker reports no task, not even an exited one. */
     val isEmpty: Boolean get() = runsByAttempt.isEmpty() && reportedTasks.isEmpty()
 
     fun attach(run: Run) {
@@ -42,21 +42,23 @@
         invalidateFreeCapacity()
     }
 
-    /** The run that [reportedTask] is an attempt of, or null where none is bound here. */
+    /** Returns the run bound to the machine of which [reportedTask] is an attempt, or null if there is none. */
     fun runOf(reportedTask: ReportedTask): Run? = runsByAttempt[reportedTask.attempt]?.takeIf { it.task == reportedTask.task }
 
-    /** How the worker reports [attempt] at [task], or null where it doesn't. */
+    /** Returns the worker's report of [attempt] at [task], or null if the worker doesn't report the attempt. */
     fun reportedTask(task: TaskId, attempt: Attempt): ReportedTask? =
         reportedTasks.firstOrNull { it.attempt == attempt && it.task == task }
 
-    /** To be called when a run bound to the machine has changed its state. */
+    /** Must be called when a run bound to the machine has changed its state. */
     fun invalidateFreeCapacity() {
         freeComputedAt = MonotonicTime.NEVER
     }
 
     /**
-     * The capacity of a machine of [type] that is free for further tasks; starts that have not arrived yet count as taken. Cached
-     * until something changes, and for [FREE_CAPACITY_TTL] at most, since the requests of unknown tasks follow from others' records.
+     * Returns the capacity of a machine of [type] that is free for further tasks. Starts in flight count as taken.
+     *
+     * The result is cached until the machine's load changes, and for [FREE_CAPACITY_TTL] at most, since the requests of tasks without a
+     * run come from records that may change meanwhile.
      */
     fun freeCapacity(type: MachineType, now: MonotonicTime, requestOf: (TaskId) -> Resources?): Resources {
         if (now >= freeComputedAt + FREE_CAPACITY_TTL) {
@@ -71,7 +73,7 @@
         for (run in runs) if (run.occupiesMachine) free -= run.spec.request
         for (reportedTask in reportedTasks) {
             if (reportedTask.state == ReportedTaskState.EXITED || runOf(reportedTask) != null) continue
-            // A task of unknown size, its job having ended, counts as filling the machine.
+            // The request of a task whose job has ended is unknown: the task counts as using the whole machine.
             free -= requestOf(reportedTask.task) ?: type.capacity
         }
         return free
--- a/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
@@ -7,9 +7,9 @@
 import copperglade.storage.TaskRange
 import java.util.BitSet
 
-/** Builds the records of what became of a shard's tasks, from the present records and the shard's runs. */
+/** Builds the outcome records of a shard's tasks from the current records and the shard's runs. */
 internal class OutcomeRecordBuilder(private val shard: ShardState, private val failingJobs: FailingJobs) {
-    /** The new outcomes of one task range, as far as they have been collected. */
+    /** The outcomes of one task range: those of the current record and those collected from runs. */
     private class Draft(present: OutcomeRecord) {
         val done = present.done.clone() as BitSet
         val restarted = present.restarted.clone() as BitSet
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The record with all that is known of [job]'s tasks in the range [rangeIndex], or null where the present one says it already. */
+    /** Returns the new record of [job]'s tasks in the range [rangeIndex], or null if the current record needs no change. */
     fun update(job: Job, rangeIndex: Int): OutcomeRecord? {
         val present = job.outcomes[ShardTaskRange(rangeIndex, shard.name)]?.value ?: OutcomeRecord.EMPTY
         val draft = Draft(present)
@@ -41,7 +41,7 @@
         return OutcomeRecord(draft.done, returned, draft.restarted, present.version + 1, failing)
     }
 
-    /** Returned tasks matter only as long as the leader's record [range] still names the assignment. */
+    /** Keeps those of the [returned] tasks whose assignment is still in the leader's record [range]; the others are obsolete. */
     private fun retainAssigned(returned: Map<Int, BitSet>, range: AssignmentRange?): Map<Int, BitSet> {
         val needed = HashMap<Int, BitSet>()
         for (group in range?.groups.orEmpty()) {
--- a/src/main/kotlin/copperglade/tasks/OutcomeWriter.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeWriter.kt
@@ -20,9 +20,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Records what becomes of a shard's tasks. Outcomes of many jobs share a packed record and are batched: for longer the scarcer the
- * write budget is, and for longest while the task range has runs that have not ended. Until it is recorded that a task is done, its
- * worker keeps reporting it, so that a new owner finds it.
+ * Writes the outcomes of a shard's tasks to the state service.
+ *
+ * Outcomes of many jobs share a packed record and are batched. The batch delay grows as the write budget runs out, and is longer while
+ * the task range has unfinished runs. A worker reports a completed task until its outcome is recorded, so that a new shard owner finds
+ * the task.
  */
 class OutcomeWriter(
     private val loop: EventLoop,
@@ -41,28 +43,28 @@
     )
     private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.OUTCOME, ::shardIsOwned)
 
-    /** Task ranges with outcomes that are not recorded yet, and since when. */
+    /** Task ranges with unrecorded outcomes, and the time of the first of these outcomes. */
     private val dirtySince = LinkedHashMap<TaskRange, MonotonicTime>()
 
-    /** Task ranges with tasks that are returned to the leader, which could run them elsewhere. */
+    /** Task ranges with tasks that are returned to the leader, which may assign them to another shard. */
     private val urgentRanges = HashSet<TaskRange>()
 
-    /** A transaction's conditions are the shard, the packed record and a job for each task range. */
+    /** A transaction has one condition each for the shard and the packed record, and one for the job of each task range. */
     private val maxRangesPerFlush = store.limits.transactionConditions - FIXED_CONDITIONS
 
-    /** Has the present state of [run] recorded with the next batch. */
+    /** Adds the current state of [run] to the next batch. */
     fun record(run: Run) {
         val range = TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE)
         dirtySince.putIfAbsent(range, loop.now())
         if (run.state == RunState.GONE) urgentRanges += range
     }
 
-    /** Has it recorded that the job of [run] is failing, which the leader should know although the task has no outcome. */
+    /** Adds to the next batch that the job of [run] is failing. The leader needs this mark although the task has no outcome. */
     fun recordFailingJob(run: Run) {
         if (replica.jobs[run.task.job]?.failing == false) record(run)
     }
 
-    /** Writes what is due; no effect unless the shard is open. */
+    /** Writes the batches that are due; no effect unless the shard is open. */
     fun flush() {
         if (dirtySince.isEmpty() || !shard.isOpen) return
         val now = loop.now()
@@ -78,7 +80,10 @@
     private fun hasUnfinishedRuns(range: TaskRange): Boolean =
         shard.runs.inRange(range).any { it.state != RunState.DONE && it.state != RunState.GONE }
 
-    /** The encoded records to write, for as many task ranges as one transaction may hold; ranges without news are no longer dirty. */
+    /**
+     * Returns the encoded records to write, for as many task ranges as one transaction may hold. Ranges without changes are no longer
+     * dirty.
+     */
     private fun collectChanges(): Map<TaskRange, ByteArray> {
         val changes = LinkedHashMap<TaskRange, ByteArray>()
         for (range in dirtySince.keys.toList()) {
@@ -100,7 +105,7 @@
         val conditions = LinkedHashSet<Condition>()
         conditions += shardIsOwned()
         conditions += packedWrite.condition
-        // The live record changes with a cancellation, after which nothing may become done any more.
+        // A cancellation changes the live record; no task of a cancelled job may be recorded as done.
         packedWrite.ranges.mapTo(conditions) { Condition(Keys.live(it.job), replica.jobs.getValue(it.job).liveRevision()) }
         val transaction = Transaction(conditions.toList(), listOf(packedWrite.write))
         packer.markInFlight(packedWrite)
@@ -122,13 +127,13 @@
             }
             TransactionOutcome.Refused -> loop.after(REFUSAL_RETRY_DELAY, retry)
             TransactionOutcome.Unknown -> unresolvedWrites.resolve(packedWrite, isOwner = { shard.isOpen }, retry)
-            // Whatever stood in the way is read first; then what is still news is tried again.
+            // The replica reads the conflicting records first; then the outcomes that are still unrecorded are written again.
             is TransactionOutcome.Conflict, TransactionOutcome.NoSuchLease ->
                 replica.catchUp { loop.after(CONFLICT_RETRY_DELAY, retry) }
         }
     }
 
-    /** Makes the task ranges of [packedWrite], which was not carried out or has been resolved, dirty again. */
+    /** Marks the task ranges of [packedWrite] dirty again, after the write was not carried out or its outcome has been resolved. */
     private fun retry(packedWrite: PackedWrite, writtenSince: Map<TaskRange, MonotonicTime>) {
         packer.clearInFlight(packedWrite)
         writtenSince.forEach { (range, since) -> dirtySince.merge(range, since) { a, b -> minOf(a, b) } }
@@ -137,13 +142,13 @@
     private companion object {
         const val FIXED_CONDITIONS = 2
 
-        /** How long outcomes are batched at least. */
+        /** The batch delay of task ranges without unfinished runs, and of ranges with tasks that are returned to the leader. */
         val MIN_BATCH_DELAY = 60.milliseconds
 
-        /** How long they are batched while the task range has runs that have not ended. */
+        /** The batch delay of task ranges with unfinished runs. */
         val INCOMPLETE_RANGE_BATCH_DELAY = 350.milliseconds
 
-        /** By how much that grows as the write budget runs out. */
+        /** The additional delay when the write budget is used up; grows linearly from zero with the used share of the budget. */
         val MAX_SCARCITY_DELAY = 1800.milliseconds
         val CONFLICT_RETRY_DELAY = 20.milliseconds
         val REFUSAL_RETRY_DELAY = 300.milliseconds
--- a/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
+++ b/src/main/kotlin/copperglade/tasks/RetryBackoff.kt
@@ -7,10 +7,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Exponential backoff: how long a task waits before it is started again, doubling with each of its failures up to a limit. For a
- * failing job ([FailingJobs]) the failures of all its tasks count together, since its tasks are tried in turn.
+ * Exponential backoff between starts of a task: the delay doubles with each failure of the task, up to a limit. For a failing job
+ * ([FailingJobs]) the failures of all its tasks count together, since the tasks are tried one at a time.
  *
- * Guards against tasks that fail at once and would otherwise keep machines and workers busy with nothing but starts.
+ * Guards against tasks that fail immediately and would otherwise occupy machines and workers with continual starts.
  */
 class RetryBackoff {
     private class FailureHistory {
@@ -20,14 +20,14 @@
 
     private val historyByJob = HashMap<JobId, FailureHistory>()
 
-    /** The delay before the next start of a task that has failed [failures] times. */
+    /** Returns the delay before the next start of a task that has failed [failures] times. */
     fun delayAfterFailures(failures: Int): Duration =
         min(INITIAL_DELAY_SECONDS * (1 shl min(failures, MAX_DOUBLINGS)), MAX_DELAY_SECONDS).seconds
 
-    /** The delay after a machine has refused a start, which says nothing about the task. */
+    /** Returns the delay after a worker has refused a start; a refusal is not a failure of the task. */
     fun delayAfterRefusal(): Duration = delayAfterFailures(1)
 
-    /** Records that a task of the failing job [job] has failed once more. */
+    /** Records that a task of the failing job [job] has failed again. */
     fun recordFailure(job: JobId, now: MonotonicTime) {
         val history = historyByJob.getOrPut(job) { FailureHistory() }
         history.failures++
@@ -37,7 +37,7 @@
     /** Whether a task of the failing job [job] may be tried again. */
     fun mayRetry(job: JobId, now: MonotonicTime): Boolean = historyByJob[job]?.let { now >= it.nextStartAt } ?: true
 
-    /** Drops the history of [job], which has ended or left the shard. */
+    /** Drops the history of [job], which has ended or is no longer assigned to the shard. */
     fun remove(job: JobId) {
         historyByJob.remove(job)
     }
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -8,54 +8,54 @@
 import copperglade.safety.Refusal
 import org.slf4j.LoggerFactory
 
-/** Where a run stands between its assignment to the shard and its outcome. */
+/** The state of a run between its assignment to the shard and its outcome. */
 enum class RunState {
-    /** Assigned before the grant and not found yet: it may be on a machine that has not been heard from. */
+    /** Assigned before the grant and not found yet: the task may be on a machine whose worker has not sent a heartbeat to this owner. */
     MISSING,
 
-    /** Certainly on no machine; to be started. */
+    /** Confirmed absent from all machines; to be started. */
     WAITING,
 
-    /** Bound to a machine, whose worker is being told to start it. */
+    /** Bound to a machine; the start is being sent to its worker. */
     STARTING,
 
-    /** The worker fetches the image, or waits for the other tasks of a gang. */
+    /** The worker is fetching the image, or is waiting for the other tasks of the gang. */
     FETCHING,
     RUNNING,
 
-    /** The worker is being told to stop it, or the task is saving its checkpoint. */
+    /** The stop is being sent to the worker, or the task is saving its checkpoint. */
     STOPPING,
 
-    /** Completed; to be recorded. */
+    /** Completed; the outcome is to be recorded. */
     DONE,
 
-    /** Certainly on no machine; to be returned to the leader. */
+    /** Confirmed absent from all machines; to be returned to the leader. */
     GONE,
 }
 
 /** Why a run is stopped. */
 enum class StopReason {
-    /** Its job was cancelled. */
+    /** The job of the run was cancelled. */
     CANCELLED,
 
-    /** The leader took it back so that another team gets its guaranteed quota. */
+    /** The leader withdrew the assignment so that another team gets its guaranteed quota. */
     PREEMPTED_FOR_GUARANTEE,
 
-    /** It makes room for a run of higher priority. */
+    /** The run is preempted by a run of higher priority. */
     PREEMPTED,
 
-    /** It is a straggler and starts again on another machine. */
+    /** The run is a straggler and is restarted on another machine. */
     RESTARTED,
     ;
 
-    /** Whether the reason replaces another for which the run is being stopped already. */
+    /** Whether this reason replaces another reason for which the run is already being stopped. */
     val isFinal: Boolean get() = this == CANCELLED || this == PREEMPTED_FOR_GUARANTEE
 }
 
 /**
- * A task that is assigned to a shard, as the shard's owner follows it.
+ * A task that is assigned to a shard, as tracked by the shard owner.
  *
- * @param generation the generation of the assignment: a task that is returned to the leader is returned under this generation.
+ * @param generation the generation of the assignment, under which the task is returned to the leader if it isn't completed here.
  * @param acceptedAtMillis when the job was accepted, in wall-clock milliseconds.
  * @param onStateChanged called after every state transition.
  */
@@ -68,7 +68,7 @@
     now: MonotonicTime,
     private val onStateChanged: (Run) -> Unit = {},
 ) {
-    /** The job as it is scheduled now; jobs that come to depend on it may raise its priority. */
+    /** The current specification of the job. Its priority may rise when other jobs come to depend on the job. */
     var spec = spec
         private set
     var state = initialState
@@ -91,7 +91,7 @@
     var runningSince: MonotonicTime? = null
         private set
 
-    /** Why the run is being stopped; null where it isn't. */
+    /** Why the run is being stopped; null if the run isn't being stopped. */
     var stopReason: StopReason? = null
 
     /** When the start of this attempt was last sent. */
@@ -100,24 +100,24 @@
     /** When the stop of this attempt was last sent. */
     var stopSentAt = MonotonicTime.NEVER
 
-    /** Not to be started before; set after a failure. */
+    /** The earliest time of the next start; set after a failure or a refused start. */
     var earliestStartAt = MonotonicTime.NEVER
 
-    /** Machines on which the task has failed or was refused. */
+    /** Machines on which the task has failed or whose workers have refused its start. */
     val avoidedMachines = HashSet<MachineName>()
 
-    /** Why it was not started when that was last checked. */
+    /** Why the last check didn't permit the start. */
     var lastRefusal: Refusal? = null
 
     private var victims: List<Run> = emptyList()
     private var preemptor: Run? = null
 
-    /** Whether a run that was preempted for this one has not left its machine yet. */
+    /** Whether a run that was preempted for this one is still stopping on its machine. */
     val awaitsPreemption: Boolean get() = victims.any { it.state == RunState.STOPPING }
 
     /**
-     * Whether this run is being stopped for another that still waits. Its resources must not be promised to a second one, or
-     * waiting runs would preempt more than they need.
+     * Whether this run was preempted for a run that is still waiting. Its resources must not be allocated to a second run, or waiting
+     * runs would preempt more runs than they need.
      */
     val isPreemptedForWaitingRun: Boolean get() = preemptor?.state == RunState.WAITING
 
@@ -127,26 +127,26 @@
         victims.forEach { it.preemptor = this }
     }
 
-    /** How often the task has failed in this shard. */
+    /** The number of failures of the task in this shard. */
     var failures = 0
 
-    /** The machine on which a straggler is to run again. */
+    /** The machine on which a straggler is to be restarted. */
     var restartTarget: MachineName? = null
 
-    /** Whether the task has been restarted as a straggler, here or under a former owner. */
+    /** Whether the task has been restarted as a straggler, by this shard owner or a former one. */
     var restarted = false
 
     /** How long the straggler had been running when it was stopped, in seconds. */
     var stragglerRunSeconds: Double? = null
 
-    /** Whether the task may be on its machine now, or may yet be started there. */
+    /** Whether the task may be on its machine, or a start in flight may still start it there. */
     val occupiesMachine: Boolean
         get() = when (state) {
             RunState.STARTING, RunState.FETCHING, RunState.RUNNING, RunState.STOPPING -> true
             RunState.MISSING, RunState.WAITING, RunState.DONE, RunState.GONE -> false
         }
 
-    /** Moves the run to the state [next]; no effect where it is in that state already. */
+    /** Moves the run to the state [next]; no effect if the run is already in that state. */
     fun transitionTo(next: RunState, reason: String, now: MonotonicTime) {
         if (next == state) return
         log.debug("run_state_changed task={} from={} to={} machine={} reason=\"{}\"", task, state, next, machine?.name, reason)
@@ -170,21 +170,21 @@
         stopSentAt = MonotonicTime.NEVER
     }
 
-    /** Has the run started again under the same attempt, on the machine to which it stays bound and whose worker has restarted. */
+    /** Schedules another start of the same attempt on the same machine, whose worker has restarted. */
     fun restartAttempt(now: MonotonicTime) {
         confirmedByWorker = false
         runningSince = null
         startSentAt = MonotonicTime.NEVER
-        if (state != RunState.STOPPING) transitionTo(RunState.STARTING, "its worker restarted", now)
+        if (state != RunState.STOPPING) transitionTo(RunState.STARTING, "worker restarted", now)
     }
 
-    /** Releases the run from its machine, if it is bound to one. */
+    /** Releases the run from its machine, if the run is bound to one. */
     fun unbind() {
         machine?.detach(this)
         machine = null
     }
 
-    /** Takes over the job's present specification. */
+    /** Replaces the specification by the job's current one. */
     fun updateSpec(spec: JobSpec) {
         this.spec = spec
     }
--- a/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
+++ b/src/main/kotlin/copperglade/tasks/RunLifecycle.kt
@@ -3,17 +3,17 @@
 import copperglade.transport.Clock
 
 /**
- * The state transitions of a shard's runs, and how a run leaves its machine: it is done, is returned to the leader, or waits
- * to be started again.
+ * Carries out the state transitions of a shard's runs. A run that leaves its machine is done, is returned to the leader, or waits to be
+ * started again.
  *
- * Invariant: a run becomes [RunState.WAITING] or [RunState.GONE] only when its task is certainly on no machine. Guards against
- * a task that runs twice at the same time.
+ * Invariant: a run becomes [RunState.WAITING] or [RunState.GONE] only when its task is confirmed absent from all machines. Guards
+ * against two executions of a task at the same time.
  */
 class RunLifecycle(private val clock: Clock, private val outcomes: OutcomeWriter) {
-    /** Moves [run] to the state [next] as of now; no effect where it is in that state already. */
+    /** Moves [run] to the state [next] as of now; no effect if the run is already in that state. */
     fun transition(run: Run, next: RunState, reason: String) = run.transitionTo(next, reason, clock.now())
 
-    /** Ends [run] as [RunState.DONE] or [RunState.GONE], and has that recorded. */
+    /** Ends [run] with [outcome], either [RunState.DONE] or [RunState.GONE], and adds the outcome to the next batch of records. */
     fun finish(run: Run, outcome: RunState, reason: String) {
         transition(run, outcome, reason)
         if (outcome == RunState.GONE) run.unbind()
@@ -21,9 +21,8 @@
     }
 
     /**
-     * Releases [run], which is certainly on no machine any more, from the one it was bound to. It waits to be started again,
-     * unless it was stopped for a reason other than a straggler restart: then it is returned to the leader. A run that has
-     * ended already is left as it is.
+     * Releases [run], whose task is confirmed absent from all machines, from its machine. The run waits to be started again, or is
+     * returned to the leader if it was stopped for a reason other than a straggler restart. No effect on a run that has ended.
      */
     fun release(run: Run, reason: String) {
         if (run.state == RunState.DONE || run.state == RunState.GONE) return
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -6,8 +6,8 @@
 import copperglade.storage.TaskRange
 
 /**
- * The runs of a shard by task, with an index of those that wait or are missing: these are asked for several times a second and
- * are few among all runs.
+ * The runs of a shard by task, with an index of the waiting and the missing runs, which are read several times a second and are few
+ * among all runs.
  */
 class RunTable {
     /** By job, then by task range of its records, then by task index. */
@@ -15,29 +15,28 @@
     private val waitingRuns = LinkedHashSet<Run>()
     private val missingRuns = LinkedHashSet<Run>()
 
-    /** Runs to be started. A copy, since starting one changes the table. */
+    /** Runs in the state [RunState.WAITING]. A copy, since starting one changes the table. */
     val waiting: List<Run> get() = waitingRuns.toList()
 
-    /** Runs that have not been found yet. A copy, since releasing one changes the table. */
+    /** Runs in the state [RunState.MISSING]. A copy, since releasing one changes the table. */
     val missing: List<Run> get() = missingRuns.toList()
 
-    /** The run of [task], if it is assigned to the shard. */
+    /** Returns the run of [task], or null if the task isn't assigned to the shard. */
     operator fun get(task: TaskId): Run? = byJob[task.job]?.get(rangeOf(task))?.get(task.index)
 
-    /** All runs of [job]. */
+    /** Returns all runs of [job]. */
     fun ofJob(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
 
-    /** The runs of the tasks in [range]; outcomes are written by task range. */
+    /** Returns the runs of the tasks in [range]. Outcomes are written by task range. */
     fun inRange(range: TaskRange): Collection<Run> = byJob[range.job]?.get(range.index)?.values.orEmpty()
 
-    /** Adds [run], in place of the present run of the same task if there is one. */
+    /** Adds [run], and removes the previous run of the same task if there is one. */
     fun add(run: Run) {
         val ranges = byJob.getOrPut(run.task.job) { HashMap() }
         ranges.getOrPut(rangeOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
         addToIndex(run)
     }
 
-    /** Removes [run]. */
     fun remove(run: Run) {
         removeFromIndex(run)
         val ranges = byJob[run.task.job] ?: return
@@ -49,7 +48,7 @@
 
     private fun rangeOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
 
-    /** To be called after every state transition of [run]; keeps the index in line. Runs that are not in the table are ignored. */
+    /** Updates the index. Must be called after every state transition of [run]; a run that is not in the table is ignored. */
     fun onStateChanged(run: Run) {
         if (get(run.task) !== run) return
         removeFromIndex(run)
--- a/src/main/kotlin/copperglade/tasks/ShardServices.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardServices.kt
@@ -9,13 +9,13 @@
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 
-/** How shard owners reach the rest of the world: the event loop, workers by HTTP, and the state service. For wiring only. */
+/** The external connections of shard owners: event loop, HTTP client for workers, and state service client. For wiring only. */
 class ShardConnections(val loop: EventLoop, val http: HttpClient, val store: StateClient)
 
-/** Whether this process may act, which actions are allowed, and the record of those that were taken. For wiring only. */
+/** The authority of this process to act, the check of each action, and the audit log of actions. For wiring only. */
 class ActionControl(val membership: Membership, val guard: ActionGuard, val audit: ActionAudit)
 
-/** What the process has learned about machines and jobs, shared by the owners of all its shards. For wiring only. */
+/** Data about machines and jobs that the owners of all shards in this process share. For wiring only. */
 class SharedClusterData(
     val types: MachineTypeCatalog,
     val profiles: ProfileStore,
--- a/src/main/kotlin/copperglade/tasks/ShardState.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardState.kt
@@ -16,7 +16,8 @@
  * Invariants: [fencingToken] is always one of this owner's own tokens, and never lower than [grantToken]; no attempt number is
  * used twice under one token.
  *
- * @param grantToken the fencing token of the grant. What a worker reports after it has seen this token or a higher one is final.
+ * @param grantToken the fencing token of the grant. Once a worker has received this token or a higher one, no command of an earlier
+ *   owner can change the state that the worker reports.
  * @param grantedAt when this owner was created. The shard's former owner may have acknowledged heartbeats until then.
  */
 class ShardState(
@@ -30,38 +31,38 @@
     val runs = RunTable()
     val machines = HashMap<MachineName, Machine>()
 
-    /** The token under which commands are sent now. */
+    /** The current token, under which commands are sent. */
     var fencingToken = grantToken
         private set
 
-    /** No command is sent before the records are known to be as new as the grant, nor after the shard has been released. */
+    /** Whether commands may be sent: the replica is at least as new as the grant, and the shard has not been released. */
     var isOpen = false
 
-    /** Whether this owner has ever held [token]: whatever carries it was assigned or commanded under the present grant. */
+    /** Whether this owner has ever held [token]. Assignments and commands that carry such a token were made under the current grant. */
     fun isOwnToken(token: FencingToken): Boolean = token in ownTokens
 
-    /** Replaces the token by a higher one; workers that have seen it refuse late copies of commands under the old one. */
+    /** Replaces the token by the higher one [next]. Workers that have received it refuse late copies of commands under the old token. */
     fun raiseToken(next: FencingToken) {
         ownTokens += next
         fencingToken = next
         attempts = 0
     }
 
-    /** A new attempt, never used before. */
+    /** Returns a new attempt that has never been used before. */
     fun nextAttempt(): Attempt = Attempt.of(fencingToken, ++attempts)
 
     /**
-     * Whether the machine's worker has seen a token of this owner. Only what it reports after that is final: commands of earlier
-     * owners can't take effect any more.
+     * Whether [machine]'s worker has reported [grantToken] or a higher token. From then on commands of earlier owners can't take effect;
+     * only the reports of such a worker are final.
      */
     fun isFenced(machine: Machine): Boolean = machine.fencingToken >= grantToken
 
-    /** The resources that [task] requests, by the shard's runs or by the records; null where neither knows it. */
+    /** Returns the resources that [task] requests, by the shard's runs or else by the records; null if neither contains the task. */
     fun requestOf(task: TaskId): Resources? = runs[task]?.spec?.request ?: replica.jobs[task.job]
         ?.spec
         ?.request
 
-    /** The images that a former owner recorded for [machine]. */
+    /** Returns the images that a former owner recorded for [machine]. */
     fun recordedImages(machine: MachineName): List<ImageName> = replica.images[name]
         ?.value
         ?.byMachine
