--- a/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
+++ b/src/main/kotlin/copperglade/controller/BudgetAllocator.kt
@@ -28,21 +28,21 @@
         val othersDesiredWritesPerSecond = others.map { peerStatuses.statusOf(it)?.desiredWritesPerSecond }
         // The leader scales out and lists machines, the others only delete idle ones.
         val cloudShare = if (leadership.leading) LEADER_SHARE_OF_CLOUD else (1.0 - LEADER_SHARE_OF_CLOUD) / others.size.coerceAtLeast(1)
-        cloudBudget.setRate(settings.cloudRequestsPerSecond * USED_PART_OF_CLOUD_BUDGET * cloudShare, loop.now())
+        cloudBudget.setRate(settings.cloudRequestsPerSecond * CLOUD_BUDGET_FRACTION * cloudShare, loop.now())
         val writeShare = BudgetShare.of(store.desiredWritesPerSecond, othersDesiredWritesPerSecond, settings.stateWritesPerSecond)
-        store.setShares(USED_PART_OF_STATE_BUDGET / (others.size + 1), USED_PART_OF_STATE_BUDGET * writeShare)
+        store.setShares(STATE_BUDGET_FRACTION / (others.size + 1), STATE_BUDGET_FRACTION * writeShare)
     }
 
     companion object {
-        private const val USED_PART_OF_STATE_BUDGET = 0.9
-        private const val USED_PART_OF_CLOUD_BUDGET = 0.9
+        private const val STATE_BUDGET_FRACTION = 0.9
+        private const val CLOUD_BUDGET_FRACTION = 0.9
         private const val LEADER_SHARE_OF_CLOUD = 0.6
 
         /** The share of the state service's budgets until the members are known: what would be left if all [controllers] lived. */
-        fun initialStateShare(controllers: Int): Double = USED_PART_OF_STATE_BUDGET / controllers
+        fun initialStateShare(controllers: Int): Double = STATE_BUDGET_FRACTION / controllers
 
         /** Requests a second to the cloud until the members are known, as if all [controllers] lived. */
         fun initialCloudRate(cloudRequestsPerSecond: Double, controllers: Int): Double =
-            cloudRequestsPerSecond * USED_PART_OF_CLOUD_BUDGET / controllers
+            cloudRequestsPerSecond * CLOUD_BUDGET_FRACTION / controllers
     }
 }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -63,7 +63,7 @@
  */
 class Controller(
     loop: EventLoop,
-    caller: HttpClient,
+    httpClient: HttpClient,
     settings: PlatformSettings,
     operatorSettings: OperatorSettings,
     /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
@@ -72,7 +72,7 @@
     onViolation: (InvariantViolation) -> Unit = {},
 ) {
     private val metrics = EventLoopMetrics(loop)
-    private val http = metrics.measured(caller)
+    private val http = metrics.measured(httpClient)
     private val store = StateClient(
         loop,
         http,
@@ -102,9 +102,9 @@
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
-        sessionLease = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
-        staleness = stalenessLimit,
-        startStaleness = idleRefreshInterval * 2,
+        sessionLeaseLength = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
+        actionStalenessLimit = stalenessLimit,
+        startStalenessLimit = idleRefreshInterval * 2,
     )
     private val membership = Membership(loop, store, replica, leaseEndorsement, settings.member, authorityLimits)
     private val violations = InvariantViolations(onViolation)
@@ -121,7 +121,7 @@
         TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
     private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
     private val failureEvidence = FailureEvidence(operatorSettings.failingJobMachineThreshold)
-    private val shardOwners = ShardOwnerFactory(
+    private val shardOwnerFactory = ShardOwnerFactory(
         ShardConnections(loop, http, store),
         replica,
         ActionControl(membership, guard, audit),
@@ -132,12 +132,12 @@
         operatorSettings.stragglerFactor,
     )
     private val ownedShards = OwnedShards()
-    private val shardRecords = ShardRecordWriter(loop, store, replica, membership)
+    private val shardRecordWriter = ShardRecordWriter(loop, store, replica, membership)
     private val shardOwnership =
-        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwners, shardRecords, failureEvidence)
-    private val shardTicker = ShardTicker(loop, ownedShards, shardRecords, metrics)
+        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwnerFactory, shardRecordWriter, failureEvidence)
+    private val shardTicker = ShardTicker(loop, ownedShards, shardRecordWriter, metrics)
     private val unreachableWorkerWatch = UnreachableWorkerWatch(loop, store, ownedShards, shardOwnership)
-    private val imageRecords = ImageRecordWriter(loop, store, replica, membership, ownedShards)
+    private val imageRecordWriter = ImageRecordWriter(loop, store, replica, membership, ownedShards)
     private val heartbeatRouter = HeartbeatRouter(ownedShards, shardMap, replica, membership, peerStatuses::peersReachStateService)
     private val machineRetirement = MachineRetirement(ownedShards, membership, http, settings.cloud, cloudBudget, loop)
     private val capacityTable = CapacityTable(replica, shardMap, peerStatuses::capacityStatusOf)
@@ -184,7 +184,7 @@
 
     /** Starts all parts; call it once, on the event loop. The order of listeners and timers decides the order of events. */
     fun start() {
-        listenToRecords()
+        registerListeners()
         types.start()
         replica.start()
         membership.start()
@@ -192,7 +192,7 @@
         leadership.start()
         shardTicker.start()
         unreachableWorkerWatch.start()
-        imageRecords.start()
+        imageRecordWriter.start()
         peerStatusExchange.start()
         autoscaler.start()
         submissionLatency.start()
@@ -202,7 +202,7 @@
         leaderLoop.start()
     }
 
-    private fun listenToRecords() {
+    private fun registerListeners() {
         replica.addListener(formerIncarnations)
         replica.addListener(shardOwnership)
         replica.addListener(jobFinalizer)
--- a/src/main/kotlin/copperglade/controller/HealthCheck.kt
+++ b/src/main/kotlin/copperglade/controller/HealthCheck.kt
@@ -22,10 +22,10 @@
      * probably alone: users who stayed with it would get no answer for as long as that lasts.
      */
     fun isHealthy(): Boolean {
-        val stateSilentSeconds = loop.now().secondsSince(store.lastAnswerAt)
+        val secondsSinceStateAnswer = loop.now().secondsSince(store.lastAnswerAt)
         val peersReachStateService = peerStatuses.peersReachStateService()
-        val isolated = peerStatuses.hearsNoPeer() && stateSilentSeconds >= ISOLATED_AFTER_SECONDS
-        val reachesStateService = stateSilentSeconds * MILLIS_PER_SECOND < PeerStatusTable.STATE_SILENCE_LIMIT_MILLIS
+        val isolated = peerStatuses.allPeersUnreachable() && secondsSinceStateAnswer >= ISOLATED_AFTER_SECONDS
+        val reachesStateService = secondsSinceStateAnswer * MILLIS_PER_SECOND < PeerStatusTable.STATE_SERVICE_UNREACHABLE_AFTER_MILLIS
         return replica.state == ReplicaState.CURRENT && types.isLoaded && (reachesStateService || !(peersReachStateService || isolated))
     }
 
--- a/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
+++ b/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
@@ -20,15 +20,15 @@
 ) {
     /** The refusal of a job that could never run or be stored; null where it may be accepted. */
     fun refusalOf(spec: JobSpec): Reply? {
-        val problem = unsatisfiableBecause(spec)
+        val problem = unsatisfiableReason(spec)
         return when {
             problem != null -> JobReplies.unprocessable(problem)
-            !limits.hold(LiveRecord(spec, loop.wallMillis(), cancelled = false)) -> JobReplies.tooLarge("body")
+            !limits.canStore(LiveRecord(spec, loop.wallMillis(), cancelled = false)) -> JobReplies.tooLarge("body")
             else -> null
         }
     }
 
-    private fun unsatisfiableBecause(spec: JobSpec): String? {
+    private fun unsatisfiableReason(spec: JobSpec): String? {
         val team = teams[spec.team] ?: return "crew: unknown team"
         val fitsSomeMachine = types.all.any { type ->
             spec.request.fitsIn(type.capacity) && type.zones.any { spec.allows(type.name, it, spot = false) }
@@ -40,4 +40,4 @@
 }
 
 /** Whether the state service takes [record], also once that carries the cancelled mark. */
-internal fun StateLimits.hold(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
+internal fun StateLimits.canStore(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
--- a/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
@@ -29,7 +29,7 @@
 
     private fun readStatus(id: JobId, retriesLeft: Int, responder: Responder): Unit = statusReader.read(id) { result ->
         when (result) {
-            is JobStatusResult.Known -> when {
+            is JobStatusResult.Found -> when {
                 result.summary.status.isFinal -> responder.send(JobReplies.status(result.summary))
                 else -> markCancelled(id, retriesLeft, responder)
             }
@@ -65,7 +65,7 @@
      * its list of machine types is what can make it so.
      */
     private fun cancelledRecord(live: LiveRecord): LiveRecord {
-        if (store.limits.hold(live)) return live.withCancelledMark()
+        if (store.limits.canStore(live)) return live.withCancelledMark()
         return LiveRecord(live.spec.withoutTypes(), live.acceptedAtMillis, cancelled = true, live.dependencies)
     }
 
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -9,11 +9,11 @@
 
 /** What a submission's dependencies turned out to be. */
 internal sealed interface DependencyResolution {
-    /** All were accepted once: [open] are not done yet; [aborted] tells whether one was cancelled. */
-    class Accepted(val open: List<JobId>, val aborted: Boolean) : DependencyResolution
+    /** All were accepted once: [open] are not done yet; [anyAborted] tells whether one was cancelled. */
+    class Accepted(val open: List<JobId>, val anyAborted: Boolean) : DependencyResolution
 
     /** [id] was never accepted, or can never be done; [problem] is told to the user. */
-    class Impossible(val id: JobId, val problem: String) : DependencyResolution
+    class Unsatisfiable(val id: JobId, val problem: String) : DependencyResolution
 
     /** The state service didn't tell in time. */
     data object Unavailable : DependencyResolution
@@ -29,7 +29,7 @@
 internal class DependencyResolver(private val replica: Replica) {
     /** Calls [onResolved] once, now or later. */
     fun resolve(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
-        if (dependencies.all(::isKnown)) return onResolved(judge(dependencies))
+        if (dependencies.all(::isKnown)) return onResolved(classify(dependencies))
         replica.catchUp { outcome ->
             when (outcome) {
                 CatchUpOutcome.Current -> readEnds(dependencies, onResolved)
@@ -42,7 +42,7 @@
 
     private fun readEnds(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
         val unknown = dependencies.filterNot(::isKnown)
-        if (unknown.isEmpty()) return onResolved(judge(dependencies))
+        if (unknown.isEmpty()) return onResolved(classify(dependencies))
         val lookUp = EndLookUp(dependencies, unknown.size, onResolved)
         unknown.forEach { id -> replica.readEnd(id) { lookUp.onRead(id, it) } }
     }
@@ -70,18 +70,18 @@
             val missing = neverAccepted
             return when {
                 unavailable -> DependencyResolution.Unavailable
-                missing != null -> DependencyResolution.Impossible(missing, "never accepted")
-                else -> judge(dependencies)
+                missing != null -> DependencyResolution.Unsatisfiable(missing, "never accepted")
+                else -> classify(dependencies)
             }
         }
     }
 
-    private fun judge(dependencies: List<JobId>): DependencyResolution {
+    private fun classify(dependencies: List<JobId>): DependencyResolution {
         val service = dependencies.firstOrNull { replica.jobs[it]?.spec?.kind == JobKind.SERVICE }
-        if (service != null) return DependencyResolution.Impossible(service, "a service, which is never done")
+        if (service != null) return DependencyResolution.Unsatisfiable(service, "a service, which is never done")
         val outcomes = dependencies.associateWith { replica.dependencies.outcomeOf(it) }
         if (outcomes.values.any { it == DependencyOutcome.UNKNOWN }) return DependencyResolution.Unavailable
         val open = dependencies.filter { outcomes[it] != DependencyOutcome.DONE }
-        return DependencyResolution.Accepted(open, aborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
+        return DependencyResolution.Accepted(open, anyAborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
     }
 }
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -71,7 +71,7 @@
     private fun endTransaction(jobs: List<Job>): Transaction {
         val conditions = ArrayList<Condition>()
         val writes = ArrayList<Write>()
-        conditions += leadership.condition
+        conditions += leadership.fencingCondition
         for (job in jobs) {
             val end = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             conditions += Condition(Keys.live(job.id), job.liveRevision())
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -41,7 +41,7 @@
     fun poll(id: JobId, responder: Responder) = statusReader.read(id) { result ->
         responder.send(
             when (result) {
-                is JobStatusResult.Known -> Reply(HttpStatus.OK, UserApiCodec.encodeSummary(result.summary))
+                is JobStatusResult.Found -> Reply(HttpStatus.OK, UserApiCodec.encodeSummary(result.summary))
                 JobStatusResult.NeverAccepted -> JobReplies.unknownJob()
                 JobStatusResult.Unavailable -> JobReplies.unavailable()
             },
--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -14,7 +14,7 @@
 /** What a job turned out to be. */
 internal sealed interface JobStatusResult {
     /** [summary] is no older than the question. */
-    class Known(val summary: JobSummary) : JobStatusResult
+    class Found(val summary: JobSummary) : JobStatusResult
 
     /** No job of this id was ever accepted. */
     data object NeverAccepted : JobStatusResult
@@ -33,7 +33,7 @@
     fun read(id: JobId, onResult: (JobStatusResult) -> Unit) {
         // An end never changes, so a remembered one needs no reading.
         val end = replica.endOf(id)
-        if (end != null) return onResult(JobStatusResult.Known(summaryOf(id, end)))
+        if (end != null) return onResult(JobStatusResult.Found(summaryOf(id, end)))
         readRecords(id, loop.now(), onResult)
     }
 
@@ -46,12 +46,12 @@
         when {
             // This process may have stood still between the reading and now, and another may have told the user more.
             outcome != CatchUpOutcome.Current || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
-            end != null -> onResult(JobStatusResult.Known(summaryOf(id, end)))
+            end != null -> onResult(JobStatusResult.Found(summaryOf(id, end)))
             // A dependency ended before this process began, and isn't known to be done or cancelled yet.
             replica.dependencies.hasUnknownDependencies(id) -> onResult(JobStatusResult.Unavailable)
             // The mark was learned ahead of the reading: the last task may have been recorded just before it.
             job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
-            job?.live != null -> onResult(JobStatusResult.Known(summaryOf(job)))
+            job?.live != null -> onResult(JobStatusResult.Found(summaryOf(job)))
             else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
         }
     }
@@ -61,7 +61,7 @@
         onResult(
             when {
                 outcome == ReadOutcome.Failed -> JobStatusResult.Unavailable
-                end != null -> JobStatusResult.Known(summaryOf(id, end))
+                end != null -> JobStatusResult.Found(summaryOf(id, end))
                 else -> JobStatusResult.NeverAccepted
             },
         )
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -73,12 +73,12 @@
     private fun onDependencies(spec: JobSpec, resolution: DependencyResolution, responder: Responder) {
         when (resolution) {
             DependencyResolution.Unavailable -> responder.send(JobReplies.unavailable())
-            is DependencyResolution.Impossible ->
+            is DependencyResolution.Unsatisfiable ->
                 refuse(spec.id, dependencyProblem("${resolution.id}: ${resolution.problem}"), responder)
             is DependencyResolution.Accepted -> {
                 // A job that needs a cancelled one is accepted all the same, and cancelled from its first moment.
-                val record = LiveRecord(spec, loop.wallMillis(), resolution.aborted, resolution.open)
-                if (record.dependencies.isEmpty() || store.limits.hold(record)) {
+                val record = LiveRecord(spec, loop.wallMillis(), resolution.anyAborted, resolution.open)
+                if (record.dependencies.isEmpty() || store.limits.canStore(record)) {
                     commit(record, MAX_RETRIES, responder)
                 } else {
                     refuse(spec.id, JobReplies.tooLarge(JobSpecCodec.DEPENDENCIES), responder)
@@ -120,7 +120,7 @@
     private fun refuse(id: JobId, refusal: Reply, responder: Responder) = statusReader.read(id) { result ->
         responder.send(
             when (result) {
-                is JobStatusResult.Known -> JobReplies.status(result.summary)
+                is JobStatusResult.Found -> JobReplies.status(result.summary)
                 JobStatusResult.NeverAccepted -> refusal
                 JobStatusResult.Unavailable -> JobReplies.unavailable()
             },
--- a/src/main/kotlin/copperglade/membership/ActionAuthority.kt
+++ b/src/main/kotlin/copperglade/membership/ActionAuthority.kt
@@ -9,5 +9,5 @@
     val mayAct: Boolean
 
     /** Whether tasks may be started, too; implies [mayAct]. */
-    val mayStart: Boolean
+    val mayStartTasks: Boolean
 }
--- a/src/main/kotlin/copperglade/membership/AuthorityLimits.kt
+++ b/src/main/kotlin/copperglade/membership/AuthorityLimits.kt
@@ -5,8 +5,8 @@
 /**
  * How long a controller may act without hearing from the state service.
  *
- * @property sessionLease the length of the session lease.
- * @property staleness how old the records may be for anything to be done on them.
- * @property startStaleness how old the records may be for a task to be started on them.
+ * @property sessionLeaseLength the length of the session lease.
+ * @property actionStalenessLimit how old the records may be for anything to be done on them.
+ * @property startStalenessLimit how old the records may be for a task to be started on them.
  */
-class AuthorityLimits(val sessionLease: Duration, val staleness: Duration, val startStaleness: Duration)
+class AuthorityLimits(val sessionLeaseLength: Duration, val actionStalenessLimit: Duration, val startStalenessLimit: Duration)
--- a/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -23,9 +23,9 @@
      * @property incarnation the present one, or null.
      * @property stoppedAt when all earlier incarnations have certainly stopped extending leases.
      */
-    private class Observed(var incarnation: Incarnation?, var stoppedAt: MonotonicTime)
+    private class ObservedMember(var incarnation: Incarnation?, var stoppedAt: MonotonicTime)
 
-    private val observed = others.associateWithTo(HashMap()) { Observed(null, loop.now() + gracePeriod) }
+    private val observedMembers = others.associateWithTo(HashMap()) { ObservedMember(null, loop.now() + gracePeriod) }
 
     override fun changed(changes: ReplicaChanges) {
         if (!changes.clusterRecordsChanged) return
@@ -37,14 +37,14 @@
      * further worker lease.
      */
     private fun observe(other: MemberId, changes: ReplicaChanges) {
-        val member = observed.getValue(other)
+        val member = observedMembers.getValue(other)
         val present = replica.members[other]?.value?.incarnation
         val now = loop.now()
         // It may have come and gone between two readings, or while nothing could be read.
-        val mayHaveComeAndGone = changes.reloaded || other in changes.removedMembers
+        val mayHaveMissedIncarnation = changes.reloaded || other in changes.removedMembers
         when {
-            present == null -> if (member.incarnation != null || mayHaveComeAndGone) member.stoppedAt = now + gracePeriod
-            member.incarnation == null && !mayHaveComeAndGone -> member.stoppedAt = minOf(member.stoppedAt, now)
+            present == null -> if (member.incarnation != null || mayHaveMissedIncarnation) member.stoppedAt = now + gracePeriod
+            member.incarnation == null && !mayHaveMissedIncarnation -> member.stoppedAt = minOf(member.stoppedAt, now)
             member.incarnation != present -> member.stoppedAt = now
         }
         member.incarnation = present
@@ -52,5 +52,5 @@
 
     /** When the last of the former incarnations has certainly stopped extending leases. */
     val allStoppedAt: MonotonicTime
-        get() = observed.values.maxOfOrNull { it.stoppedAt } ?: MonotonicTime.NEVER
+        get() = observedMembers.values.maxOfOrNull { it.stoppedAt } ?: MonotonicTime.NEVER
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -58,10 +58,10 @@
         private set
 
     /** Whether this process may decide as the leader at this very moment. */
-    val leading: Boolean get() = state == LeadershipState.LEADING && lease.alive && membership.mayAct
+    val leading: Boolean get() = state == LeadershipState.LEADING && lease.isValid && membership.mayAct
 
     /** Belongs to each transaction of the leader: it fails once somebody else has been elected. */
-    val condition: Condition get() = Condition(Keys.LEADER, revision)
+    val fencingCondition: Condition get() = Condition(Keys.LEADER, revision)
 
     /** How long ago this process last began to lead, in seconds. */
     val leadingForSeconds: Double get() = loop.now().secondsSince(leadingSince)
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -64,7 +64,7 @@
     private fun onReply(peer: Peer, sentAt: MonotonicTime, reply: Reply?) {
         requestsInFlight -= peer.member
         if (reply?.status != HttpStatus.OK || !ownershipIntact()) return
-        receivedUntil[peer.member] = sentAt + ENDORSEMENT_LENGTH * (1.0 - SessionLease.DRIFT) - MARGIN
+        receivedUntil[peer.member] = sentAt + ENDORSEMENT_LENGTH * (1.0 - SessionLease.CLOCK_DRIFT_ALLOWANCE) - EXPIRY_MARGIN
     }
 
     /** Whether we endorse [member]. After true, its shards are granted to nobody else for [ENDORSEMENT_LENGTH]. */
@@ -82,7 +82,7 @@
 
     private companion object {
         val ENDORSEMENT_LENGTH = 3.seconds
-        val MARGIN = 100.milliseconds
+        val EXPIRY_MARGIN = 100.milliseconds
         val REQUEST_INTERVAL = 400.milliseconds
         val REQUEST_TIMEOUT = 1.seconds
     }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -45,7 +45,7 @@
     val self: MemberId,
     private val limits: AuthorityLimits,
 ) : ActionAuthority {
-    private var lease = SessionLease(loop, store, limits.sessionLease)
+    private var lease = SessionLease(loop, store, limits.sessionLeaseLength)
 
     private var state = MemberState.NOT_MEMBER
 
@@ -59,14 +59,14 @@
 
     /** Whether shards that this process owns can't have been granted to anybody else: by the session lease, or by endorsements. */
     private val ownershipIntact: Boolean
-        get() = state == MemberState.MEMBER && (lease.alive || loop.now() < leaseEndorsement.endorsedUntil)
+        get() = state == MemberState.MEMBER && (lease.isValid || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether this process may act at this very moment: on its session lease, or on the endorsements of its peers in an outage. In
      * either case its records must be recent enough for a cancellation it has not heard of to be carried out in time.
      */
     override val mayAct: Boolean
-        get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.staleness
+        get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.actionStalenessLimit
 
     /** While the records are reloaded, a part of them is missing: nothing may be decided on the rest. */
     private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
@@ -75,8 +75,8 @@
     val authorityRemainingMillis: Long
         get() {
             if (!mayAct) return 0
-            val ownershipUntil = maxOf(lease.aliveUntil, leaseEndorsement.endorsedUntil)
-            return minOf(ownershipUntil, replica.readTime + limits.staleness).ms - loop.now().ms
+            val ownershipUntil = maxOf(lease.validUntil, leaseEndorsement.endorsedUntil)
+            return minOf(ownershipUntil, replica.readTime + limits.actionStalenessLimit).ms - loop.now().ms
         }
 
     /**
@@ -84,8 +84,8 @@
      * start after its user was told that it is cancelled: either the state service has answered a moment ago, or all peers state that
      * it answers nobody, so that nothing can be confirmed that they haven't told us before.
      */
-    override val mayStart: Boolean
-        get() = mayAct && (loop.now() < replica.readTime + limits.startStaleness || loop.now() < leaseEndorsement.endorsedUntil)
+    override val mayStartTasks: Boolean
+        get() = mayAct && (loop.now() < replica.readTime + limits.startStalenessLimit || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether workers' leases may still be extended, though nothing may be commanded any more: the session lease has expired
@@ -93,11 +93,12 @@
      * ([FormerIncarnations]).
      */
     val mayExtendWorkerLeases: Boolean
-        get() = state == MemberState.MEMBER && recordsComplete && loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.staleness
+        get() = state == MemberState.MEMBER && recordsComplete &&
+            loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.actionStalenessLimit
 
     /** For how long [mayExtendWorkerLeases] may hold beyond the end of the session lease, by any clock. */
     val gracePeriod: Duration
-        get() = (limits.staleness - limits.sessionLease) * (1.0 + 2 * SessionLease.DRIFT) + GRACE_MARGIN
+        get() = (limits.actionStalenessLimit - limits.sessionLeaseLength) * (1.0 + 2 * SessionLease.CLOCK_DRIFT_ALLOWANCE) + GRACE_MARGIN
 
     /** Called on each change of the [MemberState], hence whenever [incarnation] has changed. */
     var onChange: () -> Unit = {}
@@ -106,7 +107,7 @@
     fun start() {
         leaseEndorsement.ownershipIntact = { ownershipIntact }
         join()
-        loop.scheduleRepeating({ if (lease.alive) limits.sessionLease / EXTENSIONS_PER_LEASE else RETRY_INTERVAL }) {
+        loop.scheduleRepeating({ if (lease.isValid) limits.sessionLeaseLength / EXTENSIONS_PER_LEASE else RETRY_INTERVAL }) {
             if (state == MemberState.MEMBER) lease.extend(::onLeaseExtension)
         }
     }
@@ -122,7 +123,7 @@
     private fun join() {
         if (state != MemberState.NOT_MEMBER) return
         moveTo(MemberState.JOINING, "opening_session_lease")
-        lease = SessionLease(loop, store, limits.sessionLease)
+        lease = SessionLease(loop, store, limits.sessionLeaseLength)
         lease.open { outcome ->
             when (outcome) {
                 is LeaseOpening.Granted -> register()
@@ -134,7 +135,7 @@
     /** Writes the member key once the records are known, so that a predecessor's key is replaced and not taken for absent. */
     private fun register() {
         val leaseId = lease.leaseId ?: return retryLater("session_lease_lost")
-        if (replica.state != ReplicaState.CURRENT && lease.alive) {
+        if (replica.state != ReplicaState.CURRENT && lease.isValid) {
             loop.after(REPLICA_CHECK_INTERVAL) { register() }
             return
         }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -46,8 +46,8 @@
 ) {
     private val requestsInFlight = HashSet<MemberId>()
     private val deliveredAt = HashMap<MemberId, MonotonicTime>()
-    private var recordedAt = MonotonicTime.NEVER
-    private var followersToldAt = MonotonicTime.NEVER
+    private var capacityWrittenAt = MonotonicTime.NEVER
+    private var followersSentAt = MonotonicTime.NEVER
 
     /** Called with each status of the leader, whoever that is: it holds the leader's requests to all members. */
     var onLeaderStatus: (PeerStatus) -> Unit = {}
@@ -65,8 +65,8 @@
         // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
         val withoutCapacities = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacities()) }
         val now = loop.now()
-        val followersDue = now >= followersToldAt + FOLLOWER_INTERVAL
-        if (followersDue) followersToldAt = now
+        val followersDue = now >= followersSentAt + FOLLOWER_INTERVAL
+        if (followersDue) followersSentAt = now
         for (peer in peers) {
             if (peer.member in requestsInFlight) continue
             if (peer.member == leader) {
@@ -75,7 +75,7 @@
                 send(peer, withoutCapacities.value)
             }
         }
-        if (leader != null && leader != self) recordIfLeaderUnreachable(leader, status)
+        if (leader != null && leader != self) writeCapacityIfLeaderUnreachable(leader, status)
     }
 
     private fun send(peer: Peer, body: ByteArray) {
@@ -86,11 +86,11 @@
         }
     }
 
-    private fun recordIfLeaderUnreachable(leader: MemberId, status: PeerStatus) {
+    private fun writeCapacityIfLeaderUnreachable(leader: MemberId, status: PeerStatus) {
         val now = loop.now()
         val lastDelivery = deliveredAt.getOrPut(leader) { now }
-        if (now < lastDelivery + UNREACHABLE_AFTER || now < recordedAt + RECORD_INTERVAL) return
-        recordedAt = now
+        if (now < lastDelivery + LEADER_UNREACHABLE_AFTER || now < capacityWrittenAt + CAPACITY_WRITE_INTERVAL) return
+        capacityWrittenAt = now
         val value = encodeWithinValueLimit(status) ?: return
         val write = Write.Set(Keys.memberCapacity(self), value)
         // A hint only, and of use only while it is new: no condition, and a late one is recognized by its incarnation.
@@ -131,7 +131,7 @@
         /** What peers other than the leader are sent changes slowly. */
         val FOLLOWER_INTERVAL = 450.milliseconds
         val REQUEST_TIMEOUT = 1.seconds
-        val UNREACHABLE_AFTER = 1500.milliseconds
-        val RECORD_INTERVAL = 1500.milliseconds
+        val LEADER_UNREACHABLE_AFTER = 1500.milliseconds
+        val CAPACITY_WRITE_INTERVAL = 1500.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -10,11 +10,11 @@
 
 /** The latest status of each controller, as long as it is recent. Only hints: whoever acts on one checks it against the records. */
 class PeerStatusTable(private val loop: EventLoop, private val self: MemberId, private val peers: List<Peer>) {
-    private class Received(val status: PeerStatus, val at: MonotonicTime)
+    private class ReceivedStatus(val status: PeerStatus, val at: MonotonicTime)
 
     private var own: PeerStatus? = null
-    private val direct = HashMap<MemberId, Received>()
-    private val fromStateService = HashMap<MemberId, Received>()
+    private val receivedDirectly = HashMap<MemberId, ReceivedStatus>()
+    private val fromStateService = HashMap<MemberId, ReceivedStatus>()
 
     /** Keeps the [status] that this controller tells its peers. */
     fun recordOwn(status: PeerStatus) {
@@ -23,13 +23,13 @@
 
     /** Keeps a [status] that a peer has sent. */
     fun recordReceived(status: PeerStatus) {
-        direct[status.member] = Received(status, loop.now())
+        receivedDirectly[status.member] = ReceivedStatus(status, loop.now())
         if (status.member == self) own = status
     }
 
     /** Keeps a [status] that came through the state service: it may hold only a part of the machines. */
     fun recordFromStateService(status: PeerStatus) {
-        if (status.member != self) fromStateService[status.member] = Received(status, loop.now())
+        if (status.member != self) fromStateService[status.member] = ReceivedStatus(status, loop.now())
     }
 
     /** The status of [member] as it told us itself, or null where that is too old or there is none. */
@@ -42,19 +42,19 @@
     }
 
     private fun recentDirect(member: MemberId): PeerStatus? =
-        direct[member]?.takeIf { loop.now() < it.at + DIRECT_LIFETIME }?.status
+        receivedDirectly[member]?.takeIf { loop.now() < it.at + DIRECT_LIFETIME }?.status
 
     /** Whether a peer that we hear has had an answer of the state service lately: it, or whom it knows, takes our shards over. */
     fun peersReachStateService(): Boolean = peers.any { peer ->
-        recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SILENCE_LIMIT_MILLIS } ?: false
+        recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SERVICE_UNREACHABLE_AFTER_MILLIS } ?: false
     }
 
     /** Whether there are peers, and none of them is heard. */
-    fun hearsNoPeer(): Boolean = peers.isNotEmpty() && peers.none { recentDirect(it.member) != null }
+    fun allPeersUnreachable(): Boolean = peers.isNotEmpty() && peers.none { recentDirect(it.member) != null }
 
     companion object {
         /** After so long without an answer, a controller counts as cut off from the state service. */
-        const val STATE_SILENCE_LIMIT_MILLIS = 3000L
+        const val STATE_SERVICE_UNREACHABLE_AFTER_MILLIS = 3000L
         private val DIRECT_LIFETIME = 2.seconds
         private val STATE_SERVICE_LIFETIME = 4.seconds
     }
--- a/src/main/kotlin/copperglade/membership/SessionLease.kt
+++ b/src/main/kotlin/copperglade/membership/SessionLease.kt
@@ -29,7 +29,7 @@
 
 /**
  * A lease in the state service, with a lower bound of its lifetime: [length] from when the last successful request was sent, less
- * the drift of the clocks and a margin. Whoever acts on the lease asks [alive] at the moment of acting.
+ * the drift of the clocks and a margin. Whoever acts on the lease asks [isValid] at the moment of acting.
  */
 class SessionLease(private val loop: EventLoop, private val store: StateClient, private val length: Duration) {
     /** The lease's id; null before it is granted and after it is lost or ended. */
@@ -37,14 +37,14 @@
         private set
 
     /** Until when the lease certainly exists, unless it is ended. */
-    var aliveUntil = MonotonicTime.NEVER
+    var validUntil = MonotonicTime.NEVER
         private set
 
     /** When the last successful request for the lease was sent. */
     var renewedAt = MonotonicTime.NEVER
         private set
 
-    val alive: Boolean get() = leaseId != null && loop.now() < aliveUntil
+    val isValid: Boolean get() = leaseId != null && loop.now() < validUntil
 
     /** Asks for a new lease. On [LeaseOpening.Granted], [leaseId] is set before [onOutcome] is called. */
     fun open(onOutcome: (LeaseOpening) -> Unit) {
@@ -55,7 +55,7 @@
     private fun onOpenReply(outcome: LeaseOutcome, sentAt: MonotonicTime): LeaseOpening = when (outcome) {
         is LeaseOutcome.Granted -> {
             leaseId = outcome.leaseId
-            renewed(sentAt)
+            onRenewed(sentAt)
             LeaseOpening.Granted(outcome.leaseId)
         }
         LeaseOutcome.Extended, LeaseOutcome.Gone, LeaseOutcome.Failed -> LeaseOpening.Failed
@@ -70,7 +70,7 @@
 
     private fun onExtendReply(outcome: LeaseOutcome, sentAt: MonotonicTime): LeaseExtension = when (outcome) {
         LeaseOutcome.Extended -> {
-            renewed(sentAt)
+            onRenewed(sentAt)
             LeaseExtension.Extended
         }
         LeaseOutcome.Gone -> {
@@ -86,15 +86,15 @@
         leaseId = null
     }
 
-    private fun renewed(sentAt: MonotonicTime) {
-        val until = sentAt + length * (1.0 - DRIFT) - MARGIN
-        if (until > aliveUntil) aliveUntil = until
+    private fun onRenewed(sentAt: MonotonicTime) {
+        val until = sentAt + length * (1.0 - CLOCK_DRIFT_ALLOWANCE) - EXPIRY_MARGIN
+        if (until > validUntil) validUntil = until
         if (sentAt > renewedAt) renewedAt = sentAt
     }
 
     companion object {
         /** Clocks drift apart by at most 0.05%; twice that is allowed for. */
-        const val DRIFT = 0.001
-        private val MARGIN = 100.milliseconds
+        const val CLOCK_DRIFT_ALLOWANCE = 0.001
+        private val EXPIRY_MARGIN = 100.milliseconds
     }
 }
--- a/src/main/kotlin/copperglade/membership/StalenessLimit.kt
+++ b/src/main/kotlin/copperglade/membership/StalenessLimit.kt
@@ -19,8 +19,14 @@
      */
     fun of(leaseSeconds: Double, cancelSeconds: Double, operatorSettings: OperatorSettings): Duration {
         val available = (cancelSeconds - leaseSeconds).seconds
-        val wanted = operatorSettings.stalenessMargin
-        val margin = if (wanted > OperatorSettings.DEFAULT_STALENESS_MARGIN) wanted else minOf(wanted, available / 3)
+        val configuredMargin = operatorSettings.stalenessMargin
+        val margin = if (configuredMargin >
+            OperatorSettings.DEFAULT_STALENESS_MARGIN
+        ) {
+            configuredMargin
+        } else {
+            minOf(configuredMargin, available / 3)
+        }
         if (available - margin < MIN_LIMIT) {
             throw InvalidSettingException(
                 "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
--- a/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
+++ b/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
@@ -43,7 +43,7 @@
     /** The other controller that owns [shard], if one does and is alive by the records. */
     private fun otherOwner(shard: ShardName): MemberId? {
         val record = replica.shards[shard]?.value ?: return null
-        val alive = replica.members[record.member]?.value?.incarnation == record.incarnation
-        return record.member.takeIf { alive && it != membership.self }
+        val ownerIsMember = replica.members[record.member]?.value?.incarnation == record.incarnation
+        return record.member.takeIf { ownerIsMember && it != membership.self }
     }
 }
--- a/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -26,12 +26,12 @@
     private val owned: OwnedShards,
 ) {
     fun start() = loop.scheduleRepeating({ WRITE_INTERVAL }) {
-        if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
+        if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_BUDGET_LEVEL) owned.open.forEach(::write)
     }
 
     private fun write(shard: ShardOwner) {
         val present = replica.images[shard.name]
-        val record = shard.imageRecord((store.limits.valueBytes * USABLE_PART_OF_VALUE).toInt())
+        val record = shard.imageRecord((store.limits.valueBytes * TARGET_VALUE_FRACTION).toInt())
         if (record.byMachine == present?.value?.byMachine.orEmpty()) return
         val value = RecordCodec.encode(record)
         if (value.size > store.limits.valueBytes) return
@@ -50,9 +50,9 @@
         val WRITE_INTERVAL = 10.seconds
 
         /** The estimate of a record's size is rough. */
-        const val USABLE_PART_OF_VALUE = 0.8
+        const val TARGET_VALUE_FRACTION = 0.8
 
         /** The part of the write budget that must be left. */
-        const val MIN_WRITE_LEVEL = 0.6
+        const val MIN_WRITE_BUDGET_LEVEL = 0.6
     }
 }
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -51,7 +51,7 @@
     val isOpen: Boolean get() = state.isOpen
 
     /** Whether [token] is one of the fencing tokens that this owner has had. */
-    fun holds(token: FencingToken): Boolean = state.isOwnToken(token)
+    fun hasHeldToken(token: FencingToken): Boolean = state.isOwnToken(token)
 
     /** Starts commanding workers. The records must be known to be as new as the grant. */
     fun open() {
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -21,12 +21,12 @@
     private val membership: Membership,
     private val shardMap: ShardMap,
     private val owned: OwnedShards,
-    private val owners: ShardOwnerFactory,
-    private val records: ShardRecordWriter,
+    private val ownerFactory: ShardOwnerFactory,
+    private val recordWriter: ShardRecordWriter,
     private val failureEvidence: FailureEvidence,
 ) : ReplicaListener {
     init {
-        records.onSettled = ::reconcile
+        recordWriter.onSettled = ::reconcile
     }
 
     override fun changed(changes: ReplicaChanges) {
@@ -51,15 +51,15 @@
 
     /** Opens or closes the shard [name], which the records grant to this process under [grantToken], or not at all. */
     private fun reconcile(name: ShardName, grantToken: FencingToken?) {
-        if (records.isInFlight(name)) return
+        if (recordWriter.isInFlight(name)) return
         val present = owned[name]
-        if (present != null && (grantToken == null || !present.holds(grantToken))) close(present)
+        if (present != null && (grantToken == null || !present.hasHeldToken(grantToken))) close(present)
         if (grantToken != null && name !in owned) open(name, grantToken)
     }
 
     private fun open(name: ShardName, grantToken: FencingToken) {
         log.info("shard_acquired shard={} fencing_token={}", name, grantToken)
-        val shard = owners.create(name, grantToken)
+        val shard = ownerFactory.create(name, grantToken)
         owned.add(shard)
         openWhenCurrent(shard)
     }
@@ -82,15 +82,15 @@
     }
 
     /** Releases the shards [names], which the leader wants elsewhere. This process stops acting for them first. */
-    fun release(names: List<ShardName>) = closeEach(names, records::release)
+    fun release(names: List<ShardName>) = closeEach(names, recordWriter::release)
 
     /** Releases the shards [names], whose workers this process can't reach, so that it isn't granted them again at once. */
-    fun releaseUnreachable(names: List<ShardName>) = closeEach(names, records::releaseUnreachable)
+    fun releaseUnreachable(names: List<ShardName>) = closeEach(names, recordWriter::releaseUnreachable)
 
     private fun closeEach(names: List<ShardName>, release: (ShardName, FencingToken) -> Unit) {
         for (name in names) {
             val shard = owned[name] ?: continue
-            if (!shard.isOpen || !records.begin(name)) continue
+            if (!shard.isOpen || !recordWriter.tryBeginWrite(name)) continue
             close(shard)
             release(name, shard.fencingToken)
         }
--- a/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
@@ -39,12 +39,12 @@
     fun isInFlight(shard: ShardName): Boolean = shard in inFlight
 
     /** Claims the record of [shard] for a write that follows; false where one is in flight already. */
-    fun begin(shard: ShardName): Boolean = inFlight.add(shard)
+    fun tryBeginWrite(shard: ShardName): Boolean = inFlight.add(shard)
 
     /** Rewrites the record of [shard] for a higher fencing token, which ends whatever late copies of its commands could do. */
     fun renewToken(shard: ShardOwner) {
         val record = ownRecord() ?: return
-        if (!begin(shard.name)) return
+        if (!tryBeginWrite(shard.name)) return
         write(shard.name, shard.fencingToken, set(shard.name, record)) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
                 log.info("shard_token_renewed shard={} fencing_token={} reason=unresolved_start", shard.name, outcome.revision)
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Deletes the record of [shard], which was held under [token] and has been closed, after [begin]. */
+    /** Deletes the record of [shard], which was held under [token] and has been closed, after [tryBeginWrite]. */
     fun release(shard: ShardName, token: FencingToken) = release(shard, token, Write.Delete(Keys.shard(shard)))
 
     /** As [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
@@ -84,10 +84,10 @@
 
     private fun set(shard: ShardName, record: ShardRecord) = Write.Set(Keys.shard(shard), RecordCodec.encode(record))
 
-    private fun write(shard: ShardName, token: FencingToken, write: Write, done: (TransactionOutcome) -> Unit) {
+    private fun write(shard: ShardName, token: FencingToken, write: Write, onOutcome: (TransactionOutcome) -> Unit) {
         val transaction = Transaction(listOf(Condition(Keys.shard(shard), Revision(token.number))), listOf(write))
         store.commit(WritePriority.LEASE, transaction) { outcome ->
-            done(outcome)
+            onOutcome(outcome)
             if (outcome is TransactionOutcome.Applied) replica.applyCommitted(transaction, outcome.revision)
         }
     }
--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -16,7 +16,7 @@
 /**
  * Decides which of a shard's waiting runs may be placed now, and has a [Placer] place them.
  *
- * Invariant: nothing is placed unless [Membership.mayStart], which needs newer knowledge than keeping what runs. Guards
+ * Invariant: nothing is placed unless [Membership.mayStartTasks], which needs newer knowledge than keeping what runs. Guards
  * against starting tasks of a job that was cancelled meanwhile.
  */
 class ShardPlacement(
--- a/src/main/kotlin/copperglade/placement/StartEligibility.kt
+++ b/src/main/kotlin/copperglade/placement/StartEligibility.kt
@@ -22,7 +22,7 @@
     private val clock: Clock,
 ) {
     /** Whether this controller may start tasks at all now. */
-    val mayStartAny: Boolean get() = membership.mayStart
+    val mayStartAny: Boolean get() = membership.mayStartTasks
 
     /** Whether [run]'s job is failing: one task of it is tried at a time, and nothing is preempted for it. */
     fun isFailing(run: Run): Boolean = run.task.job in failingJobs
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -56,7 +56,7 @@
     /** Why [task] must not be started now, or null where it may be. */
     fun refusalToStart(task: TaskId): Refusal? = when {
         !authority.mayAct -> Refusal.NO_AUTHORITY
-        !authority.mayStart -> Refusal.STALE_SNAPSHOT
+        !authority.mayStartTasks -> Refusal.STALE_SNAPSHOT
         else -> refusalByRecords(task)
     }
 
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -55,7 +55,7 @@
         )
     }
     private val rangeBuilder = AssignmentRangeBuilder(replica)
-    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.condition }
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.fencingCondition }
     private val unresolvedTasks = UnresolvedTasks()
 
     /** The leadership term that [unresolvedTasks] belong to. */
@@ -151,7 +151,7 @@
     /** Still leading, every job's live record unchanged, and every shard still owned by the owner that reported the capacity. */
     private fun conditionsOf(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>): Set<Condition> {
         val conditions = LinkedHashSet<Condition>()
-        conditions += leadership.condition
+        conditions += leadership.fencingCondition
         conditions += packedWrite.condition
         for ((range, chosen) in choices) {
             conditions += Condition(Keys.live(range.job), replica.jobs.getValue(range.job).liveRevision())
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -143,7 +143,7 @@
     private fun grantConditions(shard: ShardName, owner: MemberId, memberRevision: Revision): List<Condition> {
         val present = replica.shards[shard]
         val conditions = ArrayList<Condition>()
-        conditions += leadership.condition
+        conditions += leadership.fencingCondition
         conditions += Condition(Keys.member(owner), memberRevision)
         conditions += Condition(Keys.shard(shard), present?.revision ?: Revision.ABSENT)
         present?.value?.takeIf { it.member != owner && !it.released }?.member?.let { former ->
--- a/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
@@ -15,7 +15,7 @@
     val lease: Duration get() = leaseSeconds.seconds
 
     /** A worker that has not been acknowledged for this long has certainly lost its lease, whatever the drift of its clock. */
-    val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.DRIFT) + LEASE_MARGIN_SECONDS).seconds
+    val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.CLOCK_DRIFT_ALLOWANCE) + LEASE_MARGIN_SECONDS).seconds
 
     /** A machine that has not been heard from for this long counts as silent. */
     val heartbeatTimeout: Duration get() = heartbeatIntervals(MISSED_HEARTBEATS)
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -38,7 +38,7 @@
 
 /** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
 class ActionGuardTest {
-    private class FakeAuthority(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : ActionAuthority
+    private class FakeAuthority(override var mayAct: Boolean = true, override var mayStartTasks: Boolean = true) : ActionAuthority
 
     private val free = JobId("job-1")
     private val cancelled = JobId("job-2")
@@ -102,7 +102,7 @@
         val expected =
             listOf(null, Refusal.JOB_CANCELLED, Refusal.JOB_BLOCKED, Refusal.JOB_ENDED, Refusal.JOB_ENDED, Refusal.UNKNOWN_JOB)
         assertEquals(expected, refusals)
-        authority.mayStart = false
+        authority.mayStartTasks = false
         assertEquals(Refusal.STALE_SNAPSHOT, guard.refusalToStart(TaskId(free, 0)))
         authority.mayAct = false
         assertEquals(Refusal.NO_AUTHORITY, guard.refusalToStart(TaskId(free, 0)))
