--- a/src/main/kotlin/copperglade/membership/StalenessLimit.kt
+++ b/src/main/kotlin/copperglade/membership/StalenessLimit.kt
@@ -19,14 +19,8 @@
      */
     fun of(leaseSeconds: Double, cancelSeconds: Double, operatorSettings: OperatorSettings): Duration {
         val available = (cancelSeconds - leaseSeconds).seconds
-        val configuredMargin = operatorSettings.stalenessMargin
-        val margin = if (configuredMargin >
-            OperatorSettings.DEFAULT_STALENESS_MARGIN
-        ) {
-            configuredMargin
-        } else {
-            minOf(configuredMargin, available / 3)
-        }
+        val configured = operatorSettings.stalenessMargin
+        val margin = if (configured > OperatorSettings.DEFAULT_STALENESS_MARGIN) configured else minOf(configured, available / 3)
         if (available - margin < MIN_LIMIT) {
             throw InvalidSettingException(
                 "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
