--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -58,17 +58,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * One controller: wires everything that decides, over a clock and ways to send that are handed in, and starts it. It decides nothing
- * itself.
+ * One controller: creates, connects and starts its components, with the event loop and the HTTP client that the caller provides. This
+ * class makes no decisions itself.
  */
 class Controller(
     loop: EventLoop,
     httpClient: HttpClient,
     settings: PlatformSettings,
     operatorSettings: OperatorSettings,
-    /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
+    /** The maximum heap size in bytes, from which the limits of in-memory caches are derived. */
     heapBytes: Long,
-    /** Told of each action that the last check before it has refused: see [InvariantViolations]. */
+    /** Called with each action that was refused by the last check before its execution: see [InvariantViolations]. */
     onViolation: (InvariantViolation) -> Unit = {},
 ) {
     private val metrics = EventLoopMetrics(loop)
@@ -175,14 +175,14 @@
     private val submissionLatency = RequestLatency(loop, "submissions")
     private val pollLatency = RequestLatency(loop, "polls")
 
-    /** Serves users, workers and health checks. */
+    /** Handles requests of users, workers and health checks. */
     val clientHandler: RequestHandler =
         metrics.measured(ClientRouter(replica, jobService, heartbeatRouter, healthCheck, submissionLatency, pollLatency))
 
-    /** Serves the other controllers. */
+    /** Handles requests of the other controllers. */
     val clusterHandler: RequestHandler = metrics.measured(PeerRouter(leaseEndorsement, cancellationBroadcast, peerStatusExchange))
 
-    /** Starts all parts; call it once, on the event loop. The order of listeners and timers decides the order of events. */
+    /** Starts all components. Call it once, on the event loop. The order of listeners and timers determines the order of events. */
     fun start() {
         registerListeners()
         types.start()
--- a/src/main/kotlin/copperglade/controller/HealthCheck.kt
+++ b/src/main/kotlin/copperglade/controller/HealthCheck.kt
@@ -8,7 +8,7 @@
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
 
-/** Whether the load balancer should send users to this controller. */
+/** Decides whether the load balancer should send user requests to this controller. */
 internal class HealthCheck(
     private val loop: EventLoop,
     private val store: StateClient,
@@ -17,9 +17,10 @@
     private val peerStatuses: PeerStatusTable,
 ) {
     /**
-     * A controller that alone has lost the state service should get no users; if all have lost it, none of the others would serve
-     * them better, and the balancer would only be slow to come back. One that hears neither the service nor any other controller is
-     * probably alone: users who stayed with it would get no answer for as long as that lasts.
+     * Returns whether this controller should receive user requests. A controller that is the only one without the state service should
+     * receive none. If no controller reaches the state service, no other controller would serve users better, and the load balancer would
+     * only be slow to return to this one. A controller that reaches neither the state service nor any other controller is probably
+     * isolated: its users would get no answer for as long as the isolation lasts.
      */
     fun isHealthy(): Boolean {
         val secondsSinceStateAnswer = loop.now().secondsSince(store.lastAnswerAt)
--- a/src/main/kotlin/copperglade/controller/LeaderLoop.kt
+++ b/src/main/kotlin/copperglade/controller/LeaderLoop.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Runs the leader's decisions in rounds, in a fixed order; while this controller doesn't lead, a round only allocates the budgets. */
+/** Runs the leader's decisions in rounds, in a fixed order; on other controllers, a round only allocates the budgets. */
 internal class LeaderLoop(
     private val loop: EventLoop,
     private val metrics: EventLoopMetrics,
@@ -27,7 +27,7 @@
         lastRoundDuration = (loop.now().ms - startedAt.ms).milliseconds
     }
 
-    /** The longer a round takes, the later the next one, and the more it decides: the loop keeps time for everything else. */
+    /** The longer a round takes, the later the next one starts and the more it decides, which leaves event loop time for other work. */
     private fun interval(): Duration =
         if (leadership.leading) MIN_INTERVAL + lastRoundDuration * PAUSE_PER_ROUND_DURATION else FOLLOWER_INTERVAL
 
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -12,7 +12,7 @@
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
 
-/** Composes what this controller tells its peers; as the leader, with its requests to the shard owners. */
+/** Composes the status that this controller sends to its peers. The leader's status includes its requests to the shard owners. */
 internal class PeerStatusComposer(
     private val loop: EventLoop,
     private val store: StateClient,
--- a/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
+++ b/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
@@ -11,14 +11,14 @@
 import copperglade.transport.EventLoop
 import copperglade.transport.Reply
 
-/** Decides whether a well-formed job could ever run here, and be stored. */
+/** Decides whether a well-formed job could ever run on this cluster, and whether its record fits into the state service. */
 internal class AdmissionCheck(
     private val loop: EventLoop,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val limits: StateLimits,
 ) {
-    /** The refusal of a job that could never run or be stored; null where it may be accepted. */
+    /** Returns the error reply for a job that could never run or be stored; null if the job may be accepted. */
     fun refusalOf(spec: JobSpec): Reply? {
         val problem = unsatisfiableReason(spec)
         return when {
@@ -39,5 +39,5 @@
     }
 }
 
-/** Whether the state service takes [record], also once that carries the cancelled mark. */
+/** Whether [record] fits into a stored value, also with the cancelled mark. */
 internal fun StateLimits.canStore(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
--- a/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationBroadcast.kt
@@ -14,11 +14,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Sends cancellations that have just become durable to the other controllers, before the user is told. A shard owner that the
- * state service refuses can then stop the tasks at once. Nothing relies on it: a controller that isn't reached is bound by the age
- * of what it knows.
+ * Sends cancellations that have just become durable to the other controllers, before the user receives the answer. A shard owner
+ * without access to the state service can then stop the tasks at once. Correctness doesn't depend on the broadcast: a controller that it
+ * doesn't reach may act only on records of limited age.
  *
- * @param maxNoticeAge for how long a cancellation is sent again to a controller that doesn't answer.
+ * @param maxNoticeAge how long a cancellation is resent to a controller that doesn't answer.
  */
 class CancellationBroadcast(
     private val loop: EventLoop,
@@ -27,10 +27,10 @@
     private val replica: Replica,
     private val maxNoticeAge: Duration,
 ) {
-    /** A cancellation that a controller has yet to acknowledge. */
+    /** A cancellation that a controller has not acknowledged yet. */
     private class Notice(val cancellation: Cancellation, val createdAt: MonotonicTime, val acknowledgements: Acknowledgements)
 
-    /** Calls [onDone] once, when all controllers have acknowledged or on [finish]. */
+    /** Calls [onDone] exactly once: when all controllers have acknowledged, or on [finish] if that is earlier. */
     private class Acknowledgements(private var pending: Int, private val onDone: () -> Unit) {
         private var finished = false
 
@@ -61,10 +61,10 @@
         }
     }
 
-    /** Acts on cancellations that another controller has sent. */
+    /** Applies cancellations that another controller has sent. */
     fun receive(cancellations: List<Cancellation>) = cancellations.forEach { replica.applyRemoteCancellation(it.job, it.revision) }
 
-    /** One message at a time to each controller; notices that come meanwhile go together with the next one. */
+    /** Sends one message at a time to each controller; notices that are added meanwhile are batched into the next message. */
     private fun send(peer: Peer) {
         val pending = pendingNotices.getValue(peer)
         pending.removeIf { loop.now() >= it.createdAt + maxNoticeAge }
--- a/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/CancellationHandler.kt
@@ -16,8 +16,8 @@
 import copperglade.transport.Responder
 
 /**
- * Cancels jobs: sets the cancelled mark in the live record, tells the other controllers, and answers with the status that is read
- * after that, since the last task may have become done just before the mark.
+ * Cancels jobs: sets the cancelled mark in the live record, notifies the other controllers, and then reads the status for the reply,
+ * since the last task may have been recorded as done just before the mark.
  */
 internal class CancellationHandler(
     private val store: StateClient,
@@ -61,8 +61,8 @@
     )
 
     /**
-     * The record with the cancelled mark. One that was accepted under higher limits may have become too large for a value;
-     * its list of machine types is what can make it so.
+     * Returns the record with the cancelled mark. A record that was accepted under higher limits may have become too large for a stored
+     * value. Only its list of machine types can make it too large, so the list is dropped then.
      */
     private fun cancelledRecord(live: LiveRecord): LiveRecord {
         if (store.limits.canStore(live)) return live.withCancelledMark()
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -7,27 +7,27 @@
 import copperglade.storage.ReadOutcome
 import copperglade.storage.Replica
 
-/** What a submission's dependencies turned out to be. */
+/** The outcome of resolving a submission's dependencies. */
 internal sealed interface DependencyResolution {
-    /** All were accepted once: [open] are not done yet; [anyAborted] tells whether one was cancelled. */
+    /** All dependencies were accepted as jobs: [open] are not done yet; [anyAborted] is true if at least one was cancelled. */
     class Accepted(val open: List<JobId>, val anyAborted: Boolean) : DependencyResolution
 
-    /** [id] was never accepted, or can never be done; [problem] is told to the user. */
+    /** [id] was never accepted, or can never be done; [problem] is part of the reply to the user. */
     class Unsatisfiable(val id: JobId, val problem: String) : DependencyResolution
 
-    /** The state service didn't tell in time. */
+    /** The state service didn't answer in time. */
     data object Unavailable : DependencyResolution
 }
 
 /**
- * Finds out whether the jobs that a submission names were ever accepted, and what became of them.
+ * Determines whether the jobs that a submission depends on were ever accepted, and whether they are done or cancelled.
  *
- * What the replica doesn't have is looked for in a reading asked for now, and only then among the end records. A job moves
- * from live to ended in one transaction, so in this order it can't be missed in between, and a job found in neither was
- * never accepted.
+ * A job that the replica doesn't contain is looked up in a read that is requested now, and only then among the end records. A job moves
+ * from its live record to its end record in one transaction, so in this order the lookups can't miss it, and a job that neither finds
+ * was never accepted.
  */
 internal class DependencyResolver(private val replica: Replica) {
-    /** Calls [onResolved] once, now or later. */
+    /** Calls [onResolved] exactly once, during this call or later. */
     fun resolve(dependencies: List<JobId>, onResolved: (DependencyResolution) -> Unit) {
         if (dependencies.all(::isKnown)) return onResolved(classify(dependencies))
         replica.catchUp { outcome ->
@@ -47,7 +47,7 @@
         unknown.forEach { id -> replica.readEnd(id) { lookUp.onRead(id, it) } }
     }
 
-    /** Waits for the end records of [remaining] dependencies. */
+    /** Collects the reads of the end records of [remaining] dependencies. */
     private inner class EndLookUp(
         private val dependencies: List<JobId>,
         private var remaining: Int,
--- a/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
+++ b/src/main/kotlin/copperglade/jobs/JobFinalizer.kt
@@ -21,10 +21,11 @@
 import kotlin.math.min
 
 /**
- * Ends jobs, on the leader: the live record of a job that is done or cancelled, with no task of it assigned, is replaced by a small end
- * record. What packed records still say of such jobs goes with the packed records' next rewrite.
+ * Ends jobs, on the leader: replaces the live record of a job that is done or cancelled, and has no assigned tasks, by a small end
+ * record. Entries for such jobs in packed records are dropped when the packed records are next rewritten.
  *
- * Several jobs share a transaction, whose conditions name the leader's key and each live record: a late copy of it changes nothing.
+ * Several jobs share a transaction, which is conditional on the leader key and on each live record: a delayed copy of the transaction
+ * changes nothing.
  */
 class JobFinalizer(
     private val store: StateClient,
@@ -35,14 +36,14 @@
 ) : ReplicaListener {
     private val inFlight = HashSet<JobId>()
 
-    /** Jobs that have changed since they were last examined; null where some may have been missed while not leading. */
+    /** Jobs that have changed since they were last examined; null if this process was not the leader and may have missed some. */
     private var changedJobs: HashSet<JobId>? = null
 
     override fun changed(changes: ReplicaChanges) {
         if (leadership.leading) changedJobs?.addAll(changes.jobs) else changedJobs = null
     }
 
-    /** Ends the jobs that have become ready for it since the last round, as many as may be in flight at a time. */
+    /** Ends the jobs that have become ready to end since the last round, up to the maximum in flight. */
     fun round() {
         if (inFlight.size >= MAX_IN_FLIGHT) return
         val candidates = changedJobs ?: HashSet(replica.jobs.keys)
@@ -87,7 +88,7 @@
                 replica.applyCommitted(transaction, outcome.revision)
                 inFlight -= ids.toSet()
             }
-            // The jobs are examined again by records that are newer than the attempt.
+            // The jobs are examined again once the replica has records newer than the attempt.
             is TransactionOutcome.Conflict, TransactionOutcome.NoSuchLease, TransactionOutcome.Refused, TransactionOutcome.Unknown ->
                 replica.catchUp {
                     inFlight -= ids.toSet()
@@ -99,7 +100,7 @@
     private companion object {
         const val WRITES_PER_JOB = 2
 
-        /** Small transactions: a large one would delay the assignments behind it. */
+        /** A larger transaction would delay the assignments that are queued behind it. */
         const val MAX_JOBS_PER_TRANSACTION = 3
         const val MAX_IN_FLIGHT = 20
     }
--- a/src/main/kotlin/copperglade/jobs/JobReplies.kt
+++ b/src/main/kotlin/copperglade/jobs/JobReplies.kt
@@ -6,9 +6,9 @@
 import copperglade.transport.HttpStatus
 import copperglade.transport.Reply
 
-/** The replies to users that several requests share. */
+/** Replies to users that several kinds of requests share. */
 object JobReplies {
-    /** Nothing can be promised at present: the user asks again, any controller. */
+    /** The controller can't give a durable answer at present: the user repeats the request with any controller. */
     fun unavailable() = Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("not now, ask again"), retryAfterSeconds = 1)
 
     /** The status of a job that was accepted before the request. */
--- a/src/main/kotlin/copperglade/jobs/JobService.kt
+++ b/src/main/kotlin/copperglade/jobs/JobService.kt
@@ -13,10 +13,10 @@
 import copperglade.transport.Responder
 
 /**
- * Answers users: submissions, polls and cancellations.
+ * Handles user requests: submissions, polls and cancellations.
  *
- * Nothing is told of a job that isn't durable, or that any later answer, of whichever controller, could contradict. Where that can't be
- * promised in time, the answer is 503 with `Retry-After`. Every request is idempotent and may be repeated with any controller.
+ * A reply reports only durable state of a job, which no later reply of any controller contradicts. Where a controller can't guarantee
+ * that in time, it replies 503 with `Retry-After`. Every request is idempotent and may be repeated with any controller.
  */
 class JobService(
     loop: EventLoop,
@@ -32,12 +32,12 @@
     private val cancellations = CancellationHandler(store, replica, statusReader, cancellationBroadcast)
 
     /**
-     * Answers a submission with the job's status: 201 once it is durable, 200 where it was accepted before, whatever else the repeat
-     * says; 400 or 422 names the field that is refused.
+     * Replies to a submission with the job's status: 201 once the job is durable, 200 if the job was accepted before, even if the
+     * repeated submission differs; 400 or 422 with the name of the rejected field.
      */
     fun submit(body: ByteArray, responder: Responder) = submissions.submit(body, responder)
 
-    /** Answers with the job's status and the counts of its tasks, or 404 where it was never accepted. */
+    /** Replies with the job's status and the counts of its tasks, or 404 if the job was never accepted. */
     fun poll(id: JobId, responder: Responder) = statusReader.read(id) { result ->
         responder.send(
             when (result) {
@@ -48,6 +48,6 @@
         )
     }
 
-    /** Answers with the job's final status once its cancellation, or its earlier end, is durable; 404 where it was never accepted. */
+    /** Replies with the job's final status once its cancellation or its earlier end is durable, or 404 if the job was never accepted. */
     fun cancel(id: JobId, responder: Responder) = cancellations.cancel(id, responder)
 }
--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -11,27 +11,27 @@
 import copperglade.transport.EventLoop
 import kotlin.time.Duration.Companion.seconds
 
-/** What a job turned out to be. */
+/** The outcome of reading a job's status. */
 internal sealed interface JobStatusResult {
-    /** [summary] is no older than the question. */
+    /** [summary] is no older than the request. */
     class Found(val summary: JobSummary) : JobStatusResult
 
-    /** No job of this id was ever accepted. */
+    /** No job with this id was ever accepted. */
     data object NeverAccepted : JobStatusResult
 
-    /** The state service didn't tell in time. */
+    /** The state service didn't answer in time. */
     data object Unavailable : JobStatusResult
 }
 
 /**
- * Reads the present status of a job, from a reading of the state service that was asked for after the question.
+ * Reads the present status of a job from a read of the state service that is started after the request.
  *
- * Guards against answers that contradict each other: whatever another controller has told a user before is in such a reading.
+ * This prevents replies that contradict each other: such a read includes all state that any controller has reported to a user before.
  */
 internal class JobStatusReader(private val loop: EventLoop, private val replica: Replica) {
-    /** Calls [onResult] once, now or later. */
+    /** Calls [onResult] exactly once, during this call or later. */
     fun read(id: JobId, onResult: (JobStatusResult) -> Unit) {
-        // An end never changes, so a remembered one needs no reading.
+        // An end record never changes, so a cached one needs no read.
         val end = replica.endOf(id)
         if (end != null) return onResult(JobStatusResult.Found(summaryOf(id, end)))
         readRecords(id, loop.now(), onResult)
@@ -44,12 +44,12 @@
         val job = replica.jobs[id]
         val end = replica.endOf(id)
         when {
-            // This process may have stood still between the reading and now, and another may have told the user more.
+            // This process may have paused between the read and now, while another controller reported a newer status to the user.
             outcome != CatchUpOutcome.Current || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
             end != null -> onResult(JobStatusResult.Found(summaryOf(id, end)))
-            // A dependency ended before this process began, and isn't known to be done or cancelled yet.
+            // A dependency ended before this process started, and the replica has not read yet whether it is done or cancelled.
             replica.dependencies.hasUnknownDependencies(id) -> onResult(JobStatusResult.Unavailable)
-            // The mark was learned ahead of the reading: the last task may have been recorded just before it.
+            // The cancelled mark came from a peer, ahead of the read: the last task may have been recorded as done just before the mark.
             job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
             job?.live != null -> onResult(JobStatusResult.Found(summaryOf(job)))
             else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -27,10 +27,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Accepts jobs. A submission is idempotent: its job is written only where neither a live nor an end record of the id exists, so a
- * repeat, or a copy that arrives late, is answered with the job's present status.
+ * Accepts jobs. A submission is idempotent: its job is written only if neither a live nor an end record of the id exists, so a repeated
+ * or delayed submission is answered with the job's present status.
  *
- * Its states: decoded, checked ([AdmissionCheck]), dependencies resolved ([DependencyResolver]), committed, answered.
+ * The steps of a submission: decoded, checked ([AdmissionCheck]), dependencies resolved ([DependencyResolver]), committed, answered.
  */
 internal class SubmissionHandler(
     private val loop: EventLoop,
@@ -76,7 +76,7 @@
             is DependencyResolution.Unsatisfiable ->
                 refuse(spec.id, dependencyProblem("${resolution.id}: ${resolution.problem}"), responder)
             is DependencyResolution.Accepted -> {
-                // A job that needs a cancelled one is accepted all the same, and cancelled from its first moment.
+                // A job that depends on a cancelled job is accepted nevertheless, and stored as cancelled.
                 val record = LiveRecord(spec, loop.wallMillis(), resolution.anyAborted, resolution.open)
                 if (record.dependencies.isEmpty() || store.limits.canStore(record)) {
                     commit(record, MAX_RETRIES, responder)
@@ -116,7 +116,7 @@
         loop.after(RETRY_INTERVAL) { commit(record, retriesLeft - 1, responder) }
     }
 
-    /** Answers a job that was accepted before with its status, and any other with [refusal]. */
+    /** Replies with the status of the job if it was accepted before, otherwise with [refusal]. */
     private fun refuse(id: JobId, refusal: Reply, responder: Responder) = statusReader.read(id) { result ->
         responder.send(
             when (result) {
@@ -127,7 +127,7 @@
         )
     }
 
-    /** Answers a repeat with the job's status; where its record has gone since, the user asks again. */
+    /** Replies to a repeated submission with the job's status, or asks the user to retry if the job's record no longer exists. */
     private fun answerStatus(id: JobId, responder: Responder) = refuse(id, JobReplies.unavailable(), responder)
 
     private fun dependencyProblem(problem: String) = JobReplies.unprocessable("${JobSpecCodec.DEPENDENCIES}: $problem")
--- a/src/main/kotlin/copperglade/membership/ActionAuthority.kt
+++ b/src/main/kotlin/copperglade/membership/ActionAuthority.kt
@@ -1,13 +1,13 @@
 package copperglade.membership
 
 /**
- * Whether this process may act on workers. The answer holds only at the moment of asking: whoever acts asks immediately before it
- * does, never earlier.
+ * Whether this process may act on workers. The values are valid only at the moment they are read: read them immediately before each
+ * action, never earlier.
  */
 interface ActionAuthority {
-    /** Whether workers may be answered and commanded. */
+    /** Whether this process may reply to workers and send commands to them. */
     val mayAct: Boolean
 
-    /** Whether tasks may be started, too; implies [mayAct]. */
+    /** Whether this process may also start tasks; implies [mayAct]. */
     val mayStartTasks: Boolean
 }
--- a/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -10,8 +10,10 @@
 import kotlin.time.Duration
 
 /**
- * Until when other controllers may have extended the leases of workers in shards that were theirs. One that hears from nobody goes on
- * for [gracePeriod] beyond its session lease ([Membership.mayExtendWorkerLeases]); one that is back under a new incarnation has stopped.
+ * Tracks until when former incarnations of the other controllers may have extended leases of workers in their former shards.
+ *
+ * A controller that receives no answers extends worker leases for [gracePeriod] beyond the end of its session lease
+ * ([Membership.mayExtendWorkerLeases]). A controller that has registered under a new incarnation has stopped doing so under the old one.
  */
 class FormerIncarnations(
     private val loop: EventLoop,
@@ -20,8 +22,8 @@
     private val gracePeriod: Duration,
 ) : ReplicaListener {
     /**
-     * @property incarnation the present one, or null.
-     * @property stoppedAt when all earlier incarnations have certainly stopped extending leases.
+     * @property incarnation the registered incarnation; null while the controller is not a member.
+     * @property stoppedAt when all earlier incarnations have certainly stopped extending worker leases.
      */
     private class ObservedMember(var incarnation: Incarnation?, var stoppedAt: MonotonicTime)
 
@@ -33,14 +35,14 @@
     }
 
     /**
-     * The return of a member after its former incarnation has certainly stopped changes nothing: else missing tasks would wait for a
-     * further worker lease.
+     * A member that registers again after its former incarnation has certainly stopped doesn't move [ObservedMember.stoppedAt]:
+     * otherwise missing tasks would wait for another worker lease.
      */
     private fun observe(other: MemberId, changes: ReplicaChanges) {
         val member = observedMembers.getValue(other)
         val present = replica.members[other]?.value?.incarnation
         val now = loop.now()
-        // It may have come and gone between two readings, or while nothing could be read.
+        // The member may have registered and expired between two reads, or while the state service was unreachable.
         val mayHaveMissedIncarnation = changes.reloaded || other in changes.removedMembers
         when {
             present == null -> if (member.incarnation != null || mayHaveMissedIncarnation) member.stoppedAt = now + gracePeriod
@@ -50,7 +52,7 @@
         member.incarnation = present
     }
 
-    /** When the last of the former incarnations has certainly stopped extending leases. */
+    /** When all former incarnations of the other controllers have certainly stopped extending worker leases. */
     val allStoppedAt: MonotonicTime
         get() = observedMembers.values.maxOfOrNull { it.stoppedAt } ?: MonotonicTime.NEVER
 }
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -21,24 +21,25 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** How far this process has got with leading. */
+/** The state of this process in the leader election. */
 enum class LeadershipState {
-    /** Somebody else leads, or nobody. */
+    /** Another controller is the leader, or there is no leader. */
     FOLLOWING,
 
-    /** A lease for the leader key is being asked for, or the key is being written. */
+    /** A request for the leader lease or the write of the leader key is in flight. */
     CAMPAIGNING,
 
-    /** Elected, but the records of the former leader are not known yet. */
+    /** Elected; the replica has not yet read all records that the former leader wrote. */
     CATCHING_UP,
 
-    /** Elected, and everything that the former leader wrote is known. */
+    /** Elected, and the replica has read all records that the former leader wrote. */
     LEADING,
 }
 
 /**
  * Leader election. The leader key is attached to a lease of its own, much shorter than a session lease, since no new task starts
- * without a leader. Two leaders at a time do no harm: each write of a leader has the key's [revision] as a condition.
+ * without a leader. Two processes that both consider themselves the leader do no harm: each write of a leader is conditional on the
+ * leader key's [revision].
  */
 class Leadership(
     private val loop: EventLoop,
@@ -53,20 +54,20 @@
 
     private var state = LeadershipState.FOLLOWING
 
-    /** The revision of the leader key as this process wrote it last: the fencing token of everything that the leader writes. */
+    /** The revision of this process's last write of the leader key: the fencing token of all writes of the leader. */
     var revision = Revision.ABSENT
         private set
 
-    /** Whether this process may decide as the leader at this very moment. */
+    /** Whether this process may make decisions as the leader at this moment. */
     val leading: Boolean get() = state == LeadershipState.LEADING && lease.isValid && membership.mayAct
 
-    /** Belongs to each transaction of the leader: it fails once somebody else has been elected. */
+    /** Required in each transaction of the leader: the condition fails once another controller has been elected. */
     val fencingCondition: Condition get() = Condition(Keys.LEADER, revision)
 
-    /** How long ago this process last began to lead, in seconds. */
+    /** Seconds since this process last became the leader. */
     val leadingForSeconds: Double get() = loop.now().secondsSince(leadingSince)
 
-    /** Campaigns whenever there is no leader, from now on. */
+    /** Starts the election: from now on this process campaigns whenever there is no leader. */
     fun start() {
         replica.addListener { changes -> if (changes.clusterRecordsChanged) logLeader() }
         loop.scheduleRepeating({ if (state == LeadershipState.LEADING) leaseLength / EXTENSIONS_PER_LEASE else CHECK_INTERVAL }, ::tick)
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Nobody leads, or the key was left behind by a former incarnation of this very member. */
+    /** Whether there is no leader key, or a former incarnation of this member wrote it. False while this process may not act. */
     private fun isVacant(): Boolean {
         if (!membership.mayAct) return false
         val present = replica.leader ?: return true
@@ -149,20 +150,20 @@
         -> stepDown("election_lost")
     }
 
-    /** What an earlier leader wrote must be known before the first decision: limits are counted over all of it. */
+    /** Reads all records of earlier leaders before the first decision: limits are computed over all of them. */
     private fun catchUp() {
         moveTo(LeadershipState.CATCHING_UP, "elected fencing_token=$revision")
         replica.catchUp { outcome ->
             when (outcome) {
                 CatchUpOutcome.Current -> lead()
-                CatchUpOutcome.Unavailable -> stepDown("records_unknown")
+                CatchUpOutcome.Unavailable -> stepDown("state_service_unavailable")
             }
         }
     }
 
     private fun lead() {
         leadingSince = loop.now()
-        moveTo(LeadershipState.LEADING, "records_known")
+        moveTo(LeadershipState.LEADING, "replica_current")
     }
 
     private fun stepDown(reason: String) {
--- a/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
+++ b/src/main/kotlin/copperglade/membership/LeaseEndorsement.kt
@@ -15,16 +15,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How ownership outlives an outage of the state service that is longer than a session lease. A member that the service has stopped
- * answering asks every other controller for an endorsement: not to grant its shards to anybody else for the next [ENDORSEMENT_LENGTH].
- * A controller endorses only while the service doesn't answer it either. With an endorsement from all of them, asked for while
- * the member's ownership was still intact, nobody can have granted or will grant its shards, whatever becomes of its session lease
- * in the state service meanwhile.
+ * Preserves shard ownership during an outage of the state service that is longer than a session lease.
  *
- * Why that is enough: a grant needs that the owner's incarnation was seen to be gone. As long as the ownership is intact it has not
- * gone, so no grant against it can be in flight either, not even a late one. A controller that restarts forgets its endorsements,
- * hence grants no shards of others for one [ENDORSEMENT_LENGTH] after its start. Without the peer link there are no endorsements, and
- * the session lease alone decides.
+ * A member that the state service doesn't answer requests an endorsement from every other controller: a promise not to grant the
+ * member's shards to another controller for the next [ENDORSEMENT_LENGTH]. A controller endorses only while the state service doesn't
+ * answer it either. Once all peers have endorsed, on requests sent while the member's ownership was still intact, no controller can have
+ * granted the member's shards or will grant them, even if the member's session lease expires in the state service meanwhile.
+ *
+ * Why endorsements suffice: a shard is granted only after the leader has observed that the owner's incarnation is no longer registered.
+ * While the ownership is intact the incarnation is registered, so no grant against the owner can be in flight, not even a delayed one.
+ * Endorsements are not persisted, so a restarted controller grants no shards of other controllers for one [ENDORSEMENT_LENGTH] after its
+ * start. Where peers are unreachable there are no endorsements, and the session lease alone decides.
  */
 class LeaseEndorsement(
     private val loop: EventLoop,
@@ -35,21 +36,21 @@
 ) {
     private val startedAt = loop.now()
 
-    /** Until when each peer has endorsed us. */
+    /** The end of the endorsement that each peer has given to this process. */
     private val receivedUntil = HashMap<MemberId, MonotonicTime>()
 
-    /** Until when we have endorsed each member. */
+    /** The end of the endorsement that this process has given to each member. */
     private val givenUntil = HashMap<MemberId, MonotonicTime>()
     private val requestsInFlight = HashSet<MemberId>()
 
-    /** Whether our ownership is intact up to now; else an endorsement would come too late to mean anything. */
+    /** Whether this process's ownership has been intact until now; otherwise an endorsement comes too late to have any effect. */
     var ownershipIntact: () -> Boolean = { false }
 
-    /** Until when all peers have endorsed us; [MonotonicTime.NEVER] where one hasn't, or there are none. */
+    /** Until when all peers have endorsed this process; [MonotonicTime.NEVER] if a peer has not, or if there are no peers. */
     val endorsedUntil: MonotonicTime
         get() = peers.minOfOrNull { receivedUntil[it.member] ?: MonotonicTime.NEVER } ?: MonotonicTime.NEVER
 
-    /** Asks all peers for endorsements at intervals, from now on, as long as the state service doesn't answer. */
+    /** Starts the timer that requests endorsements from all peers while the state service is unreachable. */
     fun start() = loop.scheduleRepeating({ REQUEST_INTERVAL }) {
         if (store.isUnreachable() && ownershipIntact()) peers.filter { it.member !in requestsInFlight }.forEach(::request)
     }
@@ -67,14 +68,17 @@
         receivedUntil[peer.member] = sentAt + ENDORSEMENT_LENGTH * (1.0 - SessionLease.CLOCK_DRIFT_ALLOWANCE) - EXPIRY_MARGIN
     }
 
-    /** Whether we endorse [member]. After true, its shards are granted to nobody else for [ENDORSEMENT_LENGTH]. */
+    /**
+     * Endorses [member] if the state service is unreachable from this process, and returns whether it did. If true, this process doesn't
+     * grant the member's shards to another controller for [ENDORSEMENT_LENGTH].
+     */
     fun endorse(member: MemberId): Boolean {
         if (!store.isUnreachable()) return false
         givenUntil[member] = loop.now() + ENDORSEMENT_LENGTH
         return true
     }
 
-    /** Whether no endorsement forbids that shards of [owner] are granted to somebody else. */
+    /** Whether the endorsements that this process may have given permit granting shards of [owner] to another controller. */
     fun mayReassignShardsOf(owner: MemberId): Boolean {
         val now = loop.now()
         return now >= startedAt + ENDORSEMENT_LENGTH && now >= (givenUntil[owner] ?: MonotonicTime.NEVER)
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -21,21 +21,21 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** How far this process has got with its membership. */
+/** The state of this process's membership. */
 enum class MemberState {
-    /** No session lease, and no request for one under way. */
+    /** No session lease, and no request for one in flight. */
     NOT_MEMBER,
 
-    /** A session lease is being asked for, or the member key is being written. */
+    /** A request for a session lease or the write of the member key is in flight. */
     JOINING,
 
-    /** The member key was written and its session lease is not known to have been lost. It may have expired: see [Membership.mayAct]. */
+    /** The member key is written, and the state service has not reported its session lease as lost. See [Membership.mayAct] for expiry. */
     MEMBER,
 }
 
 /**
- * This process's membership among the controllers: a session lease, and the member key attached to it. One that was lost is followed
- * at once by an attempt to join under a new incarnation.
+ * This process's membership among the controllers: a session lease, and the member key attached to it. After the loss of the lease,
+ * this process at once tries to join under a new incarnation.
  */
 class Membership(
     private val loop: EventLoop,
@@ -49,29 +49,29 @@
 
     private var state = MemberState.NOT_MEMBER
 
-    /** The revision of the member key: a condition of writes that need this incarnation to be a member still. */
+    /** The revision of the member key: a condition of writes that require that this incarnation is still a member. */
     var revision = Revision.ABSENT
         private set
 
-    /** The number of the session lease, which the state service gives only once; null while this process is no member. */
+    /** The number of the session lease, which the state service never reuses; null while this process is not a member. */
     val incarnation: Incarnation?
         get() = lease.leaseId?.takeIf { state == MemberState.MEMBER }?.let { Incarnation(it.number) }
 
-    /** Whether shards that this process owns can't have been granted to anybody else: by the session lease, or by endorsements. */
+    /** Whether the session lease or endorsements rule out that this process's shards were granted to another controller. */
     private val ownershipIntact: Boolean
         get() = state == MemberState.MEMBER && (lease.isValid || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
-     * Whether this process may act at this very moment: on its session lease, or on the endorsements of its peers in an outage. In
-     * either case its records must be recent enough for a cancellation it has not heard of to be carried out in time.
+     * Whether this process may act at this moment, by its session lease or, in an outage, by the endorsements of its peers. In either
+     * case the records must be recent enough that a cancellation which they don't contain yet is still carried out in time.
      */
     override val mayAct: Boolean
         get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.actionStalenessLimit
 
-    /** While the records are reloaded, a part of them is missing: nothing may be decided on the rest. */
+    /** False during a reload of the replica: a part of the records is missing then, so they are no basis for decisions. */
     private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
 
-    /** For how long [mayAct] will hold if nothing more is heard, in milliseconds; 0 where it doesn't. */
+    /** Milliseconds for which [mayAct] stays true without further answers from the state service or peers; 0 if it is false. */
     val authorityRemainingMillis: Long
         get() {
             if (!mayAct) return 0
@@ -80,30 +80,31 @@
         }
 
     /**
-     * Whether tasks may be started. For that, the records must be newer than for keeping running tasks alive, since no task may
-     * start after its user was told that it is cancelled: either the state service has answered a moment ago, or all peers state that
-     * it answers nobody, so that nothing can be confirmed that they haven't told us before.
+     * Whether tasks may be started. Starts require newer records than running tasks do, since no task may start after the user has
+     * received the confirmation of its cancellation. Either the state service has answered within the limit, or all peers have endorsed
+     * this process: the state service answers no controller then, so no cancellation can be confirmed that the peers have not sent to
+     * this process before.
      */
     override val mayStartTasks: Boolean
         get() = mayAct && (loop.now() < replica.readTime + limits.startStalenessLimit || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
-     * Whether workers' leases may still be extended, though nothing may be commanded any more: the session lease has expired
-     * without an answer of the state service. A zone that is cut off keeps its tasks this way. Successors allow for it
-     * ([FormerIncarnations]).
+     * Whether this process may still extend worker leases, even if it may no longer send commands because its session lease has expired
+     * without an answer from the state service. This keeps the tasks of a partitioned zone running. The next owners of the shards wait
+     * for the end of this period ([FormerIncarnations]).
      */
     val mayExtendWorkerLeases: Boolean
         get() = state == MemberState.MEMBER && recordsComplete &&
             loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.actionStalenessLimit
 
-    /** For how long [mayExtendWorkerLeases] may hold beyond the end of the session lease, by any clock. */
+    /** The longest time that [mayExtendWorkerLeases] may stay true after the session lease has ended, measured by any clock. */
     val gracePeriod: Duration
         get() = (limits.actionStalenessLimit - limits.sessionLeaseLength) * (1.0 + 2 * SessionLease.CLOCK_DRIFT_ALLOWANCE) + GRACE_MARGIN
 
-    /** Called on each change of the [MemberState], hence whenever [incarnation] has changed. */
+    /** Called on each change of the [MemberState], and so on each change of [incarnation]. */
     var onChange: () -> Unit = {}
 
-    /** Joins, and keeps the session lease alive from then on. */
+    /** Joins, and extends the session lease from then on. */
     fun start() {
         leaseEndorsement.ownershipIntact = { ownershipIntact }
         join()
@@ -132,7 +133,10 @@
         }
     }
 
-    /** Writes the member key once the records are known, so that a predecessor's key is replaced and not taken for absent. */
+    /**
+     * Writes the member key once the replica is current, so that the key of an earlier process of this member is replaced and not
+     * considered absent.
+     */
     private fun register() {
         val leaseId = lease.leaseId ?: return retryLater("session_lease_lost")
         if (replica.state != ReplicaState.CURRENT && lease.isValid) {
@@ -142,12 +146,12 @@
         replica.catchUp { outcome ->
             when (outcome) {
                 CatchUpOutcome.Current -> writeMemberKey(leaseId)
-                CatchUpOutcome.Unavailable -> retryLater("records_unknown")
+                CatchUpOutcome.Unavailable -> retryLater("state_service_unavailable")
             }
         }
     }
 
-    /** A key that is there is our predecessor's, who is dead: only one process of a name runs at a time. */
+    /** An existing key is from an earlier process of this member, which has terminated: only one process per member runs at a time. */
     private fun writeMemberKey(leaseId: LeaseId) {
         val present = replica.members[self]?.revision ?: Revision.ABSENT
         val record = RecordCodec.encode(MemberRecord(Incarnation(leaseId.number)))
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -20,20 +20,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Where [PeerStatusExchange] gets what it sends. */
+/** The source of the statuses that [PeerStatusExchange] sends. */
 interface PeerStatusSource {
+    /** The number of machines in the shards of this controller. */
     val machineCount: Int
 
-    /** The member that the records name as the leader. */
+    /** The leader according to the records; null if there is none. */
     val currentLeader: MemberId?
 
-    /** This controller's status at present, or null while it is no member. */
+    /** This controller's present status; null while this controller is not a member. */
     fun compose(): PeerStatus?
 }
 
 /**
- * Sends this controller's status to its peers, and keeps the latest of theirs in [statuses]. Where the leader can't be reached, because
- * controllers refuse each other, a member's free capacity goes to it through the state service: less of it, and less often.
+ * Sends this controller's status to its peers, and stores the latest status of each peer in [statuses]. While the leader is unreachable,
+ * because controllers refuse each other's connections, this controller writes its free capacity to the state service, where the leader
+ * reads it: fewer machines, and less often.
  */
 class PeerStatusExchange(
     private val loop: EventLoop,
@@ -49,20 +51,20 @@
     private var capacityWrittenAt = MonotonicTime.NEVER
     private var followersSentAt = MonotonicTime.NEVER
 
-    /** Called with each status of the leader, whoever that is: it holds the leader's requests to all members. */
+    /** Called with each status of the leader, which may be this controller: the status contains the leader's requests to all members. */
     var onLeaderStatus: (PeerStatus) -> Unit = {}
 
-    /** Sends the status at intervals, from now on. */
+    /** Starts the timer that sends the status. */
     fun start() = loop.scheduleRepeating({ interval() }) { source.compose()?.let(::broadcast) }
 
-    /** The more machines a status describes, the rarer it is sent, so that its cost grows less than the fleet does. */
+    /** The more machines a status describes, the less often it is sent, so that its cost grows more slowly than the fleet. */
     private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * source.machineCount, MAX_INTERVAL)
 
     private fun broadcast(status: PeerStatus) {
         statuses.recordOwn(status)
         notifyIfLeader(status)
         val leader = source.currentLeader
-        // Only the leader works with the capacities; for hundreds of machines they are most of a status message.
+        // Only the leader uses the capacities; with hundreds of machines they make up most of a status message.
         val withoutCapacities = lazy { PeerMessageCodec.encodeStatus(status.withoutCapacities()) }
         val now = loop.now()
         val followersDue = now >= followersSentAt + FOLLOWER_INTERVAL
@@ -93,11 +95,14 @@
         capacityWrittenAt = now
         val value = encodeWithinValueLimit(status) ?: return
         val write = Write.Set(Keys.memberCapacity(self), value)
-        // A hint only, and of use only while it is new: no condition, and a late one is recognized by its incarnation.
+        // The record is only a hint and useful only while recent, so the write has no condition; the incarnation reveals a delayed write.
         store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
 
-    /** As many machines of [status] as a value can hold; the bytes a machine takes are an estimate, so the result is measured. */
+    /**
+     * Encodes as many machines of [status] as fit into a stored value; null if even the smallest attempt is too large. The size of a
+     * machine is an estimate, so each encoded value is measured.
+     */
     private fun encodeWithinValueLimit(status: PeerStatus): ByteArray? {
         var targetBytes = (store.limits.valueBytes * JSON_OVERHEAD_FACTOR).toInt()
         repeat(MAX_TRUNCATIONS) {
@@ -108,7 +113,7 @@
         return null
     }
 
-    /** Takes a [status] that a peer has sent. */
+    /** Handles a [status] that a peer has sent. */
     fun receive(status: PeerStatus) {
         statuses.recordReceived(status)
         notifyIfLeader(status)
@@ -122,13 +127,13 @@
         const val MAX_TRUNCATIONS = 8
         const val TRUNCATION_FACTOR = 0.75
 
-        /** Bytes become a third more in JSON. */
+        /** Encoding the bytes as JSON text enlarges them by a third. */
         const val JSON_OVERHEAD_FACTOR = 0.65
         val INTERVAL = 150.milliseconds
         val INTERVAL_PER_MACHINE = 1.milliseconds
         val MAX_INTERVAL = 600.milliseconds
 
-        /** What peers other than the leader are sent changes slowly. */
+        /** The status without capacities, which peers other than the leader receive, changes slowly. */
         val FOLLOWER_INTERVAL = 450.milliseconds
         val REQUEST_TIMEOUT = 1.seconds
         val LEADER_UNREACHABLE_AFTER = 1500.milliseconds
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The latest status of each controller, as long as it is recent. Only hints: whoever acts on one checks it against the records. */
+/** The latest recent status of each controller. Statuses are only hints: check them against the records before acting on them. */
 class PeerStatusTable(private val loop: EventLoop, private val self: MemberId, private val peers: List<Peer>) {
     private class ReceivedStatus(val status: PeerStatus, val at: MonotonicTime)
 
@@ -16,26 +16,26 @@
     private val receivedDirectly = HashMap<MemberId, ReceivedStatus>()
     private val fromStateService = HashMap<MemberId, ReceivedStatus>()
 
-    /** Keeps the [status] that this controller tells its peers. */
+    /** Stores the [status] that this controller sends to its peers. */
     fun recordOwn(status: PeerStatus) {
         own = status
     }
 
-    /** Keeps a [status] that a peer has sent. */
+    /** Stores a [status] that a peer has sent. */
     fun recordReceived(status: PeerStatus) {
         receivedDirectly[status.member] = ReceivedStatus(status, loop.now())
         if (status.member == self) own = status
     }
 
-    /** Keeps a [status] that came through the state service: it may hold only a part of the machines. */
+    /** Stores a [status] that was read from the state service: it may contain only a part of the machines. */
     fun recordFromStateService(status: PeerStatus) {
         if (status.member != self) fromStateService[status.member] = ReceivedStatus(status, loop.now())
     }
 
-    /** The status of [member] as it told us itself, or null where that is too old or there is none. */
+    /** The latest status that [member] itself has sent; null if there is none or it is too old. */
     fun statusOf(member: MemberId): PeerStatus? = if (member == self) own else recentDirect(member)
 
-    /** Like [statusOf]; where there is none, a recent one that came through the state service. */
+    /** Like [statusOf], with a recent status from the state service as the fallback. */
     fun capacityStatusOf(member: MemberId): PeerStatus? {
         if (member == self) return own
         return recentDirect(member) ?: fromStateService[member]?.takeIf { loop.now() < it.at + STATE_SERVICE_LIFETIME }?.status
@@ -44,16 +44,19 @@
     private fun recentDirect(member: MemberId): PeerStatus? =
         receivedDirectly[member]?.takeIf { loop.now() < it.at + DIRECT_LIFETIME }?.status
 
-    /** Whether a peer that we hear has had an answer of the state service lately: it, or whom it knows, takes our shards over. */
+    /**
+     * Whether a peer with a recent status has lately received an answer from the state service: that peer, or another member,
+     * takes over this controller's shards.
+     */
     fun peersReachStateService(): Boolean = peers.any { peer ->
         recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SERVICE_UNREACHABLE_AFTER_MILLIS } ?: false
     }
 
-    /** Whether there are peers, and none of them is heard. */
+    /** Whether there are peers, and none of them has sent a recent status. */
     fun allPeersUnreachable(): Boolean = peers.isNotEmpty() && peers.none { recentDirect(it.member) != null }
 
     companion object {
-        /** After so long without an answer, a controller counts as cut off from the state service. */
+        /** A controller without an answer for this long counts as disconnected from the state service. */
         const val STATE_SERVICE_UNREACHABLE_AFTER_MILLIS = 3000L
         private val DIRECT_LIFETIME = 2.seconds
         private val STATE_SERVICE_LIFETIME = 4.seconds
--- a/src/main/kotlin/copperglade/membership/SessionLease.kt
+++ b/src/main/kotlin/copperglade/membership/SessionLease.kt
@@ -8,35 +8,35 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What came of [SessionLease.open]. */
+/** The outcome of [SessionLease.open]. */
 sealed interface LeaseOpening {
     data class Granted(val leaseId: LeaseId) : LeaseOpening
 
-    /** No answer, or a refusal. A lease that was granted all the same expires by itself. */
+    /** No answer, or a refusal. If the state service has granted the lease nevertheless, the lease expires by itself. */
     data object Failed : LeaseOpening
 }
 
-/** What came of [SessionLease.extend]. */
+/** The outcome of [SessionLease.extend]. */
 sealed interface LeaseExtension {
     data object Extended : LeaseExtension
 
-    /** No usable answer: the lease may or may not have been extended, and is counted as if it had not. */
+    /** No usable answer: the lease may have been extended, but is treated as not extended. */
     data object Unconfirmed : LeaseExtension
 
-    /** The state service no longer knows the lease. */
+    /** The lease no longer exists in the state service. */
     data object Lost : LeaseExtension
 }
 
 /**
- * A lease in the state service, with a lower bound of its lifetime: [length] from when the last successful request was sent, less
- * the drift of the clocks and a margin. Whoever acts on the lease asks [isValid] at the moment of acting.
+ * A lease in the state service, with a lower bound of its lifetime: [length], counted from when the last successful request was sent,
+ * less the allowance for clock drift and a margin. Check [isValid] immediately before each action that relies on the lease.
  */
 class SessionLease(private val loop: EventLoop, private val store: StateClient, private val length: Duration) {
-    /** The lease's id; null before it is granted and after it is lost or ended. */
+    /** The id of the lease; null before the lease is granted and after it is lost or ended. */
     var leaseId: LeaseId? = null
         private set
 
-    /** Until when the lease certainly exists, unless it is ended. */
+    /** Until when the lease certainly exists, unless [end] is called. */
     var validUntil = MonotonicTime.NEVER
         private set
 
@@ -46,7 +46,7 @@
 
     val isValid: Boolean get() = leaseId != null && loop.now() < validUntil
 
-    /** Asks for a new lease. On [LeaseOpening.Granted], [leaseId] is set before [onOutcome] is called. */
+    /** Requests a new lease. On [LeaseOpening.Granted], [leaseId] is set before [onOutcome] is called. */
     fun open(onOutcome: (LeaseOpening) -> Unit) {
         val sentAt = loop.now()
         store.openLease(length) { outcome -> onOutcome(onOpenReply(outcome, sentAt)) }
@@ -61,7 +61,7 @@
         LeaseOutcome.Extended, LeaseOutcome.Gone, LeaseOutcome.Failed -> LeaseOpening.Failed
     }
 
-    /** Extends the lease. Without a lease, or if it was ended or replaced in the meantime, [onOutcome] is not called. */
+    /** Extends the lease. [onOutcome] is not called without a lease, or if the lease was ended or replaced in the meantime. */
     fun extend(onOutcome: (LeaseExtension) -> Unit) {
         val extended = leaseId ?: return
         val sentAt = loop.now()
@@ -80,7 +80,7 @@
         is LeaseOutcome.Granted, LeaseOutcome.Failed -> LeaseExtension.Unconfirmed
     }
 
-    /** Gives the lease up at once, and asks the state service to end it; nothing waits for the answer. */
+    /** Drops the lease at once and requests its end from the state service, without waiting for the answer. */
     fun end() {
         leaseId?.let { store.endLease(it) }
         leaseId = null
@@ -93,7 +93,7 @@
     }
 
     companion object {
-        /** Clocks drift apart by at most 0.05%; twice that is allowed for. */
+        /** Clocks drift apart by at most 0.05%; the allowance is twice that. */
         const val CLOCK_DRIFT_ALLOWANCE = 0.001
         private val EXPIRY_MARGIN = 100.milliseconds
     }
--- a/src/main/kotlin/copperglade/membership/StalenessLimit.kt
+++ b/src/main/kotlin/copperglade/membership/StalenessLimit.kt
@@ -5,17 +5,17 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** How long a process may act on the records that it read last. */
+/** Computes how long a process may act on the records that it has read last. */
 object StalenessLimit {
     private val MIN_LIMIT = 1.seconds
 
     /**
-     * The limit for the given settings. An owner cut off from the state service may keep a worker's lease alive for this long, and the
-     * worker goes on for [leaseSeconds] after that: both together must stay below [cancelSeconds], in which a cancelled job must be gone.
-     * The margin covers the drift of the clocks, a thousandth of both together; where there is little time between lease and
-     * cancellation, it is a third of that.
+     * Returns the limit for the given settings. A shard owner that is disconnected from the state service may extend a worker's lease for
+     * this long, and the worker continues for [leaseSeconds] after that. The sum of both must stay below [cancelSeconds], within which all
+     * tasks of a cancelled job must have stopped. The margin covers the drift of the clocks, a thousandth of that sum; where the lease
+     * leaves little time until [cancelSeconds], the margin is a third of that time.
      *
-     * @throws InvalidSettingException if less than a second would be left to act in.
+     * @throws InvalidSettingException if the limit would be less than a second.
      */
     fun of(leaseSeconds: Double, cancelSeconds: Double, operatorSettings: OperatorSettings): Duration {
         val available = (cancelSeconds - leaseSeconds).seconds
@@ -23,7 +23,7 @@
         val margin = if (configured > OperatorSettings.DEFAULT_STALENESS_MARGIN) configured else minOf(configured, available / 3)
         if (available - margin < MIN_LIMIT) {
             throw InvalidSettingException(
-                "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) leave no second of it to act in",
+                "deployment.workers.cancel_s: lease_s and hold.margin.s ($margin) must leave at least 1 s of it",
             )
         }
         return minOf(operatorSettings.stalenessLimit, available - margin)
--- a/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
+++ b/src/main/kotlin/copperglade/ownership/HeartbeatRouter.kt
@@ -14,8 +14,8 @@
 /**
  * Routes heartbeats to the owners of their shards, and redirects workers whose shard belongs to another controller.
  *
- * @param peersReachStateService whether a controller is known that reaches the state service: it, or one that it knows, takes over the
- *   shards of this process once this process may no longer act.
+ * @param peersReachStateService whether at least one peer has reported that it reaches the state service: that peer, or another
+ *   member, takes over the shards of this process once this process may no longer act.
  */
 class HeartbeatRouter(
     private val owned: OwnedShards,
@@ -40,7 +40,7 @@
 
     private fun redirect(shard: ShardName) = Reply(HttpStatus.MISDIRECTED_REQUEST, WorkerMessageCodec.encodeRedirect(otherOwner(shard)))
 
-    /** The other controller that owns [shard], if one does and is alive by the records. */
+    /** The other controller that owns [shard] and is a member, according to the records; null if there is none. */
     private fun otherOwner(shard: ShardName): MemberId? {
         val record = replica.shards[shard]?.value ?: return null
         val ownerIsMember = replica.members[record.member]?.value?.incarnation == record.incarnation
--- a/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Records which images the machines of the owned shards hold. The records are hints that save fetches after a takeover; nothing else
- * depends on them, so they are written only while there is write budget to spare.
+ * Records which images are cached on the machines of the owned shards. The records are hints that save image downloads after another
+ * controller takes over a shard; nothing else depends on them, so they are written only while enough of the write budget is unused.
  */
 class ImageRecordWriter(
     private val loop: EventLoop,
@@ -49,10 +49,10 @@
     private companion object {
         val WRITE_INTERVAL = 10.seconds
 
-        /** The estimate of a record's size is rough. */
+        /** The target size of a record as a fraction of the value limit, since the size estimate is rough. */
         const val TARGET_VALUE_FRACTION = 0.8
 
-        /** The part of the write budget that must be left. */
+        /** The fraction of the write budget that must be left. */
         const val MIN_WRITE_BUDGET_LEVEL = 0.6
     }
 }
--- a/src/main/kotlin/copperglade/ownership/MachineRetirement.kt
+++ b/src/main/kotlin/copperglade/ownership/MachineRetirement.kt
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** Returns machines to the cloud that the leader no longer needs. */
+/** Deletes machines in the cloud that the leader no longer needs. */
 class MachineRetirement(
     private val owned: OwnedShards,
     private val membership: Membership,
@@ -25,14 +25,14 @@
 ) {
     private data class OwnedMachine(val shard: ShardOwner, val machine: Machine)
 
-    /** Has those of [names] deleted that are machines of owned shards and empty, as many as one request may hold. */
+    /** Requests the deletion of those of [names] that are empty machines of owned shards, up to the maximum of one request. */
     fun retire(names: List<MachineName>) {
         if (!membership.mayAct) return
         val retired = names.mapNotNull(::find).filter { mayRetire(it.machine) }.take(CloudApiCodec.MAX_MACHINES_PER_DELETION)
         if (retired.isEmpty() || !cloudBudget.tryTake(1, clock.now())) return
         retired.forEach {
             it.machine.deleting = true
-            // For good: a deletion whose response is lost may still be carried out.
+            // Never reset: a deletion whose response is lost may still be carried out.
             it.machine.draining = true
         }
         val body = CloudApiCodec.encodeDeletion(retired.map { it.machine.name })
@@ -44,7 +44,7 @@
     private fun find(name: MachineName): OwnedMachine? =
         owned.all.firstNotNullOfOrNull { shard -> shard.machines[name]?.let { OwnedMachine(shard, it) } }
 
-    /** A message may be in flight to an empty machine, but no start: that would have bound a run. */
+    /** A command may be in flight to an empty machine, but no start: a start would have assigned a run to the machine. */
     private fun mayRetire(machine: Machine): Boolean = machine.isEmpty && !machine.deleting
 
     private fun onReply(retired: List<OwnedMachine>, deleted: Boolean) {
--- a/src/main/kotlin/copperglade/ownership/OwnedShards.kt
+++ b/src/main/kotlin/copperglade/ownership/OwnedShards.kt
@@ -3,17 +3,17 @@
 import copperglade.protocol.ShardCapacity
 import copperglade.protocol.ShardName
 
-/** The shards that this process owns by the records, open or about to be opened. Written by [ShardOwnership] alone. */
+/** The shards that this process owns according to the records, open or about to be opened. Only [ShardOwnership] modifies it. */
 class OwnedShards {
     private val byName = HashMap<ShardName, ShardOwner>()
 
-    /** All of them, open or not. */
+    /** All owned shards, open or not. */
     val all: Collection<ShardOwner> get() = byName.values
 
-    /** Those whose workers are commanded. */
+    /** The shards that are open: only to their workers are commands sent. */
     val open: List<ShardOwner> get() = byName.values.filter { it.isOpen }
 
-    /** How many machines they have together. */
+    /** The number of machines in all owned shards. */
     val machineCount: Int get() = byName.values.sumOf { it.machines.size }
 
     operator fun get(name: ShardName): ShardOwner? = byName[name]
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -22,10 +22,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The owner of one shard: picks machines for the shard's tasks, starts and stops them, and finds out what becomes of them. It
- * commands workers only while [Membership.mayAct], and only under fencing tokens of its own.
+ * The owner of one shard: places the shard's tasks on machines, starts and stops tasks, and records their outcomes. The shard owner
+ * sends commands to workers only while [Membership.mayAct], and only under its own fencing tokens.
  *
- * The work is done by its parts, which this class calls in a fixed order: [ShardAgents] and [ShardScheduling].
+ * This class delegates to [ShardAgents] and [ShardScheduling], which it calls in a fixed order.
  */
 class ShardOwner internal constructor(
     private val state: ShardState,
@@ -41,48 +41,48 @@
 
     val name: ShardName get() = state.name
 
-    /** The shard's machines, as far as their workers have been heard from. */
+    /** The shard's machines whose workers have sent heartbeats to this owner. */
     val machines: Map<MachineName, Machine> get() = state.machines
 
-    /** The fencing token under which workers are commanded now. */
+    /** The fencing token under which commands are sent to workers now. */
     val fencingToken: FencingToken get() = state.fencingToken
 
-    /** Whether the records are known to be as new as the grant, and the shard has not been closed: only then are workers commanded. */
+    /** Whether [open] was called, which requires records as new as the grant, and [close] was not: only then are commands sent. */
     val isOpen: Boolean get() = state.isOpen
 
-    /** Whether [token] is one of the fencing tokens that this owner has had. */
+    /** Whether [token] is or was a fencing token of this owner. */
     fun hasHeldToken(token: FencingToken): Boolean = state.isOwnToken(token)
 
-    /** Starts commanding workers. The records must be known to be as new as the grant. */
+    /** Starts sending commands to workers. Requires that the replica is at least as new as the grant of the shard. */
     fun open() {
         state.isOpen = true
         replica.jobs.values.forEach(::reconcile)
         machines.values.toList().forEach { if (state.isFenced(it)) agents.observer.reconcile(it) }
     }
 
-    /** Stops commanding workers: the shard no longer belongs to this process. */
+    /** Stops sending commands to workers: this process no longer owns the shard. */
     fun close() {
         state.isOpen = false
     }
 
-    /** Goes on under the higher [token]: workers that have seen it refuse late copies of older commands. */
+    /** Switches to the higher [token]: workers that have received it reject delayed copies of commands with older tokens. */
     fun raiseToken(token: FencingToken) = state.raiseToken(token)
 
-    /** Brings the runs of [job] in line with its records. */
+    /** Updates the runs of [job] to match its records. */
     fun reconcile(job: Job) = agents.reconciler.reconcile(job)
 
-    /** Removes the runs of [job], which is no longer known. */
+    /** Removes the runs of [job], which the replica no longer contains. */
     fun removeJob(job: JobId) = agents.reconciler.removeJob(job)
 
-    /** Handles a worker's own heartbeat. The caller has checked that this controller may act. */
+    /** Handles a heartbeat that a worker has sent. The caller has checked that this controller may act. */
     fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.handle(heartbeat)
 
-    /** Handles a heartbeat while this controller may no longer act but knows of no other that would. */
+    /** Handles a heartbeat while this controller may no longer act, and no peer reports reaching the state service. */
     fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.extendWorkerLease(heartbeat)
 
     /**
-     * Does what is due, always in this order: records outcomes, places waiting runs, removes machines whose leases have expired,
-     * releases missing runs, sends due commands, and restarts stragglers. No effect unless the shard is open.
+     * Performs the work that is due, always in this order: records outcomes, places waiting runs, removes machines whose leases have
+     * expired, releases missing runs, sends due commands, and restarts stragglers. No effect unless the shard is open.
      */
     fun tick() {
         if (!isOpen) return
@@ -95,7 +95,7 @@
         if (membership.mayAct) metrics.measure("shard_stragglers") { scheduling.stragglers.restartWorthwhile(now) }
     }
 
-    /** Finds what only the passing of time has changed; what a heartbeat or a record changes is acted on at once. */
+    /** Handles timeouts and due retries; changes by a heartbeat or a record are handled when they arrive. */
     private fun sweep(now: MonotonicTime) {
         agents.unresolvedStarts.forgetExpired(now)
         agents.tracker.removeExpired(now)
@@ -106,16 +106,16 @@
     /** Removes [machine], which the cloud has deleted. */
     fun onDeleted(machine: Machine) = agents.tracker.onDeleted(machine)
 
-    /** Whether an unresolved start blocks something that only a higher fencing token can unblock. */
+    /** Whether an unresolved start blocks work that only a higher fencing token can unblock. */
     fun needsHigherToken(): Boolean = agents.unresolvedStarts.needHigherToken()
 
-    /** The images of the shard's machines, as many as fit into a value of [limitBytes]. */
+    /** The images cached on the shard's machines, as many as fit into a stored value of [limitBytes]. */
     fun imageRecord(limitBytes: Int): ImageRecord = scheduling.summary.imageRecord(limitBytes)
 
-    /** How many of the shard's machines are unreachable. */
+    /** The number of the shard's machines that are unreachable at [now]. */
     fun unreachableMachines(now: MonotonicTime): Int = agents.health.countUnreachable(now)
 
-    /** The capacity of the shard's machines, for the leader. */
+    /** The capacity of the shard's machines, which is reported to the leader. */
     fun capacity(): ShardCapacity = scheduling.summary.capacity()
 
     private companion object {
--- a/src/main/kotlin/copperglade/ownership/ShardOwnerFactory.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnerFactory.kt
@@ -15,9 +15,9 @@
 import copperglade.tasks.ShardState
 
 /**
- * Creates the owners of shards that are granted to this process.
+ * Creates the shard owners for shards that are granted to this process.
  *
- * @param stragglerFactor a straggler has run for this multiple of its job's average run time.
+ * @param stragglerFactor a task counts as a straggler once it has run for this multiple of its job's average run time.
  */
 class ShardOwnerFactory(
     private val connections: ShardConnections,
@@ -29,7 +29,7 @@
     private val metrics: EventLoopMetrics,
     private val stragglerFactor: Double,
 ) {
-    /** A closed owner of the shard [name], granted to this process under [grantToken] just now. */
+    /** Returns a shard owner, not open yet, for the shard [name], which was granted to this process under [grantToken] just now. */
     fun create(name: ShardName, grantToken: FencingToken): ShardOwner {
         val loop = connections.loop
         val state = ShardState(name, grantToken, grantedAt = loop.now(), replica)
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Opens and closes shards as the shard records say, passes changes of jobs to their owners, and releases shards on request. */
+/** Opens and closes shards according to the shard records, forwards job changes to the shard owners, and releases shards on request. */
 class ShardOwnership(
     private val loop: EventLoop,
     private val replica: Replica,
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Opens and closes shards as the records say. */
+    /** Opens and closes shards according to the shard records. */
     fun reconcile() {
         val incarnation = membership.incarnation
         val ownRecord = incarnation?.let { ShardRecord(membership.self, it) }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Opens or closes the shard [name], which the records grant to this process under [grantToken], or not at all. */
+    /** Opens or closes the shard [name], which the records grant to this process under [grantToken]; null if they don't grant it. */
     private fun reconcile(name: ShardName, grantToken: FencingToken?) {
         if (recordWriter.isInFlight(name)) return
         val present = owned[name]
@@ -64,7 +64,7 @@
         openWhenCurrent(shard)
     }
 
-    /** Outcomes that the former owner wrote must be known before anything is started. */
+    /** Opens [shard] once the replica has read the outcomes that the former owner wrote, since no task may start before. */
     private fun openWhenCurrent(shard: ShardOwner) {
         replica.catchUp { outcome ->
             if (owned[shard.name] !== shard) return@catchUp
@@ -81,10 +81,10 @@
         shard.close()
     }
 
-    /** Releases the shards [names], which the leader wants elsewhere. This process stops acting for them first. */
+    /** Releases the shards [names], which the leader moves to other controllers. This process stops acting for the shards first. */
     fun release(names: List<ShardName>) = closeEach(names, recordWriter::release)
 
-    /** Releases the shards [names], whose workers this process can't reach, so that it isn't granted them again at once. */
+    /** Releases the shards [names], whose workers this process can't reach, and keeps the leader from granting them back at once. */
     fun releaseUnreachable(names: List<ShardName>) = closeEach(names, recordWriter::releaseUnreachable)
 
     private fun closeEach(names: List<ShardName>, release: (ShardName, FencingToken) -> Unit) {
--- a/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
@@ -19,10 +19,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Writes the records of shards that this process owns: to get a higher fencing token, or to release the shard.
+ * Writes the records of shards that this process owns, either to obtain a higher fencing token or to release the shard.
  *
- * Invariant: a shard's record has at most one write in flight, and until that is settled the shard is neither opened nor closed
- * because of what the records say. Every write has the present fencing token as its condition.
+ * Invariant: at most one write of a shard's record is in flight, and the shard is neither opened nor closed because of the records
+ * until that write is settled. Every write is conditional on the present fencing token.
  */
 class ShardRecordWriter(
     private val loop: EventLoop,
@@ -32,16 +32,16 @@
 ) {
     private val inFlight = HashSet<ShardName>()
 
-    /** Called when a write is settled and its outcome is known from the records. */
+    /** Called when a write is settled, after the replica has read its outcome. */
     var onSettled: () -> Unit = {}
 
     /** Whether a write of the record of [shard] is not settled yet. */
     fun isInFlight(shard: ShardName): Boolean = shard in inFlight
 
-    /** Claims the record of [shard] for a write that follows; false where one is in flight already. */
+    /** Marks the record of [shard] as being written; returns false if a write is in flight already. */
     fun tryBeginWrite(shard: ShardName): Boolean = inFlight.add(shard)
 
-    /** Rewrites the record of [shard] for a higher fencing token, which ends whatever late copies of its commands could do. */
+    /** Rewrites the record of [shard] for a higher fencing token, so that workers reject delayed copies of its earlier commands. */
     fun renewToken(shard: ShardOwner) {
         val record = ownRecord() ?: return
         if (!tryBeginWrite(shard.name)) return
@@ -54,10 +54,10 @@
         }
     }
 
-    /** Deletes the record of [shard], which was held under [token] and has been closed, after [tryBeginWrite]. */
+    /** Deletes the record of [shard], which was owned under [token] and has been closed. Requires a successful [tryBeginWrite]. */
     fun release(shard: ShardName, token: FencingToken) = release(shard, token, Write.Delete(Keys.shard(shard)))
 
-    /** As [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
+    /** Like [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
     fun releaseUnreachable(shard: ShardName, token: FencingToken) =
         release(shard, token, set(shard, ShardRecord.releasedBy(membership.self)))
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Writes the record again as it was, after a release whose outcome is unknown: that might be applied much later, when this process
-     * acts for the shard again. Repeated until the outcome is certain.
+     * Restores the record after a release whose outcome is unknown: the release might be applied much later, when this process acts for
+     * the shard again. Retries until the outcome of a write is certain.
      */
     private fun restore(shard: ShardName, token: FencingToken) {
         val record = ownRecord() ?: return settle(shard)
--- a/src/main/kotlin/copperglade/ownership/ShardTicker.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardTicker.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Lets the owned shards do what is due, several times a second. */
+/** Calls [ShardOwner.tick] for all owned shards, several times a second. */
 class ShardTicker(
     private val loop: EventLoop,
     private val owned: OwnedShards,
@@ -26,7 +26,7 @@
     private companion object {
         val TICK_INTERVAL = 100.milliseconds
 
-        /** The more machines there are, the more is batched, which bounds the processor time that ticks take. */
+        /** A longer interval with more machines batches more work per tick, which bounds the CPU time that ticks take. */
         val TICK_INTERVAL_PER_MACHINE = 400.microseconds
     }
 }
--- a/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
+++ b/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
@@ -7,8 +7,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Releases all shards when this controller reaches none of their workers, although the state service knows it well: its lease would
- * keep the shards from others until the leases of all their workers had expired. It does so while those leases last.
+ * Releases all shards when this controller reaches none of their workers, although the state service answers it: its session lease
+ * would otherwise keep the shards from other controllers until the leases of all their workers had expired. The shards are released
+ * while those worker leases are still valid.
  */
 class UnreachableWorkerWatch(
     private val loop: EventLoop,
@@ -23,7 +24,7 @@
 
     private fun check() {
         val now = loop.now()
-        // After a pause of this process every worker seems silent: what has arrived meanwhile is read first.
+        // After a pause of this process every worker seems unreachable until the heartbeats that arrived meanwhile are read.
         val onTime = now < checkedAt + CHECK_INTERVAL * 2
         checkedAt = now
         val shards = owned.open
@@ -40,7 +41,7 @@
         val CHECK_INTERVAL = 250.milliseconds
         const val CHECKS_TO_RELEASE = 2
 
-        /** Fewer machines may well fail at once without the controller being at fault. */
+        /** Fewer machines may well fail at the same time without the controller being the cause. */
         const val MIN_MACHINES = 3
         val log = LoggerFactory.getLogger("ownership")
     }
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `a capacity record holds as many machines as fit into a value`() {
+    fun `a capacity record contains as many machines as fit into a stored value`() {
         service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerSecond)
         val caller = network.callerOf("member", loop)
         PeerStatusExchange(
--- a/src/test/kotlin/copperglade/membership/StalenessLimitTest.kt
+++ b/src/test/kotlin/copperglade/membership/StalenessLimitTest.kt
@@ -9,10 +9,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.DurationUnit
 
-/** The age of knowledge and the workers' lease together stay below `cancel_s`, clocks included, or the settings are refused. */
+/**
+ * Guards against cancelled tasks that still run after `cancel_s`: the sum of the staleness limit and the worker lease stays below
+ * `cancel_s`, including clock drift, or the settings are rejected.
+ */
 class StalenessLimitTest {
     @Test
-    fun `whatever settings are accepted leave time for the lease`() {
+    fun `accepted settings keep the staleness limit and the worker lease below cancel_s`() {
         val random = Random(1)
         var accepted = 0
         repeat(20_000) {
@@ -26,20 +29,20 @@
             }
             accepted++
             // Both clocks may run 0.05% slower than the user's; a timer is a few milliseconds late.
-            val gone = (limit + leaseSeconds) * 1.001 + 0.02
-            assertTrue(gone < cancelSeconds, "$gone s of $cancelSeconds with a lease of $leaseSeconds")
+            val stoppedAfterSeconds = (limit + leaseSeconds) * 1.001 + 0.02
+            assertTrue(stoppedAfterSeconds < cancelSeconds, "$stoppedAfterSeconds s of $cancelSeconds with a lease of $leaseSeconds")
         }
         assertTrue(accepted > 10_000, "$accepted accepted")
     }
 
     @Test
-    fun `settings that leave no time to act are refused by name`() {
-        val fault = assertThrows(InvalidSettingException::class.java) { StalenessLimit.of(10.0, 11.0, OperatorSettings()) }
-        assertTrue("cancel_s" in fault.message!!)
-        val margin =
+    fun `settings that leave no time to act are rejected with the name of the setting`() {
+        val exception = assertThrows(InvalidSettingException::class.java) { StalenessLimit.of(10.0, 11.0, OperatorSettings()) }
+        assertTrue("cancel_s" in exception.message!!)
+        val marginException =
             assertThrows(InvalidSettingException::class.java) {
                 StalenessLimit.of(10.0, 30.0, OperatorSettings(stalenessMargin = 19_500.milliseconds))
             }
-        assertTrue("hold.margin.s" in margin.message!!)
+        assertTrue("hold.margin.s" in marginException.message!!)
     }
 }
