--- a/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ImageRecordWriter.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Records which images the machines of the owned shards hold. The records are hints that save fetches after a takeover; nothing else
- * depends on them, so they are written only while there is write budget to spare.
+ * Records which images are cached on the machines of the owned shards. The records are hints that save image downloads after another
+ * controller takes over a shard; nothing else depends on them, so they are written only while enough of the write budget is unused.
  */
 class ImageRecordWriter(
     private val loop: EventLoop,
@@ -26,12 +26,12 @@
     private val owned: OwnedShards,
 ) {
     fun start() = loop.scheduleRepeating({ WRITE_INTERVAL }) {
-        if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_LEVEL) owned.open.forEach(::write)
+        if (membership.mayAct && store.writeBudgetLevel() > MIN_WRITE_BUDGET_LEVEL) owned.open.forEach(::write)
     }
 
     private fun write(shard: ShardOwner) {
         val present = replica.images[shard.name]
-        val record = shard.imageRecord((store.limits.valueBytes * USABLE_PART_OF_VALUE).toInt())
+        val record = shard.imageRecord((store.limits.valueBytes * TARGET_VALUE_FRACTION).toInt())
         if (record.byMachine == present?.value?.byMachine.orEmpty()) return
         val value = RecordCodec.encode(record)
         if (value.size > store.limits.valueBytes) return
@@ -49,10 +49,10 @@
     private companion object {
         val WRITE_INTERVAL = 10.seconds
 
-        /** The estimate of a record's size is rough. */
-        const val USABLE_PART_OF_VALUE = 0.8
+        /** The target size of a record as a fraction of the value limit, since the size estimate is rough. */
+        const val TARGET_VALUE_FRACTION = 0.8
 
-        /** The part of the write budget that must be left. */
-        const val MIN_WRITE_LEVEL = 0.6
+        /** The fraction of the write budget that must be left. */
+        const val MIN_WRITE_BUDGET_LEVEL = 0.6
     }
 }
--- a/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatTimeouts.kt
@@ -15,7 +15,7 @@
     val lease: Duration get() = leaseSeconds.seconds
 
     /** The time after a worker's last acknowledged heartbeat by which its lease has certainly expired, clock drift included. */
-    val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.DRIFT) + LEASE_MARGIN_SECONDS).seconds
+    val maxLease: Duration get() = (leaseSeconds * (1 + SessionLease.CLOCK_DRIFT_ALLOWANCE) + LEASE_MARGIN_SECONDS).seconds
 
     /** The time without an accepted heartbeat or reply after which a machine's heartbeat counts as timed out. */
     val heartbeatTimeout: Duration get() = heartbeatIntervals(HEARTBEAT_TIMEOUT_INTERVALS)
