--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -41,7 +41,7 @@
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
 import copperglade.shards.ShardMap
-import copperglade.storage.EndedJobs
+import copperglade.storage.EndRecordCache
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
@@ -78,7 +78,7 @@
         http,
         settings.state,
         StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.valueKb, settings.transactionWrites),
-        firstShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
+        initialShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
     )
     private val stalenessLimit = StalenessLimit.of(settings.leaseSeconds, settings.cancelSeconds, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, stalenessLimit / REFRESHES_PER_STALENESS_LIMIT)
@@ -93,10 +93,10 @@
         Replica(
             loop,
             store,
-            readers = settings.peers.size + 1,
+            controllerCount = settings.peers.size + 1,
             idleRefreshInterval,
-            maxCatchUp = stalenessLimit,
-            EndedJobs.maxEndsFor(heapBytes),
+            maxSnapshotAge = stalenessLimit,
+            EndRecordCache.maxEndRecordsFor(heapBytes),
         ) { spec ->
             profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
         }
--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -44,7 +44,7 @@
         val unknown = dependencies.filterNot(::isKnown)
         if (unknown.isEmpty()) return onResolved(judge(dependencies))
         val lookUp = EndLookUp(dependencies, unknown.size, onResolved)
-        unknown.forEach { id -> replica.readEnd(id) { lookUp.onRead(id, it) } }
+        unknown.forEach { id -> replica.readEndRecord(id) { lookUp.onRead(id, it) } }
     }
 
     /** Waits for the end records of [remaining] dependencies. */
--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -32,7 +32,7 @@
     /** Calls [onResult] once, now or later. */
     fun read(id: JobId, onResult: (JobStatusResult) -> Unit) {
         // An end never changes, so a remembered one needs no reading.
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         if (end != null) return onResult(JobStatusResult.Known(summaryOf(id, end)))
         readRecords(id, loop.now(), onResult)
     }
@@ -42,7 +42,7 @@
 
     private fun onRecords(id: JobId, askedAt: MonotonicTime, outcome: CatchUpOutcome, onResult: (JobStatusResult) -> Unit) {
         val job = replica.jobs[id]
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         when {
             // This process may have stood still between the reading and now, and another may have told the user more.
             outcome != CatchUpOutcome.Current || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
@@ -52,12 +52,12 @@
             // The mark was learned ahead of the reading: the last task may have been recorded just before it.
             job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
             job?.live != null -> onResult(JobStatusResult.Known(summaryOf(job)))
-            else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
+            else -> replica.readEndRecord(id) { onEndRecord(id, it, onResult) }
         }
     }
 
     private fun onEndRecord(id: JobId, outcome: ReadOutcome, onResult: (JobStatusResult) -> Unit) {
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         onResult(
             when {
                 outcome == ReadOutcome.Failed -> JobStatusResult.Unavailable
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -48,7 +48,7 @@
             is ParsedSubmission.Valid -> submission.spec.id
             is ParsedSubmission.Invalid -> submission.id ?: return responder.send(JobReplies.badRequest(submission.error))
         }
-        if (replica.jobs[id]?.live != null || replica.endOf(id) != null) return answerStatus(id, responder)
+        if (replica.jobs[id]?.live != null || replica.endRecordOf(id) != null) return answerStatus(id, responder)
         when (submission) {
             is ParsedSubmission.Invalid -> refuse(id, JobReplies.badRequest(submission.error), responder)
             is ParsedSubmission.Valid -> check(submission, responder)
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -66,7 +66,7 @@
      * either case its records must be recent enough for a cancellation it has not heard of to be carried out in time.
      */
     override val mayAct: Boolean
-        get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.staleness
+        get() = ownershipIntact && recordsComplete && loop.now() < replica.snapshotTakenAt + limits.staleness
 
     /** While the records are reloaded, a part of them is missing: nothing may be decided on the rest. */
     private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
@@ -76,7 +76,7 @@
         get() {
             if (!mayAct) return 0
             val ownershipUntil = maxOf(lease.aliveUntil, leaseEndorsement.endorsedUntil)
-            return minOf(ownershipUntil, replica.readTime + limits.staleness).ms - loop.now().ms
+            return minOf(ownershipUntil, replica.snapshotTakenAt + limits.staleness).ms - loop.now().ms
         }
 
     /**
@@ -85,7 +85,7 @@
      * it answers nobody, so that nothing can be confirmed that they haven't told us before.
      */
     override val mayStart: Boolean
-        get() = mayAct && (loop.now() < replica.readTime + limits.startStaleness || loop.now() < leaseEndorsement.endorsedUntil)
+        get() = mayAct && (loop.now() < replica.snapshotTakenAt + limits.startStaleness || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether workers' leases may still be extended, though nothing may be commanded any more: the session lease has expired
@@ -93,7 +93,8 @@
      * ([FormerIncarnations]).
      */
     val mayExtendWorkerLeases: Boolean
-        get() = state == MemberState.MEMBER && recordsComplete && loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.staleness
+        get() = state == MemberState.MEMBER && recordsComplete &&
+            loop.now() < minOf(lease.renewedAt, replica.snapshotTakenAt) + limits.staleness
 
     /** For how long [mayExtendWorkerLeases] may hold beyond the end of the session lease, by any clock. */
     val gracePeriod: Duration
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -92,7 +92,7 @@
         if (now < lastDelivery + UNREACHABLE_AFTER || now < recordedAt + RECORD_INTERVAL) return
         recordedAt = now
         val value = encodeWithinValueLimit(status) ?: return
-        val write = Write.Set(Keys.memberCapacity(self), value)
+        val write = Write.Set(Keys.peerStatus(self), value)
         // A hint only, and of use only while it is new: no condition, and a late one is recognized by its incarnation.
         store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
--- a/src/main/kotlin/copperglade/membership/SessionLease.kt
+++ b/src/main/kotlin/copperglade/membership/SessionLease.kt
@@ -58,7 +58,7 @@
             renewed(sentAt)
             LeaseOpening.Granted(outcome.leaseId)
         }
-        LeaseOutcome.Extended, LeaseOutcome.Gone, LeaseOutcome.Failed -> LeaseOpening.Failed
+        LeaseOutcome.Extended, LeaseOutcome.NoSuchLease, LeaseOutcome.Failed -> LeaseOpening.Failed
     }
 
     /** Extends the lease. Without a lease, or if it was ended or replaced in the meantime, [onOutcome] is not called. */
@@ -73,7 +73,7 @@
             renewed(sentAt)
             LeaseExtension.Extended
         }
-        LeaseOutcome.Gone -> {
+        LeaseOutcome.NoSuchLease -> {
             leaseId = null
             LeaseExtension.Lost
         }
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -90,7 +90,7 @@
     }
 
     private fun authority(): String {
-        val recordsAgeMillis = loop.now().ms - replica.readTime.ms
+        val recordsAgeMillis = loop.now().ms - replica.snapshotTakenAt.ms
         return "records_age_ms=$recordsAgeMillis revision=${replica.knownRevision} " +
             "authority_ms=${membership.authorityRemainingMillis} replica=${replica.state}"
     }
@@ -98,7 +98,7 @@
     private fun basis(id: JobId): String {
         val job = replica.jobs[id]
         val state = when {
-            job?.live == null -> replica.endOf(id)?.status?.name ?: "UNKNOWN"
+            job?.live == null -> replica.endRecordOf(id)?.status?.name ?: "UNKNOWN"
             job.cancelled -> "CANCELLED"
             job.dependencies.isEmpty() -> "FREE"
             else -> job.dependencyState.name
--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -64,7 +64,7 @@
     fun refusalByRecords(task: TaskId): Refusal? {
         val job = replica.jobs[task.job]
         return when {
-            job?.live == null -> if (replica.endOf(task.job) == null) Refusal.UNKNOWN_JOB else Refusal.JOB_ENDED
+            job?.live == null -> if (replica.endRecordOf(task.job) == null) Refusal.UNKNOWN_JOB else Refusal.JOB_ENDED
             job.cancelled -> Refusal.JOB_CANCELLED
             job.blocked -> Refusal.JOB_BLOCKED
             job.done.get(task.index) -> Refusal.TASK_DONE
@@ -73,10 +73,10 @@
     }
 
     /** Whether [job] is known to be cancelled, by its live record or by its end. */
-    fun isCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endOf(job)?.status == JobStatus.CANCELLED)
+    fun isCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endRecordOf(job)?.status == JobStatus.CANCELLED)
 
     /** Whether nothing of [job] may go on running: it is cancelled, or has ended either way. */
-    fun isEndedOrCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endOf(job) != null)
+    fun isEndedOrCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endRecordOf(job) != null)
 
     private fun liveJob(id: JobId): Job? = replica.jobs[id]?.takeIf { it.live != null }
 
--- a/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
@@ -19,16 +19,16 @@
         val present = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
         val groups = assignedGroups(job, range, present)
         val generation = present.lastGeneration + 1
-        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, present.frontier, generation)
-        val frontier = maxOf(present.frontier, choices.maxOfOrNull { it.task + 1 } ?: 0)
+        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, present.assignedEnd, generation)
+        val assignedEnd = maxOf(present.assignedEnd, choices.maxOfOrNull { it.task + 1 } ?: 0)
         val preemptedForGuarantee = present.preemptedForGuarantee.clone() as BitSet
         choices.forEach { preemptedForGuarantee.clear(it.task) }
         guaranteePreemptions?.let(preemptedForGuarantee::or)
-        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, present.version + 1)
+        return AssignmentRange(groups, preemptedForGuarantee, generation, assignedEnd, present.version + 1)
     }
 
     /**
-     * Adds the [chosen] tasks to the [groups] of [shard]. A task from [frontier] on was never assigned, so it can't have been
+     * Adds the [chosen] tasks to the [groups] of [shard]. A task from [assignedEnd] on was never assigned, so it can't have been
      * given back either and may join a present group of the shard: with a group per round the record would outgrow a value.
      * A task that is assigned again goes into a group of its own with the new [generation].
      */
@@ -36,7 +36,7 @@
         groups: MutableList<AssignmentGroup>,
         shard: ShardName,
         chosen: List<PlacementChoice>,
-        frontier: Int,
+        assignedEnd: Int,
         generation: Int,
     ) {
         val fencingToken = FencingToken(
@@ -46,7 +46,7 @@
         )
         val reassigned = BitSet()
         val neverAssigned = BitSet()
-        chosen.forEach { if (it.task < frontier) reassigned.set(it.task) else neverAssigned.set(it.task) }
+        chosen.forEach { if (it.task < assignedEnd) reassigned.set(it.task) else neverAssigned.set(it.task) }
         val joined = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
         if (!neverAssigned.isEmpty && joined >= 0) {
             val group = groups[joined]
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -78,7 +78,7 @@
     fun unresolvedTasks(job: JobId): Int = unresolvedTasks.of(job)
 
     /** Whether no write is in flight that one of task range [range] would have to wait for. */
-    fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, range) } ?: false
+    fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).isReady(job, range) } ?: false
 
     /**
      * Writes as much of [plan] as the write budget allows now. What remains is planned again by a later round: a queue of
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -35,7 +35,7 @@
     private val leaseEndorsement: LeaseEndorsement,
     workerLeaseSeconds: Double,
 ) {
-    private class Grant(val revision: Revision, val knownSince: MonotonicTime)
+    private class Grant(val revision: Revision, val observedAt: MonotonicTime)
 
     /** For how long a shard stays with a new owner, however uneven the distribution is. */
     private val minTenure: Duration = (workerLeaseSeconds * MIN_TENURE_IN_WORKER_LEASES).seconds
@@ -56,14 +56,14 @@
         if (!hasWaitedForMembers()) return
         recordGrants()
         val shardCounts = shardCounts(eligibleMembers())
-        val orphans = shardMap.all.filter { ownerOf(it) == null }
-        for (shard in orphans) {
+        val unownedShards = shardMap.all.filter { ownerOf(it) == null }
+        for (shard in unownedShards) {
             if (shard in grantsInFlight || !mayGrant(shard)) continue
             val owner = chooseOwner(shard, shardCounts) ?: continue
             shardCounts.merge(owner, 1, Int::plus)
             grant(shard, owner)
         }
-        shardsToRelease = if (orphans.isEmpty()) shardsToRebalance(shardCounts) else emptyList()
+        shardsToRelease = if (unownedShards.isEmpty()) shardsToRebalance(shardCounts) else emptyList()
     }
 
     /** After a start of the whole cluster, the members that join first would otherwise get all shards. */
@@ -82,9 +82,9 @@
         val now = loop.now()
         replica.shards.values
             .filter { it.value.released }
-            .forEach { excludedUntil[it.value.member] = now + EXCLUSION }
-        val reaching = replica.members.keys.filter { now >= (excludedUntil[it] ?: MonotonicTime.NEVER) }
-        return reaching.ifEmpty { replica.members.keys }
+            .forEach { excludedUntil[it.value.member] = now + EXCLUSION_PERIOD }
+        val reachable = replica.members.keys.filter { now >= (excludedUntil[it] ?: MonotonicTime.NEVER) }
+        return reachable.ifEmpty { replica.members.keys }
     }
 
     private fun shardCounts(members: Collection<MemberId>): HashMap<MemberId, Int> {
@@ -129,7 +129,7 @@
      * Tasks that a new owner has not found yet may start only when the workers' leases have expired, counted from the grant: if the shard
      * were granted once more in that time, they would wait once more.
      */
-    private fun hasMinTenure(shard: ShardName): Boolean = lastGrants[shard]?.let { loop.now() >= it.knownSince + minTenure } ?: false
+    private fun hasMinTenure(shard: ShardName): Boolean = lastGrants[shard]?.let { loop.now() >= it.observedAt + minTenure } ?: false
 
     private fun grant(shard: ShardName, owner: MemberId) {
         val member = replica.members[owner] ?: return
@@ -171,7 +171,7 @@
     private companion object {
         const val WAIT_FOR_MEMBERS_SECONDS = 1.5
         const val MIN_TENURE_IN_WORKER_LEASES = 1.5
-        val EXCLUSION = 30.seconds
+        val EXCLUSION_PERIOD = 30.seconds
         val log = LoggerFactory.getLogger("shards")
     }
 }
--- a/src/main/kotlin/copperglade/storage/AssignmentRange.kt
+++ b/src/main/kotlin/copperglade/storage/AssignmentRange.kt
@@ -18,13 +18,13 @@
  *
  * @property lastGeneration the highest generation so far, though its group may be gone: if a generation were used again, an earlier
  *   return of a task would count for the new assignment.
- * @property frontier no task from this index on has ever been assigned, so none can have been returned either.
+ * @property assignedEnd the exclusive end of the task indices ever assigned: no task from this index on has ever been assigned, so none can have been returned either.
  */
 class AssignmentRange(
     val groups: List<AssignmentGroup>,
     val preemptedForGuarantee: BitSet,
     val lastGeneration: Int,
-    val frontier: Int,
+    val assignedEnd: Int,
     override val version: Int,
 ) : Versioned {
     companion object {
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -25,21 +25,21 @@
  * Reads changes from the state service: one watch, which is reopened after a pause because every opening costs a request, and reads
  * beside it for callers of [catchUp], many of which share one request.
  *
- * @param readers the number of controllers that share the request budget.
+ * @param controllerCount the number of controllers that share the request budget.
  * @param idleRefreshInterval the age of the snapshot at which a read is sent though nobody has asked for one.
- * @param maxCatchUp the age of the snapshot at which failing reads lead to a reload: a read returns all changes in one answer of
+ * @param maxSnapshotAge the age of the snapshot at which failing reads lead to a reload: a read returns all changes in one answer of
  *   unbounded size, whereas a reload is paged.
  */
 internal class ChangeReader(
     private val loop: EventLoop,
     private val store: StateClient,
     private val target: ChangeTarget,
-    readers: Int,
+    controllerCount: Int,
     private val idleRefreshInterval: Duration,
-    private val maxCatchUp: Duration,
+    private val maxSnapshotAge: Duration,
 ) {
-    /** The interval between requests at which all readers together use half of the service's requests. */
-    val minInterval = maxOf(MIN_INTERVAL, (readers / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
+    /** The interval between requests at which all controllerCount together use half of the service's requests. */
+    val minRequestInterval = maxOf(MIN_INTERVAL, (controllerCount / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
     private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
     private var readInFlight = false
     private var watchOpen = false
@@ -48,7 +48,7 @@
     private var consecutiveFailures = 0
 
     /** When the latest successful read was sent: every change made before is known. */
-    var readTime = MonotonicTime.NEVER
+    var snapshotTakenAt = MonotonicTime.NEVER
         private set
 
     /** Starts refreshing idle snapshots; [watch] has to be called after each load. */
@@ -56,7 +56,7 @@
 
     /** An open watch doesn't say how old its silence is, so a read is sent after a while without one. */
     private fun refreshIfIdle() {
-        if (loop.now() >= readTime + idleRefreshInterval && target.state == ReplicaState.CURRENT && !readInFlight) catchUp {}
+        if (loop.now() >= snapshotTakenAt + idleRefreshInterval && target.state == ReplicaState.CURRENT && !readInFlight) catchUp {}
     }
 
     /**
@@ -109,7 +109,7 @@
         if (outcome is ChangesOutcome.Received) target.apply(outcome)
         applyDuration = (loop.now().ms - receivedAt.ms).milliseconds
         // Changes that arrive while loading aren't applied, so they must not make the snapshot look newer than it is.
-        if (outcome is ChangesOutcome.Received && sentAt > readTime && target.state == ReplicaState.CURRENT) readTime = sentAt
+        if (outcome is ChangesOutcome.Received && sentAt > snapshotTakenAt && target.state == ReplicaState.CURRENT) snapshotTakenAt = sentAt
     }
 
     private fun catchUpOutcome(outcome: ChangesOutcome): CatchUpOutcome {
@@ -126,14 +126,14 @@
             received?.storeRevision,
             received?.changes?.size,
             loop.now().ms - sentAt.ms,
-            loop.now().ms - readTime.ms,
+            loop.now().ms - snapshotTakenAt.ms,
             target.state,
         )
     }
 
     /** Whether reads have kept failing, though the service answers other requests, until the snapshot is too old to act on. */
     private fun cannotCatchUp() =
-        consecutiveFailures >= MAX_FAILURES && loop.now() >= readTime + maxCatchUp && !store.isUnreachable()
+        consecutiveFailures >= MAX_FAILURES && loop.now() >= snapshotTakenAt + maxSnapshotAge && !store.isUnreachable()
 
     /** See [Replica.catchUp]. */
     fun catchUp(done: (CatchUpOutcome) -> Unit) {
@@ -154,7 +154,7 @@
     }
 
     /** The pause between requests: the longer the latest changes took to apply, the more the next read gathers. */
-    private fun pause(): Duration = maxOf(minInterval, minOf(applyDuration * PAUSE_PER_APPLY_DURATION, MAX_PAUSE))
+    private fun pause(): Duration = maxOf(minRequestInterval, minOf(applyDuration * PAUSE_PER_APPLY_DURATION, MAX_PAUSE))
 
     private fun readNow() = read(takeWaiters(), Duration.ZERO) {
         readInFlight = false
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -18,14 +18,14 @@
  * and their neighbours in the graph.
  *
  * @param jobs the jobs as the replica has them.
- * @param endOf the end record of a job, if it is known.
+ * @param endRecordOf the end record of a job, if it is known.
  * @param knownRevision the revision up to which all changes are known.
  * @param wallMillis the wall clock, in milliseconds.
  * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, Job>,
-    private val endOf: (JobId) -> EndRecord?,
+    private val endRecordOf: (JobId) -> EndRecord?,
     private val knownRevision: () -> Revision,
     private val wallMillis: () -> Long,
     private val predictRunSeconds: (JobSpec) -> Double,
@@ -43,7 +43,7 @@
     private val releasedAtMillis = HashMap<JobId, Long>()
 
     /** Whether any job depends on [id]. */
-    internal fun isAwaited(id: JobId): Boolean = id in dependentsOf
+    internal fun hasDependents(id: JobId): Boolean = id in dependentsOf
 
     /** Dependencies whose end records have to be looked up. */
     internal fun unknownDependencies(): List<JobId> = outcomes.filterValues { it == DependencyOutcome.UNKNOWN }.keys.toList()
@@ -51,11 +51,11 @@
     /** Whether the state of [id] depends, directly or through other jobs, on one whose end record has not been looked up yet. */
     fun hasUnknownDependencies(id: JobId): Boolean {
         val queue = ArrayDeque(listOf(id))
-        val seen = HashSet<JobId>()
+        val visited = HashSet<JobId>()
         while (queue.isNotEmpty()) {
             for (dependency in dependenciesOf[queue.removeFirst()].orEmpty()) {
                 if (outcomes[dependency] == DependencyOutcome.UNKNOWN) return true
-                if (outcomes[dependency] == DependencyOutcome.OPEN && seen.add(dependency)) queue += dependency
+                if (outcomes[dependency] == DependencyOutcome.OPEN && visited.add(dependency)) queue += dependency
             }
         }
         return false
@@ -67,18 +67,18 @@
         val job = jobs[id]?.takeIf { it.live != null } ?: return endedOutcome(id)
         return when {
             job.complete -> DependencyOutcome.DONE
-            isCancelledForCertain(job) || job.abortedByDependency -> DependencyOutcome.ABORTED
+            isCancellationConfirmed(job) || job.abortedByDependency -> DependencyOutcome.ABORTED
             else -> DependencyOutcome.OPEN
         }
     }
 
-    private fun endedOutcome(id: JobId): DependencyOutcome = when (endOf(id)?.status) {
+    private fun endedOutcome(id: JobId): DependencyOutcome = when (endRecordOf(id)?.status) {
         null -> DependencyOutcome.UNKNOWN
         JobStatus.DONE -> DependencyOutcome.DONE
         else -> DependencyOutcome.ABORTED
     }
 
-    private fun isCancelledForCertain(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownRevision())
+    private fun isCancellationConfirmed(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownRevision())
 
     /** Applies that the records of [changes] have changed; returns the jobs whose state, priority or deadline has changed with them. */
     internal fun update(changes: Collection<JobId>): Set<JobId> {
@@ -87,7 +87,7 @@
         val urgencyChanged = LinkedHashSet<JobId>()
         for (id in relevant) {
             urgencyChanged += dependenciesOf[id].orEmpty()
-            register(id)
+            updateEdges(id)
             urgencyChanged += dependenciesOf[id].orEmpty()
         }
         val changed = LinkedHashSet<JobId>()
@@ -109,7 +109,7 @@
 
     private fun hasDependencies(id: JobId): Boolean = jobs[id]?.dependencies?.isNotEmpty() ?: false
 
-    private fun register(id: JobId) {
+    private fun updateEdges(id: JobId) {
         val current = jobs[id]?.dependencies.orEmpty()
         val before = dependenciesOf[id].orEmpty()
         if (current == before) return
--- a/src/main/kotlin/copperglade/storage/EndedJobs.kt
+++ b/src/main/kotlin/copperglade/storage/EndRecordCache.kt
@@ -6,21 +6,21 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The ends of jobs that are over: the most recently used of them are remembered, the others are looked up in the state service.
+ * The ends of jobs that are over: the most recently used of them are cached, the others are looked up in the state service.
  *
  * @param retryInterval the interval between attempts to look up while the budget for reads is used up.
- * @param maxRemembered how many ends are remembered.
- * @param onLearned called when an end has been read that was not remembered.
+ * @param maxCached how many ends are cached.
+ * @param onRead called when an end has been read that was not cached.
  */
-internal class EndedJobs(
+internal class EndRecordCache(
     private val loop: EventLoop,
     private val store: StateClient,
     private val retryInterval: Duration,
-    private val maxRemembered: Int,
-    private val onLearned: (JobId) -> Unit,
+    private val maxCached: Int,
+    private val onRead: (JobId) -> Unit,
 ) {
-    private val remembered = object : LinkedHashMap<JobId, EndRecord>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
-        override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > maxRemembered
+    private val cached = object : LinkedHashMap<JobId, EndRecord>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
+        override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > maxCached
     }
 
     /** Look-ups that have not been sent, with their callers, in the order of asking. */
@@ -28,15 +28,15 @@
     private var retryScheduled = false
     private var loadStarted = false
 
-    operator fun get(id: JobId): EndRecord? = remembered[id]
+    operator fun get(id: JobId): EndRecord? = cached[id]
 
     /** Remembers an end record, unless it is malformed. */
-    fun remember(id: JobId, record: EncodedRecord) {
-        remembered[id] = record.ended() ?: return
+    fun cache(id: JobId, record: EncodedRecord) {
+        cached[id] = record.ended() ?: return
     }
 
     /**
-     * Reads the end of a job from the service, in the order of asking. What is found is remembered even if the caller no longer waits,
+     * Reads the end of a job from the service, in the order of asking. What is found is cached even if the caller no longer waits,
      * so that its next request is answered at once: otherwise some jobs would get no answer for minutes after a restart. Calls back with
      * [ReadOutcome.Failed] at once where the queue is full.
      */
@@ -69,13 +69,13 @@
 
     private fun received(id: JobId, outcome: ReadOutcome, callers: List<(ReadOutcome) -> Unit>) {
         if (outcome is ReadOutcome.Present) {
-            remember(id, outcome.value)
-            onLearned(id)
+            cache(id, outcome.value)
+            onRead(id)
         }
         callers.forEach { it(outcome) }
     }
 
-    /** Loads the ends that users may ask for, once after the start: as many as are remembered, page by page. */
+    /** Loads the ends that users may ask for, once after the start: as many as are cached, page by page. */
     fun loadOnce() {
         if (loadStarted) return
         loadStarted = true
@@ -84,19 +84,19 @@
 
     private fun load(from: String?): Unit = store.list(Keys.ENDED, from) { outcome ->
         when (outcome) {
-            ListOutcome.Failed -> if (remembered.size < maxRemembered) loop.after(LOAD_INTERVAL) { load(from) }
+            ListOutcome.Failed -> if (cached.size < maxCached) loop.after(LOAD_INTERVAL) { load(from) }
             is ListOutcome.Received -> {
-                outcome.records.forEach(::learn)
+                outcome.records.forEach(::cacheListed)
                 val next = outcome.records.lastOrNull()?.key
-                if (outcome.more && remembered.size < maxRemembered) loop.after(LOAD_INTERVAL) { load(next) }
+                if (outcome.more && cached.size < maxCached) loop.after(LOAD_INTERVAL) { load(next) }
             }
         }
     }
 
-    private fun learn(listed: ListedRecord) {
+    private fun cacheListed(listed: ListedRecord) {
         val id = (Keys.parse(listed.key) as? ParsedKey.Ended)?.job ?: return
-        remember(id, listed.value)
-        onLearned(id)
+        cache(id, listed.value)
+        onRead(id)
     }
 
     companion object {
@@ -106,13 +106,13 @@
         private const val MAX_CALLERS_PER_JOB = 8
         private val LOAD_INTERVAL = 1.seconds
 
-        /** The approximate memory of a remembered end with its id. */
-        private const val BYTES_PER_END = 200
+        /** The approximate memory of a cached end with its id. */
+        private const val BYTES_PER_END_RECORD = 200
         private const val HEAP_FRACTION = 16
-        const val MIN_REMEMBERED = 10_000
+        const val MIN_CACHED = 10_000
 
-        /** How many ends fit into a sixteenth of a heap of [heapBytes]; at least [MIN_REMEMBERED]. */
-        fun maxEndsFor(heapBytes: Long): Int =
-            (heapBytes / HEAP_FRACTION / BYTES_PER_END).coerceIn(MIN_REMEMBERED.toLong(), Int.MAX_VALUE.toLong()).toInt()
+        /** How many ends fit into a sixteenth of a heap of [heapBytes]; at least [MIN_CACHED]. */
+        fun maxEndRecordsFor(heapBytes: Long): Int =
+            (heapBytes / HEAP_FRACTION / BYTES_PER_END_RECORD).coerceIn(MIN_CACHED.toLong(), Int.MAX_VALUE.toLong()).toInt()
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -64,7 +64,7 @@
     val wantedTasks: Int get() = spec?.let { if (failing) FAILING_JOB_TRIALS else it.tasks - done.cardinality() } ?: 0
 
     /** Whether no record of it is left. */
-    val empty: Boolean get() = live == null && assignmentRanges.isEmpty() && outcomes.isEmpty()
+    val hasNoRecords: Boolean get() = live == null && assignmentRanges.isEmpty() && outcomes.isEmpty()
 
     /** Whether all tasks are done. */
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
--- a/src/main/kotlin/copperglade/storage/JobTable.kt
+++ b/src/main/kotlin/copperglade/storage/JobTable.kt
@@ -21,7 +21,7 @@
         val job = jobs[id] ?: return
         changes.jobs += id
         change(job)
-        if (job.empty) jobs.remove(id)
+        if (job.hasNoRecords) jobs.remove(id)
     }
 
     fun clear() = jobs.clear()
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -32,7 +32,7 @@
     fun member(id: MemberId) = "${CURRENT}member/$id"
 
     /** The peer status that a member hands to the leader through the state service while it can't reach it directly. */
-    fun memberCapacity(id: MemberId) = "${CURRENT}room/$id"
+    fun peerStatus(id: MemberId) = "${CURRENT}room/$id"
 
     fun images(shard: ShardName) = "${CURRENT}images/$shard"
 
@@ -50,7 +50,7 @@
             "work" -> ParsedKey.Outcomes(ShardName(parts[1]))
             "block" -> ParsedKey.Shard(ShardName(parts[1]))
             "images" -> ParsedKey.Images(ShardName(parts[1]))
-            "room" -> ParsedKey.MemberCapacity(MemberId(parts[1]))
+            "room" -> ParsedKey.PeerStatus(MemberId(parts[1]))
             "member" -> ParsedKey.Member(MemberId(parts[1]))
             else -> null
         }
--- a/src/main/kotlin/copperglade/storage/LeaseOutcome.kt
+++ b/src/main/kotlin/copperglade/storage/LeaseOutcome.kt
@@ -9,7 +9,7 @@
     data object Extended : LeaseOutcome
 
     /** The lease has ended, and the keys written with it are deleted. */
-    data object Gone : LeaseOutcome
+    data object NoSuchLease : LeaseOutcome
 
     /** No usable answer: the request may have been carried out. */
     data object Failed : LeaseOutcome
--- a/src/main/kotlin/copperglade/storage/ParsedKey.kt
+++ b/src/main/kotlin/copperglade/storage/ParsedKey.kt
@@ -24,5 +24,5 @@
 
     class Images(val shard: ShardName) : ParsedKey
 
-    class MemberCapacity(val id: MemberId) : ParsedKey
+    class PeerStatus(val id: MemberId) : ParsedKey
 }
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -59,7 +59,7 @@
             }
             ranges("r", record.preemptedForGuarantee)
             writeNumberField("n", record.lastGeneration)
-            writeNumberField("f", record.frontier)
+            writeNumberField("f", record.assignedEnd)
             version(record)
         }
     }
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -31,7 +31,7 @@
     private val encode: (Job, Int) -> ByteArray?,
 ) {
     private val valueBytes = limits.valueBytes
-    private val fullBytes = minOf(valueBytes * FULL_LEVEL, MAX_RECORD_BYTES).toInt()
+    private val fullBytes = minOf(valueBytes * FULL_FRACTION, MAX_RECORD_BYTES).toInt()
     private val recordsInFlight = HashSet<String>()
 
     /**
@@ -85,7 +85,7 @@
     }
 
     /** Whether no write is in flight that a write of this entry would have to wait for. */
-    fun ready(job: Job, rangeIndex: Int): Boolean =
+    fun isReady(job: Job, rangeIndex: Int): Boolean =
         TaskRange(job.id, rangeIndex) !in rangesInFlight && entryOf(job, rangeIndex)?.recordKey !in recordsInFlight
 
     /** Whether a value can hold [entry] at all. */
@@ -133,7 +133,7 @@
     }
 
     private fun hasCapacity(bytes: Int, range: TaskRange, entry: ByteArray) =
-        bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_LEVEL
+        bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_FRACTION
 
     /** The size of a packed record's current entries. */
     private fun bytesOf(key: String): Int {
@@ -169,10 +169,10 @@
     private companion object {
         /** Packed records are read and written whole: larger ones would cost more processor time than they save writes. */
         const val MAX_RECORD_BYTES = 8 * 1024.0
-        const val FULL_LEVEL = 0.9
+        const val FULL_FRACTION = 0.9
 
         /** Entries grow after they were packed, so a packed record gets new entries only up to this part of its full size. */
-        const val NEW_ENTRY_LEVEL = 0.75
+        const val NEW_ENTRY_FRACTION = 0.75
 
         /** An upper bound on the bytes around a record and around each of its entries. */
         const val OVERHEAD_BYTES = 16
--- a/src/main/kotlin/copperglade/storage/RecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/RecordTable.kt
@@ -81,7 +81,7 @@
             is ParsedKey.Images -> if (isNewer(revision, images[parsed.shard])) {
                 decoded { record.images() }?.let { images[parsed.shard] = StoredRecord(it, revision) }
             }
-            is ParsedKey.MemberCapacity -> decoded { record.peerStatus() }?.let { changes.peerStatuses += it }
+            is ParsedKey.PeerStatus -> decoded { record.peerStatus() }?.let { changes.peerStatuses += it }
             ParsedKey.Leader -> if (isNewer(revision, leader)) {
                 changes.clusterRecordsChanged = true
                 decoded { record.leader() }?.let { leader = StoredRecord(it, revision) }
@@ -98,7 +98,7 @@
     fun delete(key: String, revision: Revision, changes: ReplicaChanges) {
         if (revision > knownRevision) deletions[key] = revision
         when (val parsed = decoded { Keys.parse(key) }) {
-            null, is ParsedKey.Ended, is ParsedKey.MemberCapacity -> return
+            null, is ParsedKey.Ended, is ParsedKey.PeerStatus -> return
             is ParsedKey.Live -> jobs.edit(parsed.job, changes) { if (isOlder(it.live, revision)) it.live = null }
             ParsedKey.Assignments -> packedRecords.delete(key, revision, AssignmentEntries, changes)
             is ParsedKey.Outcomes -> packedRecords.delete(key, revision, OutcomeEntries(parsed.shard), changes)
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -18,29 +18,29 @@
 /**
  * This controller's copy of the live records, kept current by a watch. Whoever must not act on an old snapshot calls [catchUp] first.
  *
- * @param readers the number of controllers that share the request budget.
+ * @param controllerCount the number of controllers that share the request budget.
  * @param idleRefreshInterval the age of the snapshot at which it is refreshed though nobody has asked for that.
- * @param maxCatchUp the age of the snapshot at which failing reads lead to a reload.
- * @param maxEndedJobs how many ends of jobs are remembered; the others are looked up in the state service.
+ * @param maxSnapshotAge the age of the snapshot at which failing reads lead to a reload.
+ * @param maxCachedEndRecords how many ends of jobs are remembered; the others are looked up in the state service.
  * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
  */
 class Replica(
     private val loop: EventLoop,
     private val store: StateClient,
-    readers: Int = 1,
+    controllerCount: Int = 1,
     idleRefreshInterval: Duration = IDLE_REFRESH_INTERVAL,
-    maxCatchUp: Duration = MAX_CATCH_UP,
-    maxEndedJobs: Int = EndedJobs.MIN_REMEMBERED,
+    maxSnapshotAge: Duration = MAX_SNAPSHOT_AGE,
+    maxCachedEndRecords: Int = EndRecordCache.MIN_CACHED,
     predictRunSeconds: (JobSpec) -> Double = { it.estimatedSeconds },
 ) {
-    private val table = RecordTable(::rememberEnd)
-    private val reader = ChangeReader(loop, store, Target(), readers, idleRefreshInterval, maxCatchUp)
-    private val endedJobs = EndedJobs(loop, store, reader.minInterval, maxEndedJobs) { id ->
-        if (dependencies.isAwaited(id)) announce(ReplicaChanges().also { it.jobs += id })
+    private val table = RecordTable(::cacheEndRecord)
+    private val reader = ChangeReader(loop, store, Target(), controllerCount, idleRefreshInterval, maxSnapshotAge)
+    private val endRecordCache = EndRecordCache(loop, store, reader.minRequestInterval, maxCachedEndRecords) { id ->
+        if (dependencies.hasDependents(id)) notifyListeners(ReplicaChanges().also { it.jobs += id })
     }
 
     /** Which of [jobs] depend on others, and what follows from that. */
-    val dependencies = DependencyGraph(jobs, ::endOf, { knownRevision }, loop::wallMillis, predictRunSeconds)
+    val dependencies = DependencyGraph(jobs, ::endRecordOf, { knownRevision }, loop::wallMillis, predictRunSeconds)
     private val listeners = ArrayList<ReplicaListener>()
 
     val jobs: Map<JobId, Job> get() = table.jobs.byId
@@ -56,7 +56,7 @@
         private set
 
     /** When the latest successful read was sent: every change made before is known. */
-    val readTime: MonotonicTime get() = reader.readTime
+    val snapshotTakenAt: MonotonicTime get() = reader.snapshotTakenAt
 
     /** All changes up to this revision are known. */
     val knownRevision: Revision get() = table.knownRevision
@@ -85,7 +85,7 @@
                 is Write.Delete -> table.delete(write.key, revision, changes)
             }
         }
-        announce(changes)
+        notifyListeners(changes)
     }
 
     /**
@@ -97,23 +97,23 @@
         if (state != ReplicaState.CURRENT || live.value.cancelled || revision <= live.revision) return
         val changes = ReplicaChanges()
         table.jobs.getOrCreate(id, changes).live = StoredRecord(live.value.withCancelledMark(), revision)
-        announce(changes)
+        notifyListeners(changes)
     }
 
     /** The end of a job, if it is remembered here. An end record never changes once written. */
-    fun endOf(id: JobId): EndRecord? = endedJobs[id]
+    fun endRecordOf(id: JobId): EndRecord? = endRecordCache[id]
 
-    /** Looks the end of a job up in the state service; see [EndedJobs.read]. */
-    fun readEnd(id: JobId, done: (ReadOutcome) -> Unit) = endedJobs.read(id, done)
+    /** Looks the end of a job up in the state service; see [EndRecordCache.read]. */
+    fun readEndRecord(id: JobId, done: (ReadOutcome) -> Unit) = endRecordCache.read(id, done)
 
     /** Only live jobs are loaded, so the end of a dependency that ended before this process started has to be looked up. */
     private fun lookUpDependencies() {
-        if (state == ReplicaState.CURRENT) dependencies.unknownDependencies().forEach { readEnd(it) {} }
+        if (state == ReplicaState.CURRENT) dependencies.unknownDependencies().forEach { readEndRecord(it) {} }
     }
 
-    private fun rememberEnd(id: JobId, record: EncodedRecord, changes: ReplicaChanges) {
-        endedJobs.remember(id, record)
-        if (dependencies.isAwaited(id)) changes.jobs += id
+    private fun cacheEndRecord(id: JobId, record: EncodedRecord, changes: ReplicaChanges) {
+        endRecordCache.cache(id, record)
+        if (dependencies.hasDependents(id)) changes.jobs += id
     }
 
     /**
@@ -141,13 +141,13 @@
         dependencies.rebuild()
         changes.reloaded = true
         changes.clusterRecordsChanged = true
-        announce(changes)
+        notifyListeners(changes)
         reader.watch()
-        endedJobs.loadOnce()
+        endRecordCache.loadOnce()
         reader.readIfRequested()
     }
 
-    private fun announce(changes: ReplicaChanges) {
+    private fun notifyListeners(changes: ReplicaChanges) {
         if (changes.jobs.isEmpty() && !changes.clusterRecordsChanged && changes.peerStatuses.isEmpty()) return
         changes.jobs += dependencies.update(changes.jobs)
         listeners.forEach { it.changed(changes) }
@@ -167,7 +167,7 @@
             if (state != ReplicaState.CURRENT) return
             val changes = ReplicaChanges()
             table.apply(read, changes)
-            announce(changes)
+            notifyListeners(changes)
         }
 
         override fun reload(reason: String) {
@@ -180,7 +180,7 @@
         val IDLE_REFRESH_INTERVAL = 1500.milliseconds
         private val LOOK_UP_INTERVAL = 500.milliseconds
         private val RETRY_INTERVAL = 250.milliseconds
-        private val MAX_CATCH_UP = 10.seconds
+        private val MAX_SNAPSHOT_AGE = 10.seconds
         private val log = LoggerFactory.getLogger("replica")
     }
 }
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -22,10 +22,10 @@
     private val http: HttpClient,
     private val endpoint: Endpoint,
     val limits: StateLimits,
-    firstShare: Double = 1.0,
+    initialShare: Double = 1.0,
 ) {
-    private val requests = TokenBucket(limits.requestsPerSecond * firstShare, BURST_SECONDS, loop.now())
-    private val writes = WriteQueue(loop, limits, firstShare, BURST_SECONDS, ::sendTransaction)
+    private val requests = TokenBucket(limits.requestsPerSecond * initialShare, BURST_SECONDS, loop.now())
+    private val writes = WriteQueue(loop, limits, initialShare, BURST_SECONDS, ::sendTransaction)
     private var malformedCount = 0
     private var malformedLoggedAt = MonotonicTime.NEVER
 
@@ -84,7 +84,7 @@
     }
 
     private fun rejected(error: String): TransactionOutcome {
-        if (StateServiceCodec.saysNoSuchLease(error)) return TransactionOutcome.NoSuchLease
+        if (StateServiceCodec.isNoSuchLease(error)) return TransactionOutcome.NoSuchLease
         logMalformed(error)
         return TransactionOutcome.Refused
     }
--- a/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
+++ b/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
@@ -77,7 +77,7 @@
     fun decodeError(body: ByteArray): String = Json.read(body)?.stringOrNull("error").orEmpty()
 
     /** Whether an error text means that the lease has ended, and not that the transaction is malformed. */
-    fun saysNoSuchLease(error: String): Boolean = error.contains(NO_SUCH_LEASE, ignoreCase = true)
+    fun isNoSuchLease(error: String): Boolean = error.contains(NO_SUCH_LEASE, ignoreCase = true)
 
     fun decodeRead(reply: Reply?): ReadOutcome {
         val node = treeOf(reply)
@@ -131,7 +131,7 @@
 
     fun decodeExtendedLease(reply: Reply?): LeaseOutcome = when (reply?.status) {
         HttpStatus.OK -> LeaseOutcome.Extended
-        HttpStatus.NOT_FOUND -> LeaseOutcome.Gone
+        HttpStatus.NOT_FOUND -> LeaseOutcome.NoSuchLease
         else -> LeaseOutcome.Failed
     }
 
--- a/src/main/kotlin/copperglade/storage/TokenBucket.kt
+++ b/src/main/kotlin/copperglade/storage/TokenBucket.kt
@@ -28,7 +28,7 @@
      */
     fun tryTake(count: Int, now: MonotonicTime, reserve: Double = 0.0): Boolean {
         refill(now)
-        if (tokens < max(min(count.toDouble(), capacity * LARGE_TAKE_LEVEL), capacity * reserve)) return false
+        if (tokens < max(min(count.toDouble(), capacity * LARGE_TAKE_FRACTION), capacity * reserve)) return false
         tokens -= count
         return true
     }
@@ -57,6 +57,6 @@
     }
 
     private companion object {
-        const val LARGE_TAKE_LEVEL = 0.5
+        const val LARGE_TAKE_FRACTION = 0.5
     }
 }
--- a/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeLog.kt
@@ -87,7 +87,7 @@
             val record = job?.let { records.update(it, range.index) }
             if (job == null || record == null) {
                 dirtySince.remove(range)
-            } else if (packer.ready(job, range.index)) {
+            } else if (packer.isReady(job, range.index)) {
                 changes[range] = RecordCodec.encode(record)
             }
         }
--- a/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
@@ -173,7 +173,7 @@
             listOf("north.2 baton 11 generation 1: 0-47", "north.1 baton 6 generation 1: 48-111", "south.1 baton 10 generation 2: 112-159"),
             groups(page),
         )
-        assertEquals(listOf(2, 160, 2), listOf(page.lastGeneration, page.frontier, page.version))
+        assertEquals(listOf(2, 160, 2), listOf(page.lastGeneration, page.assignedEnd, page.version))
         assertTrue(page.preemptedForGuarantee.isEmpty)
     }
 
@@ -183,7 +183,7 @@
         val page = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
         assertEquals("0-15", TaskIndexRanges.format(page.preemptedForGuarantee))
         assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
-        assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.frontier, page.version))
+        assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.assignedEnd, page.version))
     }
 
     private fun groups(page: AssignmentRange) =
--- a/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
@@ -63,8 +63,8 @@
                 .toSet() - live.keys,
         )
         assertEquals("0-5", TaskIndexRanges.format(replica.jobs.getValue(JobId("job-1")).done))
-        assertEquals(JobStatus.DONE, replica.endOf(JobId("job-1"))?.status)
-        assertEquals(JobStatus.CANCELLED, replica.endOf(JobId("job-501"))?.status)
+        assertEquals(JobStatus.DONE, replica.endRecordOf(JobId("job-1"))?.status)
+        assertEquals(JobStatus.CANCELLED, replica.endRecordOf(JobId("job-501"))?.status)
     }
 
     @Test
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -38,7 +38,7 @@
         assertEquals("cg/now/block/north.0", Keys.shard(ShardName("north.0")))
         assertEquals("cg/now/images/north.0", Keys.images(ShardName("north.0")))
         assertEquals("cg/now/member/lorry-0", Keys.member(MemberId("lorry-0")))
-        assertEquals("cg/now/room/lorry-0", Keys.memberCapacity(MemberId("lorry-0")))
+        assertEquals("cg/now/room/lorry-0", Keys.peerStatus(MemberId("lorry-0")))
     }
 
     @Test
@@ -69,7 +69,7 @@
         is ParsedKey.Outcomes -> "Outcomes ${known.shard}"
         is ParsedKey.Shard -> "Block ${known.name}"
         is ParsedKey.Images -> "Images ${known.shard}"
-        is ParsedKey.MemberCapacity -> "Room ${known.id}"
+        is ParsedKey.PeerStatus -> "Room ${known.id}"
         is ParsedKey.Member -> "Member ${known.id}"
         ParsedKey.Leader -> "Leader"
     }
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -81,7 +81,7 @@
         ).start()
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
-        val value = Json.read(service.text(Keys.memberCapacity(SELF))!!.toByteArray())!!
+        val value = Json.read(service.text(Keys.peerStatus(SELF))!!.toByteArray())!!
         val recorded = PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
             recorded.shards
--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -40,7 +40,7 @@
 class ActionGuardTest {
     private class FakeAuthority(override var mayAct: Boolean = true, override var mayStart: Boolean = true) : ActionAuthority
 
-    private val free = JobId("job-1")
+    private val startable = JobId("job-1")
     private val cancelled = JobId("job-2")
     private val blocked = JobId("job-3")
     private val ended = JobId("job-4")
@@ -63,9 +63,9 @@
             val spec = SimSite.job(id.text.substringAfter('-').toInt(), tasks = 2)
             state.put(Keys.live(id), RecordCodec.encode(LiveRecord(spec, 0, cancelled, awaits)))
         }
-        live(free)
+        live(startable)
         live(cancelled, cancelled = true)
-        live(blocked, awaits = listOf(free))
+        live(blocked, awaits = listOf(startable))
         state.put(Keys.ended(ended), RecordCodec.encode(EndRecord(JobStatus.DONE, 2)))
         state.put(Keys.ended(cancelledAndEnded), RecordCodec.encode(EndRecord(JobStatus.CANCELLED, 0)))
         val group = AssignmentGroup(ShardName("north.0"), FencingToken(1), 1, BitSet().also { it.set(0) })
@@ -74,7 +74,7 @@
         val replica = Replica(loop, StateClient(loop, network.callerOf("node", loop), STATE, StateLimits(1e3, 1e3, 4.0, 12)))
         replica.start()
         sim.run(500.0)
-        listOf(ended, cancelledAndEnded).forEach { replica.readEnd(it) {} }
+        listOf(ended, cancelledAndEnded).forEach { replica.readEndRecord(it) {} }
         sim.run(500.0)
         return replica
     }
@@ -98,26 +98,26 @@
 
     @Test
     fun `why a task may not be started`() {
-        val refusals = listOf(free, cancelled, blocked, ended, cancelledAndEnded, unknown).map { guard.refusalToStart(TaskId(it, 0)) }
+        val refusals = listOf(startable, cancelled, blocked, ended, cancelledAndEnded, unknown).map { guard.refusalToStart(TaskId(it, 0)) }
         val expected =
             listOf(null, Refusal.JOB_CANCELLED, Refusal.JOB_BLOCKED, Refusal.JOB_ENDED, Refusal.JOB_ENDED, Refusal.UNKNOWN_JOB)
         assertEquals(expected, refusals)
         authority.mayStart = false
-        assertEquals(Refusal.STALE_SNAPSHOT, guard.refusalToStart(TaskId(free, 0)))
+        assertEquals(Refusal.STALE_SNAPSHOT, guard.refusalToStart(TaskId(startable, 0)))
         authority.mayAct = false
-        assertEquals(Refusal.NO_AUTHORITY, guard.refusalToStart(TaskId(free, 0)))
+        assertEquals(Refusal.NO_AUTHORITY, guard.refusalToStart(TaskId(startable, 0)))
     }
 
     @Test
     fun `a start that no path asked about is not sent`() {
-        val sent = guard.approveCommands(machine, listOf(start(cancelled), start(free), start(blocked)))
-        assertEquals(listOf<Command>(start(free)), sent)
+        val sent = guard.approveCommands(machine, listOf(start(cancelled), start(startable), start(blocked)))
+        assertEquals(listOf<Command>(start(startable)), sent)
         assertReported(Invariant.START_PERMITTED, Invariant.START_PERMITTED)
     }
 
     @Test
     fun `an answer that lacks required stops gets them`() {
-        val heartbeat = heartbeat(listOf(free, cancelled, ended, cancelledAndEnded, unknown))
+        val heartbeat = heartbeat(listOf(startable, cancelled, ended, cancelledAndEnded, unknown))
         val stops = guard.approveAnswer(heartbeat, emptyList()).map { it.task.job }
         assertEquals(listOf(cancelled, ended, cancelledAndEnded), stops)
         assertReported(Invariant.ANSWER_STOPS_ENDED_TASKS)
@@ -135,7 +135,7 @@
 
     @Test
     fun `a job that runs or may be on a machine is not ended`() {
-        val jobs = listOf(free, cancelled).map { replica.jobs.getValue(it) }
+        val jobs = listOf(startable, cancelled).map { replica.jobs.getValue(it) }
         assertEquals(
             1,
             replica.jobs
@@ -153,9 +153,9 @@
         assertTrue(guard.isCancelled(cancelledAndEnded))
         assertFalse(guard.isCancelled(ended))
         assertTrue(guard.isEndedOrCancelled(ended))
-        assertFalse(guard.isEndedOrCancelled(free))
+        assertFalse(guard.isEndedOrCancelled(startable))
         assertFalse(guard.isEndedOrCancelled(unknown))
-        assertNull(replica.endOf(unknown))
+        assertNull(replica.endRecordOf(unknown))
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -80,14 +80,14 @@
                     .toInt(),
                 tasks = 1,
                 priority = job.priority.wireName,
-                dueS = job.dueAtS,
+                dueS = job.dueAtSeconds,
             )
     }
 
     private fun id(number: Int) = JobId("job-$number")
 
-    private fun job(number: Int, vararg dependencies: Int, priority: Priority = Priority.NORMAL, dueAtS: Double? = null) =
-        PipelineJob(id(number), dependencies.map(::id).toSet(), priority, dueAtS)
+    private fun job(number: Int, vararg dependencies: Int, priority: Priority = Priority.NORMAL, dueAtSeconds: Double? = null) =
+        PipelineJob(id(number), dependencies.map(::id).toSet(), priority, dueAtSeconds)
 
     private fun statusByModel(model: PipelineModel, id: JobId): JobStatus = when {
         model.isDone(id) -> JobStatus.DONE
@@ -104,7 +104,7 @@
             assertEquals(model.isBlocked(id), job.blocked && !job.cancelled, "$id blocked")
             model.effectivePriority(id)?.let { assertEquals(it, job.spec?.priority, "$id priority") }
             if (!model.isDone(id) && !model.isAborted(id)) {
-                assertEquals(model.tightestDueS(id), job.deadline?.dueInSeconds(1.0, 0), "$id due")
+                assertEquals(model.tightestDueSeconds(id), job.deadline?.dueInSeconds(1.0, 0), "$id due")
             }
         }
     }
@@ -188,9 +188,9 @@
     @Test
     fun `what lies between a job and a deadline makes it due earlier`() {
         val records = Records(runSeconds = 10.0)
-        records.accept(job(1, dueAtS = 500.0))
+        records.accept(job(1, dueAtSeconds = 500.0))
         records.accept(job(2, 1))
-        records.accept(job(3, 2, priority = Priority.HIGH, dueAtS = 100.0))
+        records.accept(job(3, 2, priority = Priority.HIGH, dueAtSeconds = 100.0))
         val jobs = (1..3).map { records.jobs.getValue(id(it)) }
         assertEquals(listOf(80.0, 90.0, 100.0), jobs.map { it.deadline?.dueInSeconds(1.0, 0) })
         assertEquals(listOf(Priority.HIGH, Priority.HIGH, Priority.HIGH), jobs.map { it.spec?.priority })
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -23,7 +23,7 @@
     private val entryOf: (Job, Int) -> PackedEntry<*>?,
     private val encode: (Job, Int) -> ByteArray?,
 ) {
-    private val fullBytes = minOf(limits.valueBytes * FULL_LEVEL, MAX_RECORD_BYTES).toInt()
+    private val fullBytes = minOf(limits.valueBytes * FULL_FRACTION, MAX_RECORD_BYTES).toInt()
     private val recordsInFlight = HashSet<String>()
 
     /** Task ranges with a write in flight. An entry that is in no packed record yet must not go into a second one meanwhile. */
@@ -57,7 +57,7 @@
     }
 
     /** Whether no write is in flight that a write of this entry would have to wait for. */
-    fun ready(job: Job, rangeIndex: Int): Boolean =
+    fun isReady(job: Job, rangeIndex: Int): Boolean =
         TaskRange(job.id, rangeIndex) !in rangesInFlight && entryOf(job, rangeIndex)?.recordKey !in recordsInFlight
 
     /** The writes that bring about [changes], in their order; those of packed records in flight are left out. */
@@ -96,7 +96,7 @@
     }
 
     private fun hasCapacity(bytes: Int, range: TaskRange, entry: ByteArray) =
-        bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_LEVEL
+        bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_FRACTION
 
     private fun recordWithCapacity(range: TaskRange, entry: ByteArray, drafted: Map<String, Draft>): Draft {
         val known = replica.packedRecords.keys.firstOrNull {
@@ -140,8 +140,8 @@
 
     private companion object {
         const val MAX_RECORD_BYTES = 8 * 1024.0
-        const val FULL_LEVEL = 0.9
-        const val NEW_ENTRY_LEVEL = 0.75
+        const val FULL_FRACTION = 0.9
+        const val NEW_ENTRY_FRACTION = 0.75
         const val OVERHEAD_BYTES = 16
     }
 }
--- a/src/test/kotlin/copperglade/storage/PipelineModel.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModel.kt
@@ -10,7 +10,7 @@
     val dependencies: Set<JobId>,
     val priority: Priority = Priority.NORMAL,
     /** When it is due, in seconds of the model's clock; null where it has no deadline. */
-    val dueAtS: Double? = null,
+    val dueAtSeconds: Double? = null,
 )
 
 /**
@@ -66,8 +66,8 @@
         if (isDone(id) || isAborted(id)) null else pendingWithSuccessors(id).minOf { it.priority }
 
     /** The earliest deadline of a pending job and the pending ones that depend on it; null where there is none. */
-    fun tightestDueS(id: JobId): Double? =
-        if (isDone(id) || isAborted(id)) null else pendingWithSuccessors(id).mapNotNull { it.dueAtS }.minOrNull()
+    fun tightestDueSeconds(id: JobId): Double? =
+        if (isDone(id) || isAborted(id)) null else pendingWithSuccessors(id).mapNotNull { it.dueAtSeconds }.minOrNull()
 }
 
 /** Random pipelines and their histories, by seed. */
@@ -103,12 +103,12 @@
                     }
                 ).randomElement()
             }.toSet()
-        val dueAtS = if (random.nextInt(3) == 0) null else random.nextInt(1000).toDouble()
+        val dueAtSeconds = if (random.nextInt(3) == 0) null else random.nextInt(1000).toDouble()
         return PipelineJob(
             JobId("job-${FIRST_JOB + number}"),
             dependencies,
             Priority.entries[random.nextInt(Priority.entries.size)],
-            dueAtS,
+            dueAtSeconds,
         )
     }
 
--- a/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
@@ -15,9 +15,9 @@
 
     private fun diamond() = PipelineModel().apply {
         add(PipelineJob(id(1), emptySet(), Priority.LOW))
-        add(PipelineJob(id(2), setOf(id(1)), Priority.NORMAL, dueAtS = 50.0))
-        add(PipelineJob(id(3), setOf(id(1)), Priority.NORMAL, dueAtS = 80.0))
-        add(PipelineJob(id(4), setOf(id(2), id(3)), Priority.HIGH, dueAtS = 70.0))
+        add(PipelineJob(id(2), setOf(id(1)), Priority.NORMAL, dueAtSeconds = 50.0))
+        add(PipelineJob(id(3), setOf(id(1)), Priority.NORMAL, dueAtSeconds = 80.0))
+        add(PipelineJob(id(4), setOf(id(2), id(3)), Priority.HIGH, dueAtSeconds = 70.0))
     }
 
     @Test
@@ -47,13 +47,13 @@
     fun `priority and deadline are those of the most pressing pending job that needs it`() {
         val model = diamond()
         assertEquals(Priority.HIGH, model.effectivePriority(id(1)))
-        assertEquals(50.0, model.tightestDueS(id(1)))
-        assertEquals(70.0, model.tightestDueS(id(3)))
+        assertEquals(50.0, model.tightestDueSeconds(id(1)))
+        assertEquals(70.0, model.tightestDueSeconds(id(3)))
         model.markCancelled(id(4))
         assertEquals(Priority.NORMAL, model.effectivePriority(id(1)))
         assertNull(model.effectivePriority(id(4)))
         model.markCancelled(id(2))
-        assertEquals(80.0, model.tightestDueS(id(1)))
+        assertEquals(80.0, model.tightestDueSeconds(id(1)))
     }
 
     /** Checks one history of 30 jobs; returns how many of them were done. */
--- a/src/test/kotlin/copperglade/storage/RecordCodecTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordCodecTest.kt
@@ -27,11 +27,11 @@
             listOf(outcome.done, outcome.returned, outcome.restarted, outcome.version),
         )
         val assignments = RecordCodec.decodeAssignmentRange(
-            Json.read(RecordCodec.encode(AssignmentRange(emptyList(), bits(2), lastGeneration = 7, frontier = 5, version = 9)))!!,
+            Json.read(RecordCodec.encode(AssignmentRange(emptyList(), bits(2), lastGeneration = 7, assignedEnd = 5, version = 9)))!!,
         )
         assertEquals(
             listOf(bits(2), 7, 5, 9),
-            listOf(assignments.preemptedForGuarantee, assignments.lastGeneration, assignments.frontier, assignments.version),
+            listOf(assignments.preemptedForGuarantee, assignments.lastGeneration, assignments.assignedEnd, assignments.version),
         )
     }
 }
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -93,7 +93,7 @@
         /** A round of the former version; no write of another writer may be in flight. */
         fun formerStep() {
             service.limits = null
-            val changes = randomChanges { job, rangeIndex -> former.ready(job, rangeIndex) }
+            val changes = randomChanges { job, rangeIndex -> former.isReady(job, rangeIndex) }
             for (packedWrite in former.pack(changes.mapValues { RecordCodec.encode(it.value) })) {
                 val transaction = Transaction(packedWrite.conditions, packedWrite.writes)
                 former.markInFlight(packedWrite)
@@ -111,7 +111,7 @@
         fun pack(changes: Map<TaskRange, ByteArray>) = packer.pack(changes)
 
         fun step() {
-            val changes = randomChanges(packer::ready)
+            val changes = randomChanges(packer::isReady)
             for (packedWrite in packer.pack(changes.mapValues { RecordCodec.encode(it.value) })) {
                 assertTrue(packedWrite.write.value.size <= limits.valueBytes)
                 assertTrue(
@@ -140,12 +140,12 @@
             sim.run(sim.random.nextInt(12).toDouble())
         }
 
-        private fun randomChanges(ready: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
+        private fun randomChanges(isReady: (Job, Int) -> Boolean): Map<TaskRange, AssignmentRange> {
             val changes = LinkedHashMap<TaskRange, AssignmentRange>()
             repeat(1 + sim.random.nextInt(6)) {
                 val range = TaskRange(JobId("job-${sim.random.nextInt(jobs)}"), sim.random.nextInt(2))
                 val job = replica.jobs.getValue(range.job)
-                if (!ready(job, range.index)) return@repeat
+                if (!isReady(job, range.index)) return@repeat
                 val present = job.assignmentRanges[range.index]?.value ?: AssignmentRange.EMPTY
                 val tasks = BitSet().apply { repeat(1 + sim.random.nextInt(80)) { set(sim.random.nextInt(256)) } }
                 val group = AssignmentGroup(ShardName("zone.${sim.random.nextInt(9)}"), FencingToken(7), present.lastGeneration + 1, tasks)
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -51,7 +51,7 @@
     }
 
     /** Milliseconds until a user's change is answered, with [backlog] less urgent ones waiting for a small budget. */
-    private fun userWaitMs(backlog: WritePriority): List<Double> {
+    private fun userWaitMillis(backlog: WritePriority): List<Double> {
         val small = StateClient(loop, network.callerOf("small", loop), AT, StateLimits(1e6, 5.0, 4.0, 12))
         repeat(200) { small.commit(backlog, Transaction(emptyList(), listOf(set(it)))) {} }
         return List(20) {
@@ -67,7 +67,7 @@
     @Test
     fun `however small the budget is, a user's change finds some of it left by outcomes and clearing up`() {
         for (backlog in listOf(WritePriority.OUTCOME, WritePriority.CLEANUP)) {
-            val waits = userWaitMs(backlog)
+            val waits = userWaitMillis(backlog)
             assertTrue(waits.all { it in 0.0..30.0 }, "$backlog: $waits")
         }
     }
