--- a/src/main/kotlin/copperglade/storage/Assignment.kt
+++ b/src/main/kotlin/copperglade/storage/Assignment.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.FencingToken
 import copperglade.protocol.ShardName
 
-/** One task's assignment, which is neither done nor returned. See [AssignmentGroup]. */
+/** The assignment of one task that is neither done nor returned by its shard. See [AssignmentGroup]. */
 class Assignment(
     val task: Int,
     val shard: ShardName,
--- a/src/main/kotlin/copperglade/storage/AssignmentRange.kt
+++ b/src/main/kotlin/copperglade/storage/AssignmentRange.kt
@@ -7,18 +7,19 @@
 /**
  * Tasks that the leader assigned to a shard.
  *
- * @property fencingToken the shard's token at that time: an owner that still holds it knows that no other owner can have started these
- *   tasks.
- * @property generation tells repeated assignments of a task to the same shard apart.
+ * @property fencingToken the shard's fencing token at the assignment. While an owner holds this token, no other owner can have started
+ *   these tasks.
+ * @property generation distinguishes repeated assignments of a task to the same shard.
  */
 class AssignmentGroup(val shard: ShardName, val fencingToken: FencingToken, val generation: Int, val tasks: BitSet)
 
 /**
- * The assignments of a [TaskRange]. Only the leader writes it.
+ * The assignments of a [TaskRange]. Only the leader writes this record.
  *
- * @property lastGeneration the highest generation so far, though its group may be gone: if a generation were used again, an earlier
- *   return of a task would count for the new assignment.
- * @property assignedEnd the exclusive end of the task indices ever assigned: no task from this index on has ever been assigned, so none can have been returned either.
+ * @property lastGeneration the highest generation used so far, even if its group has been removed. If a generation were used again, an
+ *   earlier return of a task would count for the new assignment.
+ * @property assignedEnd the exclusive end of the task indices ever assigned. Tasks from this index on have never been assigned, so none
+ *   of them can have been returned.
  */
 class AssignmentRange(
     val groups: List<AssignmentGroup>,
--- a/src/main/kotlin/copperglade/storage/CatchUpOutcome.kt
+++ b/src/main/kotlin/copperglade/storage/CatchUpOutcome.kt
@@ -1,10 +1,10 @@
 package copperglade.storage
 
-/** How [Replica.catchUp] ended. */
+/** The result of [Replica.catchUp]. */
 sealed interface CatchUpOutcome {
-    /** The replica holds every change that was made before the call. */
+    /** The replica holds every change that was committed before the call. */
     data object Current : CatchUpOutcome
 
-    /** The state service did not answer, the replica is loading, or too many callers wait: the replica may be out of date. */
+    /** The state service did not answer, the replica is loading, or too many callers are waiting. The replica may be stale. */
     data object Unavailable : CatchUpOutcome
 }
--- a/src/main/kotlin/copperglade/storage/Change.kt
+++ b/src/main/kotlin/copperglade/storage/Change.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Revision
 
-/** A change of one key. */
+/** A change of one key in the state service. */
 internal sealed interface Change {
     val key: String
     val revision: Revision
@@ -12,12 +12,12 @@
     class Deleted(override val key: String, override val revision: Revision) : Change
 }
 
-/** The answer to a read of changes. */
+/** The result of a read of changes. */
 internal sealed interface ChangesOutcome {
-    /** All changes up to [storeRevision], in their order. */
+    /** All changes up to [storeRevision], in the order of their revisions. */
     class Received(val storeRevision: Revision, val changes: List<Change>) : ChangesOutcome
 
-    /** The service no longer has all the changes asked for: all keys have to be listed again. */
+    /** The service has discarded some of the requested changes, so the caller must list all keys again. */
     data object TooOld : ChangesOutcome
 
     data object Failed : ChangesOutcome
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -8,13 +8,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What a [ChangeReader] keeps current. */
+/** The replica that a [ChangeReader] keeps current. */
 internal interface ChangeTarget {
     val state: ReplicaState
     val knownRevision: Revision
     val jobCount: Int
 
-    /** Applies the changes of a read that began at [knownRevision] or earlier; ignores them while loading. */
+    /** Applies the changes of a read that began at [knownRevision] or earlier. Does nothing while the replica is loading. */
     fun apply(read: ChangesOutcome.Received)
 
     /** Starts loading all records again. */
@@ -22,12 +22,12 @@
 }
 
 /**
- * Reads changes from the state service: one watch, which is reopened after a pause because every opening costs a request, and reads
- * beside it for callers of [catchUp], many of which share one request.
+ * Reads changes from the state service. One watch is kept open; each opening costs a request, so the reader pauses before it reopens the
+ * watch. Callers of [catchUp] are served by additional reads, and many callers share one read.
  *
  * @param controllerCount the number of controllers that share the request budget.
- * @param idleRefreshInterval the age of the snapshot at which a read is sent though nobody has asked for one.
- * @param maxSnapshotAge the age of the snapshot at which failing reads lead to a reload: a read returns all changes in one answer of
+ * @param idleRefreshInterval the snapshot age at which a read is sent even without a caller of [catchUp].
+ * @param maxSnapshotAge the snapshot age at which repeated read failures trigger a reload. A read returns all changes in one answer of
  *   unbounded size, whereas a reload is paged.
  */
 internal class ChangeReader(
@@ -38,7 +38,7 @@
     private val idleRefreshInterval: Duration,
     private val maxSnapshotAge: Duration,
 ) {
-    /** The interval between requests at which all controllerCount together use half of the service's requests. */
+    /** The interval between requests at which all controllers together use half of the service's request budget. */
     val minRequestInterval = maxOf(MIN_INTERVAL, (controllerCount / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
     private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
     private var readInFlight = false
@@ -47,21 +47,21 @@
     private var applyDuration = Duration.ZERO
     private var consecutiveFailures = 0
 
-    /** When the latest successful read was sent: every change made before is known. */
+    /** When the latest successful read was sent. The replica holds every change committed before this time. */
     var snapshotTakenAt = MonotonicTime.NEVER
         private set
 
-    /** Starts refreshing idle snapshots; [watch] has to be called after each load. */
+    /** Starts to refresh idle snapshots. The caller must call [watch] after each load. */
     fun start() = loop.scheduleRepeating({ idleRefreshInterval }, ::refreshIfIdle)
 
-    /** An open watch doesn't say how old its silence is, so a read is sent after a while without one. */
+    /** A watch without events does not confirm that the snapshot is current, so a read is sent after [idleRefreshInterval]. */
     private fun refreshIfIdle() {
         if (loop.now() >= snapshotTakenAt + idleRefreshInterval && target.state == ReplicaState.CURRENT && !readInFlight) catchUp {}
     }
 
     /**
-     * Opens the watch. Callers of [catchUp] that wait already are served by the same request, which then returns at once: otherwise
-     * constant changes would take twice the requests.
+     * Opens the watch. If callers of [catchUp] are waiting, the same request serves them and returns at once. Otherwise, a constant
+     * stream of changes would cost twice as many requests.
      */
     fun watch() {
         if (target.state != ReplicaState.CURRENT) return
@@ -76,11 +76,11 @@
             is ChangesOutcome.Received -> loop.after(pause()) { watch() }
             ChangesOutcome.Failed ->
                 if (cannotCatchUp()) {
-                    reload("changes since ${target.knownRevision} can't be read")
+                    reload("changes since revision ${target.knownRevision} can't be read")
                 } else {
                     loop.after(RETRY_INTERVAL) { watch() }
                 }
-            ChangesOutcome.TooOld -> reload("the service no longer has the changes since ${target.knownRevision}")
+            ChangesOutcome.TooOld -> reload("the state service has discarded changes since revision ${target.knownRevision}")
         }
     }
 
@@ -108,7 +108,7 @@
         logRead(outcome, sentAt)
         if (outcome is ChangesOutcome.Received) target.apply(outcome)
         applyDuration = (loop.now().ms - receivedAt.ms).milliseconds
-        // Changes that arrive while loading aren't applied, so they must not make the snapshot look newer than it is.
+        // Changes received during a load aren't applied, so this read must not advance the snapshot's time.
         if (outcome is ChangesOutcome.Received && sentAt > snapshotTakenAt && target.state == ReplicaState.CURRENT) snapshotTakenAt = sentAt
     }
 
@@ -131,7 +131,7 @@
         )
     }
 
-    /** Whether reads have kept failing, though the service answers other requests, until the snapshot is too old to act on. */
+    /** Whether reads fail repeatedly although the service answers other requests, and the snapshot has reached [maxSnapshotAge]. */
     private fun cannotCatchUp() =
         consecutiveFailures >= MAX_FAILURES && loop.now() >= snapshotTakenAt + maxSnapshotAge && !store.isUnreachable()
 
@@ -145,7 +145,7 @@
         readIfRequested()
     }
 
-    /** Sends a read beside the open watch. While the watch is closed, its next opening serves the waiters. */
+    /** Sends a read for the waiters while the watch is open. While the watch is closed, its next opening serves the waiters. */
     fun readIfRequested() {
         if (readInFlight || !watchOpen || waiters.isEmpty() || target.state != ReplicaState.CURRENT) return
         readInFlight = true
@@ -153,7 +153,7 @@
         if (remainingMillis > 0) loop.after(remainingMillis.milliseconds) { readNow() } else readNow()
     }
 
-    /** The pause between requests: the longer the latest changes took to apply, the more the next read gathers. */
+    /** The pause between requests. It grows with the time that the latest changes took to apply, so that the next read batches more. */
     private fun pause(): Duration = maxOf(minRequestInterval, minOf(applyDuration * PAUSE_PER_APPLY_DURATION, MAX_PAUSE))
 
     private fun readNow() = read(takeWaiters(), Duration.ZERO) {
--- a/src/main/kotlin/copperglade/storage/DependencyGraph.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyGraph.kt
@@ -6,22 +6,24 @@
 import copperglade.protocol.Revision
 
 /**
- * Which jobs depend on which, and what follows from that: whether a job is blocked, released or aborted, and which priority and deadline
- * it inherits from the jobs that depend on it.
+ * The dependencies between jobs. The graph determines whether a job is blocked, released or aborted, and the priority and deadline that
+ * the job inherits from its dependents.
  *
- * Everything is derived from durable records alone, so that every controller comes to the same result, and a crash between the
- * cancellation of a job and the end records of its dependents leaves none of them out. A final outcome never changes: tasks recorded as
- * done stay done, and nothing becomes done after a cancelled mark. A mark counts only if every change up to it is known: while it is known
- * ahead of the watch, the job's last task may have been recorded before it.
+ * All state is derived from durable records alone, so every controller computes the same result. A crash between the cancellation of a job
+ * and the writes of its dependents' end records therefore leaves out no dependent.
  *
- * A job can name only jobs accepted before it, so the graph has no cycles. The cost of an update is proportional to the jobs that changed
- * and their neighbours in the graph.
+ * A final outcome never changes: tasks recorded as done stay done, and no task becomes done after the cancelled mark. A mark counts only
+ * once the replica holds every change up to the mark's revision. A mark received ahead of the watch may have been written after the job's
+ * last task was recorded as done.
  *
- * @param jobs the jobs as the replica has them.
- * @param endRecordOf the end record of a job, if it is known.
- * @param knownRevision the revision up to which all changes are known.
- * @param wallMillis the wall clock, in milliseconds.
- * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
+ * A job can depend only on jobs accepted before it, so the graph has no cycles. The cost of an update is proportional to the number of
+ * changed jobs and their neighbours in the graph.
+ *
+ * @param jobs the jobs in the replica.
+ * @param endRecordOf returns the end record of a job, or null if the record is not cached.
+ * @param knownRevision returns the revision up to which the replica holds all changes.
+ * @param wallMillis returns the wall-clock time in milliseconds.
+ * @param predictRunSeconds returns the predicted run time of a job's tasks in seconds.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, Job>,
@@ -34,21 +36,21 @@
     private val dependentsOf = HashMap<JobId, LinkedHashSet<JobId>>()
 
     /**
-     * By dependency, the outcome from which its dependents' states were last derived. A final outcome is kept even after the dependency's
-     * own records are gone.
+     * By dependency, the outcome from which the dependents' states were last derived. A final outcome is kept even after the dependency's
+     * own records have been deleted or evicted.
      */
     private val outcomes = HashMap<JobId, DependencyOutcome>()
 
-    /** When jobs with dependencies were first found released by this controller, in wall-clock milliseconds. */
+    /** When this controller first observed jobs with dependencies as released, in wall-clock milliseconds. */
     private val releasedAtMillis = HashMap<JobId, Long>()
 
     /** Whether any job depends on [id]. */
     internal fun hasDependents(id: JobId): Boolean = id in dependentsOf
 
-    /** Dependencies whose end records have to be looked up. */
+    /** Returns the dependencies whose end records must be read from the state service. */
     internal fun unknownDependencies(): List<JobId> = outcomes.filterValues { it == DependencyOutcome.UNKNOWN }.keys.toList()
 
-    /** Whether the state of [id] depends, directly or through other jobs, on one whose end record has not been looked up yet. */
+    /** Whether [id] depends, directly or through other jobs, on a job whose end record has not been read yet. */
     fun hasUnknownDependencies(id: JobId): Boolean {
         val queue = ArrayDeque(listOf(id))
         val visited = HashSet<JobId>()
@@ -61,7 +63,7 @@
         return false
     }
 
-    /** How [id] ended, according to the records known here. */
+    /** Returns the outcome of [id] according to the replica and the cached end records. */
     fun outcomeOf(id: JobId): DependencyOutcome {
         outcomes[id]?.takeIf { it.final }?.let { return it }
         val job = jobs[id]?.takeIf { it.live != null } ?: return endedOutcome(id)
@@ -80,7 +82,7 @@
 
     private fun isCancellationConfirmed(job: Job): Boolean = job.live?.value?.cancelled ?: false && !job.isCancelledAfter(knownRevision())
 
-    /** Applies that the records of [changes] have changed; returns the jobs whose state, priority or deadline has changed with them. */
+    /** Updates the graph after the records of [changes] have changed. Returns the jobs whose state, priority or deadline changed. */
     internal fun update(changes: Collection<JobId>): Set<JobId> {
         val relevant = changes.filter { it in dependentsOf || it in dependenciesOf || hasDependencies(it) }
         if (relevant.isEmpty()) return emptySet()
@@ -97,7 +99,7 @@
         return changed
     }
 
-    /** Rebuilds the graph after all jobs were loaded again. Final outcomes are kept. */
+    /** Rebuilds the graph after a reload of all jobs. Final outcomes are kept. */
     internal fun rebuild() {
         dependenciesOf.clear()
         dependentsOf.clear()
@@ -170,7 +172,7 @@
         }
     }
 
-    /** Sets the highest priority and the tightest deadline of [job] and its unfinished dependents; returns whether that changes anything. */
+    /** Gives [job] the highest priority and tightest deadline of itself and its unfinished dependents. Returns whether either changed. */
     private fun inheritUrgency(job: Job): Boolean {
         val submitted = job.live?.value?.spec ?: return false
         var priority = submitted.priority
--- a/src/main/kotlin/copperglade/storage/DependencyState.kt
+++ b/src/main/kotlin/copperglade/storage/DependencyState.kt
@@ -1,20 +1,20 @@
 package copperglade.storage
 
-/** The state of a job's dependencies. Moves from [BLOCKED] to one of the others, and never back. */
+/** The state of a job's dependencies. The state moves from [BLOCKED] to [RELEASED] or [ABORTED] and never changes again. */
 enum class DependencyState {
-    /** Some dependency isn't known to be done, and none is known to be aborted. */
+    /** At least one dependency is not confirmed as done, and none is confirmed as aborted. */
     BLOCKED,
 
-    /** All dependencies are done: the job may be scheduled. */
+    /** All dependencies are done, so the job may be scheduled. */
     RELEASED,
 
-    /** A dependency was cancelled, and with it the job. */
+    /** A dependency was cancelled, which aborts the job too. */
     ABORTED,
 }
 
-/** How a dependency ended, according to the records known here. */
+/** The outcome of a dependency according to the replica and the cached end records. */
 enum class DependencyOutcome(val final: Boolean) {
-    /** The job is neither live nor known to have ended: its end record has to be looked up. */
+    /** The job is not live and its end record is not cached; the record must be read from the state service. */
     UNKNOWN(false),
     OPEN(false),
     DONE(true),
--- a/src/main/kotlin/copperglade/storage/EndRecordCache.kt
+++ b/src/main/kotlin/copperglade/storage/EndRecordCache.kt
@@ -6,11 +6,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The ends of jobs that are over: the most recently used of them are cached, the others are looked up in the state service.
+ * A cache of the end records of jobs, with the least recently used records evicted first. Evicted records are read from the state service.
  *
- * @param retryInterval the interval between attempts to look up while the budget for reads is used up.
- * @param maxCached how many ends are cached.
- * @param onRead called when an end has been read that was not cached.
+ * @param retryInterval the interval between attempts to send queued reads while the request budget is exhausted.
+ * @param maxCached the maximum number of cached end records.
+ * @param onRead called after an end record has been read from the state service.
  */
 internal class EndRecordCache(
     private val loop: EventLoop,
@@ -23,22 +23,24 @@
         override fun removeEldestEntry(eldest: MutableMap.MutableEntry<JobId, EndRecord>?) = size > maxCached
     }
 
-    /** Look-ups that have not been sent, with their callers, in the order of asking. */
+    /** Reads that have not been sent, with their callers, in the order of the calls. */
     private val queued = LinkedHashMap<JobId, ArrayList<(ReadOutcome) -> Unit>>()
     private var retryScheduled = false
     private var loadStarted = false
 
     operator fun get(id: JobId): EndRecord? = cached[id]
 
-    /** Remembers an end record, unless it is malformed. */
+    /** Caches an end record. A malformed record is ignored. */
     fun cache(id: JobId, record: EncodedRecord) {
         cached[id] = record.ended() ?: return
     }
 
     /**
-     * Reads the end of a job from the service, in the order of asking. What is found is cached even if the caller no longer waits,
-     * so that its next request is answered at once: otherwise some jobs would get no answer for minutes after a restart. Calls back with
-     * [ReadOutcome.Failed] at once where the queue is full.
+     * Reads the end record of a job from the state service; reads are sent in the order of the calls. Calls back with
+     * [ReadOutcome.Failed] at once if the queue is full.
+     *
+     * A record is cached even if the user's request has timed out, so that a retry is answered at once. Otherwise, requests for some jobs
+     * would get no answer for minutes after a restart.
      */
     fun read(id: JobId, done: (ReadOutcome) -> Unit) {
         val callers = queued[id]
@@ -55,7 +57,7 @@
     private fun sendQueued() {
         while (queued.isNotEmpty() && store.hasReadBudget()) {
             val (id, callers) = queued.entries.first()
-            // Later callers aren't served by this read: its answer may be older than their question.
+            // Later callers need a read of their own, because the answer to this one may predate their call.
             queued.remove(id)
             store.read(Keys.ended(id)) { outcome -> received(id, outcome, callers) }
         }
@@ -75,7 +77,7 @@
         callers.forEach { it(outcome) }
     }
 
-    /** Loads the ends that users may ask for, once after the start: as many as are cached, page by page. */
+    /** Fills the cache once after the start, page by page, because users may ask for jobs that ended before. */
     fun loadOnce() {
         if (loadStarted) return
         loadStarted = true
@@ -106,12 +108,12 @@
         private const val MAX_CALLERS_PER_JOB = 8
         private val LOAD_INTERVAL = 1.seconds
 
-        /** The approximate memory of a cached end with its id. */
+        /** The approximate memory of a cached end record and its job id. */
         private const val BYTES_PER_END_RECORD = 200
         private const val HEAP_FRACTION = 16
         const val MIN_CACHED = 10_000
 
-        /** How many ends fit into a sixteenth of a heap of [heapBytes]; at least [MIN_CACHED]. */
+        /** Returns how many end records fit into a sixteenth of a heap of [heapBytes], at least [MIN_CACHED]. */
         fun maxEndRecordsFor(heapBytes: Long): Int =
             (heapBytes / HEAP_FRACTION / BYTES_PER_END_RECORD).coerceIn(MIN_CACHED.toLong(), Int.MAX_VALUE.toLong()).toInt()
     }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -8,8 +8,8 @@
 import java.util.BitSet
 
 /**
- * What the state service holds of one job that has not ended, and what follows from that. Also stands for a job that has ended, or whose
- * live record isn't known yet, while packed records have entries of it: then [live] is null.
+ * The records of one job that has not ended, and the state derived from them. While packed records hold entries of a job that has ended,
+ * or whose live record has not been received yet, the object exists too, and [live] is null.
  */
 class Job(val id: JobId) {
     var live: StoredRecord<LiveRecord>? = null
@@ -22,66 +22,66 @@
     private var scheduledSpec: JobSpec? = null
     private var releasedAtMillis: Long? = null
 
-    /** Set by [DependencyGraph]; until then a job with dependencies is blocked. */
+    /** Set by [DependencyGraph]. Until it is set, a job with dependencies is blocked. */
     var dependencyState = DependencyState.BLOCKED
         private set
     private val assignmentEntries = HashMap<Int, PackedEntry<AssignmentRange>>()
     private val outcomeEntries = HashMap<ShardTaskRange, PackedEntry<OutcomeRecord>>()
 
-    /** The result of [assignments], or null after a change. */
+    /** The cached result of [assignments], or null after a change. */
     private var assigned: List<Assignment>? = null
 
-    /** Tasks that are done; never shrinks. */
+    /** The tasks that are done. Tasks are only ever added. */
     val done = BitSet()
 
-    /** By index of the task range. */
+    /** The assignments, by index of the task range. */
     val assignmentRanges: Map<Int, PackedEntry<AssignmentRange>> get() = assignmentEntries
     val outcomes: Map<ShardTaskRange, PackedEntry<OutcomeRecord>> get() = outcomeEntries
 
-    /** The job as it is scheduled: as submitted, with the priority that it inherits from its dependents. */
+    /** The job as the scheduler uses it: the submitted spec with the priority inherited from the job's dependents. */
     val spec: JobSpec? get() = scheduledSpec
 
-    /** Jobs that had to be done before it when it was accepted. */
+    /** The jobs that this job depends on and that were not done when this job was accepted. */
     val dependencies: List<JobId> get() = live?.value?.dependencies.orEmpty()
 
-    /** Whether a dependency is not done yet: no task may be assigned, and the job doesn't count as demand. */
+    /** Whether a dependency is not done yet. No task of a blocked job may be assigned, and the job doesn't count as demand. */
     val blocked: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.BLOCKED
 
-    /** The deadline set by its user, if any. */
+    /** The deadline set by the job's user, if any. */
     val ownDeadline: Deadline?
         get() = live?.value?.let { record -> record.spec.deadlineSeconds?.let { Deadline(record.spec.load, record.acceptedAtMillis, it) } }
 
-    /** The tightest of its own deadline and those inherited from its dependents. */
+    /** The earliest of the job's own deadline and those inherited from its dependents. */
     val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
 
-    /** When it could first have been started, in wall-clock milliseconds: at its acceptance, or at the end of its last dependency. */
+    /** When the job became startable, in wall-clock milliseconds: at its acceptance, or at the end of its last dependency. */
     val startableSinceMillis: Long get() = releasedAtMillis ?: live?.value?.acceptedAtMillis ?: 0
 
-    /** Whether shard owners have recorded that it fails wherever it runs, and no task has been done since. */
+    /** Whether a shard owner has recorded that the job fails on every machine, and no task of the job is done. */
     val failing: Boolean get() = done.isEmpty && outcomeEntries.values.any { it.value.failing }
 
-    /** How many of its tasks should run now: all that are not done, or one as a trial where it is [failing]. */
+    /** The number of tasks that should run now: all tasks that are not done, or a single trial task if the job is [failing]. */
     val wantedTasks: Int get() = spec?.let { if (failing) FAILING_JOB_TRIALS else it.tasks - done.cardinality() } ?: 0
 
-    /** Whether no record of it is left. */
+    /** Whether the replica holds no record of the job any more. */
     val hasNoRecords: Boolean get() = live == null && assignmentRanges.isEmpty() && outcomes.isEmpty()
 
     /** Whether all tasks are done. */
     val complete: Boolean get() = spec?.let { it.tasks == done.cardinality() } ?: false
 
-    /** Whether it was cancelled itself, or a dependency was. */
+    /** Whether the job or one of its dependencies was cancelled. */
     val cancelled: Boolean get() = live?.value?.cancelled ?: false || abortedByDependency
 
-    /** Whether a dependency was cancelled. */
+    /** Whether a dependency was cancelled, which aborts this job. */
     val abortedByDependency: Boolean get() = dependencies.isNotEmpty() && dependencyState == DependencyState.ABORTED
 
-    /** Sets the state of its dependencies. Only [DependencyGraph] calls it. */
+    /** Sets the state of the job's dependencies. Only [DependencyGraph] calls this function. */
     internal fun setDependencyState(state: DependencyState, releasedAtMillis: Long?) {
         dependencyState = state
         this.releasedAtMillis = releasedAtMillis
     }
 
-    /** Sets what it inherits from its dependents; returns whether that changes anything. Only [DependencyGraph] calls it. */
+    /** Sets the inherited priority and deadline; returns whether either changed. Only [DependencyGraph] calls this function. */
     internal fun inherit(priority: Priority, deadline: Deadline?): Boolean {
         val submitted = live?.value?.spec ?: return false
         val before = this.deadline
@@ -93,13 +93,13 @@
         return true
     }
 
-    /** Sets or, with null, removes the assignments of a task range. */
+    /** Sets the assignments of a task range; null removes them. */
     internal fun setAssignmentRange(rangeIndex: Int, entry: PackedEntry<AssignmentRange>?) {
         assigned = null
         if (entry == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = entry
     }
 
-    /** Sets or, with null, removes the outcomes of a task range in a shard. Tasks that were done stay done. */
+    /** Sets the outcomes of a task range in a shard; null removes them. Tasks that were done stay done. */
     internal fun setOutcome(range: ShardTaskRange, entry: PackedEntry<OutcomeRecord>?) {
         assigned = null
         if (entry == null) outcomeEntries.remove(range) else outcomeEntries[range] = entry
@@ -107,8 +107,8 @@
     }
 
     /**
-     * The status that users see. Done takes precedence over cancelled: the cancelled mark changes the live record's revision, which is a
-     * condition of every write of done tasks. So nothing becomes done after the mark, and neither status is ever taken back.
+     * Returns the status reported to users. Done takes precedence over cancelled. The cancelled mark changes the live record's revision,
+     * which is a condition of every write of done tasks, so no task becomes done after the mark. Neither status is ever revoked.
      */
     fun status(): JobStatus = when {
         complete -> JobStatus.DONE
@@ -117,7 +117,7 @@
         else -> JobStatus.QUEUED
     }
 
-    /** Assigned tasks that are neither done nor returned: all that may be on a machine. Cached until a record changes. */
+    /** Returns the assigned tasks that are neither done nor returned. Only these may be on a machine. Cached until a record changes. */
     fun assignments(): List<Assignment> = assigned ?: computeAssignments().also { assigned = it }
 
     private fun computeAssignments(): List<Assignment> {
@@ -138,15 +138,15 @@
         return found
     }
 
-    /** Whether [task] has been restarted elsewhere as a straggler. */
+    /** Whether [task] has been restarted on another machine as a straggler. */
     fun wasRestarted(task: Int): Boolean = outcomeEntries.any { (range, entry) ->
         range.index == task / Keys.TASKS_PER_RANGE && entry.value.restarted.get(task)
     }
 
-    /** Whether it was cancelled with a newer revision than [revision]. */
+    /** Whether the job was cancelled at a newer revision than [revision]. */
     fun isCancelledAfter(revision: Revision): Boolean = live?.let { it.value.cancelled && it.revision > revision } ?: false
 
-    /** The revision of its live record, or [Revision.ABSENT]. */
+    /** Returns the revision of the job's live record, or [Revision.ABSENT] if there is none. */
     fun liveRevision(): Revision = live?.revision ?: Revision.ABSENT
 
     private companion object {
--- a/src/main/kotlin/copperglade/storage/JobRecords.kt
+++ b/src/main/kotlin/copperglade/storage/JobRecords.kt
@@ -7,12 +7,12 @@
 /**
  * An accepted job that has not ended.
  *
- * @property cancelled the mark of a cancellation, which is never taken back.
- * @property dependencies jobs that have to be done before it and were not when it was accepted.
+ * @property cancelled the cancelled mark, which is never removed.
+ * @property dependencies the jobs that this job depends on and that were not done when this job was accepted.
  */
 class LiveRecord(val spec: JobSpec, val acceptedAtMillis: Long, val cancelled: Boolean, val dependencies: List<JobId> = emptyList()) {
     fun withCancelledMark() = LiveRecord(spec, acceptedAtMillis, cancelled = true, dependencies)
 }
 
-/** How a job ended. It takes the live record's place and never changes. */
+/** The final status of a job. The end record replaces the live record and never changes. */
 class EndRecord(val status: JobStatus, val tasksDone: Int)
--- a/src/main/kotlin/copperglade/storage/JobTable.kt
+++ b/src/main/kotlin/copperglade/storage/JobTable.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.JobId
 
-/** The jobs of which any live record is known. Each change marks its job in the [ReplicaChanges] of the round. */
+/** The jobs for which the replica holds at least one record. Each change adds its job to the [ReplicaChanges] of the round. */
 internal class JobTable {
     private val jobs = HashMap<JobId, Job>()
 
@@ -10,13 +10,13 @@
 
     fun find(id: JobId): Job? = jobs[id]
 
-    /** The job, created where there is none. */
+    /** Returns the job [id], and creates it if there is none. */
     fun getOrCreate(id: JobId, changes: ReplicaChanges): Job {
         changes.jobs += id
         return jobs.getOrPut(id) { Job(id) }
     }
 
-    /** Applies [change] to the job if there is one, and removes the job once it has no records left. */
+    /** Applies [change] to the job [id] if there is one, and removes the job once it has no records. */
     inline fun edit(id: JobId, changes: ReplicaChanges, change: (Job) -> Unit) {
         val job = jobs[id] ?: return
         changes.jobs += id
--- a/src/main/kotlin/copperglade/storage/OutcomeRecord.kt
+++ b/src/main/kotlin/copperglade/storage/OutcomeRecord.kt
@@ -3,10 +3,10 @@
 import java.util.BitSet
 
 /**
- * The outcomes of a [TaskRange]'s tasks in one shard. Only the shard's owner writes it.
+ * The outcomes of a [TaskRange]'s tasks in one shard. Only the shard's owner writes this record.
  *
- * @property returned by generation, the tasks that certainly run on no machine of the shard any more and may be assigned again.
- * @property failing whether the shard's owner has found that the job fails on whichever machine it runs.
+ * @property returned by generation, the tasks that are confirmed absent from all machines of the shard and may be assigned again.
+ * @property failing whether the shard's owner has observed that the job fails on every machine.
  */
 class OutcomeRecord(
     val done: BitSet,
--- a/src/main/kotlin/copperglade/storage/PackedEntries.kt
+++ b/src/main/kotlin/copperglade/storage/PackedEntries.kt
@@ -2,12 +2,12 @@
 
 import copperglade.protocol.ShardName
 
-/** Where the entries of one kind of packed record are kept in their jobs. */
+/** Access to the entries of one kind of packed record, which are stored in their jobs. */
 internal interface PackedEntries {
-    /** The entry of a task range as it is known, or null. */
+    /** Returns the entry of a task range in [job], or null if there is none. */
     fun find(job: Job, rangeIndex: Int): PackedEntry<out Versioned>?
 
-    /** Decodes [entry] and stores it. Throws where it is malformed; then nothing is stored. */
+    /** Decodes and stores [entry]. Throws, and stores nothing, if [entry] is malformed. */
     fun set(job: Job, rangeIndex: Int, entry: EncodedEntry, recordKey: String)
 
     fun remove(job: Job, rangeIndex: Int)
--- a/src/main/kotlin/copperglade/storage/ParsedKey.kt
+++ b/src/main/kotlin/copperglade/storage/ParsedKey.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.ShardName
 
-/** What record a key of the state service names. */
+/** The record that a key in the state service identifies. */
 internal sealed interface ParsedKey {
     data object Leader : ParsedKey
 
--- a/src/main/kotlin/copperglade/storage/RecentRate.kt
+++ b/src/main/kotlin/copperglade/storage/RecentRate.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.secondsSince
 import kotlin.math.exp
 
-/** The rate of events per second, weighted exponentially over about [windowSeconds] seconds. */
+/** The rate of events per second, as an exponentially weighted average with a time constant of [windowSeconds] seconds. */
 internal class RecentRate(private val windowSeconds: Double) {
     private var weightedCount = 0.0
     private var updatedAt = MonotonicTime.NEVER
--- a/src/main/kotlin/copperglade/storage/RecordCodec.kt
+++ b/src/main/kotlin/copperglade/storage/RecordCodec.kt
@@ -22,8 +22,8 @@
 import java.util.BitSet
 
 /**
- * Records as JSON values. The field names are short, since there are many small values. Decoding functions return null where a required
- * field is missing, and those of packed records' entries throw.
+ * Encodes records as JSON and decodes them. Field names are short, because there are many small values. If a required field is missing,
+ * decoding functions return null; those for entries of packed records throw.
  */
 object RecordCodec {
     fun encode(record: LiveRecord): ByteArray = Json.write {
@@ -32,7 +32,7 @@
             JobSpecCodec.write(this, record.spec)
             writeNumberField("at", record.acceptedAtMillis)
             if (record.cancelled) writeBooleanField("cancelled", true)
-            // Left out where empty, as earlier versions do.
+            // An empty list is omitted, as in earlier versions.
             if (record.dependencies.isNotEmpty()) {
                 writeJsonArray(JobSpecCodec.DEPENDENCIES) { record.dependencies.forEach { writeString(it.text) } }
             }
@@ -83,7 +83,7 @@
                 writeJsonObject("b") { record.returned.forEach { (generation, tasks) -> ranges(generation.toString(), tasks) } }
             }
             ranges("x", record.restarted)
-            // Left out where false, as earlier versions do.
+            // False is omitted, as in earlier versions.
             if (record.failing) writeBooleanField("m", true)
             version(record)
         }
@@ -97,7 +97,7 @@
         return OutcomeRecord(node.ranges("d"), returned, node.ranges("x"), versionOf(node), node.booleanOrNull("m") ?: false)
     }
 
-    /** A packed record: its encoded entries under the names of their task ranges. */
+    /** Encodes a packed record: an object whose fields are named after task ranges and hold the encoded [entries]. */
     fun encodePackedRecord(entries: Map<TaskRange, ByteArray>): ByteArray = Json.write {
         writeJsonObject {
             for ((range, entry) in entries) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** The version of an entry of a packed record. */
+    /** Returns the version of an entry of a packed record. */
     internal fun versionOf(node: JsonNode): Int = node.get("v").asInt()
 
     private fun JsonGenerator.version(record: Versioned) = writeNumberField("v", record.version)
@@ -150,7 +150,7 @@
 
     internal fun decodeMember(node: JsonNode): MemberRecord? = node.longOrNull("inc")?.let { MemberRecord(Incarnation(it)) }
 
-    /** A peer status that goes through the state service, with the same bytes as between controllers. */
+    /** Encodes a peer status for the state service; [status] holds the same bytes as a direct message between controllers. */
     fun encodePeerStatus(status: ByteArray): ByteArray = Json.write { writeJsonObject { writeBinaryField("note", status) } }
 
     internal fun decodePeerStatus(node: JsonNode): ByteArray? = try {
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -3,25 +3,27 @@
 import copperglade.protocol.Revision
 import org.slf4j.LoggerFactory
 
-/** The write of one packed record, its condition, and the task ranges whose entries it changes. */
+/** The write of one packed record, the write's condition, and the task ranges whose entries change. */
 class PackedWrite(val packer: RecordPacker, val condition: Condition, val write: Write.Set, val ranges: Set<TaskRange>)
 
 /**
- * Packs changed entries into as few values as the service's limit allows, because the write budget counts keys and not bytes.
+ * Packs changed entries into as few values as the state service's value limit allows, because the write budget counts keys, not bytes.
  *
- * A changed entry stays in its packed record while that has capacity. Otherwise it is written to another packed record, like an entry
- * that is in none yet, and the former record isn't changed: the entry that is left there has a lower version, so every reader takes the
- * new one, in whatever order it sees the two. An entry may thus be in two packed records but never in none, because a packed record is
- * rewritten without an entry only once the entry is known to be in another. Entries left behind, and those of jobs that have ended, go
- * with the next rewrite: nothing has to be deleted, and no move takes more than one write.
+ * A changed entry stays in its packed record while the record has capacity. Otherwise the entry moves: it is written to another packed
+ * record, like a new entry, and the previous record isn't changed. The stale copy in the previous record has a lower version, so every
+ * reader uses the new entry, regardless of the order in which it reads the two records.
  *
- * After the limit was lowered, packed records may be larger than a value may be now. They stay readable, and aren't written while their
- * current entries exceed the limit: each of these entries moves when it changes. So a packed record is written only if it fits both
- * before and after the change, and [rewriteUnchanged] can always write it as it was.
+ * An entry may thus be in two packed records, but never in none: a packed record is rewritten without an entry only after the replica
+ * holds the entry in another record. Stale copies and entries of ended jobs are dropped by the next rewrite of their record, so nothing
+ * has to be deleted, and a move never takes more than one write.
  *
- * @param prefix the prefix of the packed records' keys; all of them have the same single writer.
- * @param entryOf an entry of a job as the replica has it, by index of the task range.
- * @param encode the same entry encoded.
+ * After the value limit was lowered, some packed records may exceed the new limit. Such a record stays readable, but isn't written while
+ * its current entries exceed the limit; each of these entries moves when the entry changes. So a packed record is written only if the
+ * record fits both before and after the change, and [rewriteUnchanged] can always write the record's current entries.
+ *
+ * @param prefix the key prefix of the packed records, all of which have the same single writer.
+ * @param entryOf returns an entry of a job in the replica, by index of the task range.
+ * @param encode returns the same entry encoded.
  */
 class RecordPacker(
     private val replica: Replica,
@@ -35,15 +37,15 @@
     private val recordsInFlight = HashSet<String>()
 
     /**
-     * Task ranges with a write in flight. An entry that is in no packed record yet must not go into a second one meanwhile: if both
-     * writes were applied, the older one could be taken for the entry, and finished tasks would run again.
+     * Task ranges with a write in flight. A new entry must not be written to a second packed record during that time: if both writes
+     * were applied, readers could use the older entry, and finished tasks would run again.
      */
     private val rangesInFlight = HashSet<TaskRange>()
 
-    /** Task ranges whose entries were logged as too large. */
+    /** Task ranges whose entries have already been logged as too large. */
     private val loggedTooLarge = HashSet<TaskRange>()
 
-    /** A packed record as it would be written: its current entries, with changes. */
+    /** The pending content of a packed record: its current entries with changes applied. */
     private inner class Draft(val key: String) {
         private val entries = LinkedHashMap<TaskRange, ByteArray>()
         val changed = HashSet<TaskRange>()
@@ -57,10 +59,10 @@
             }
         }
 
-        /** Whether the packed record may be written at all: its current entries fit into a value. */
+        /** Whether the packed record may be written: its current entries must fit into a value. */
         private val writable = bytes <= valueBytes
 
-        /** Whether the packed record, which has an entry of [range], still fits into a value with [entry] in its place. */
+        /** Whether the packed record still fits into a value after its entry of [range] is replaced by [entry]. */
         fun fitsWith(range: TaskRange, entry: ByteArray): Boolean {
             val after = bytes - (entries[range]?.let { sizeOf(range, it.size) } ?: 0) + sizeOf(range, entry.size)
             val isOnlyEntry = entries.keys.all { it == range }
@@ -84,16 +86,16 @@
         }
     }
 
-    /** Whether no write is in flight that a write of this entry would have to wait for. */
+    /** Whether a write of this entry can be packed now, because no write in flight blocks it. */
     fun isReady(job: Job, rangeIndex: Int): Boolean =
         TaskRange(job.id, rangeIndex) !in rangesInFlight && entryOf(job, rangeIndex)?.recordKey !in recordsInFlight
 
-    /** Whether a value can hold [entry] at all. */
+    /** Whether a value can hold [entry] as its only entry. */
     fun fitsValue(range: TaskRange, entry: ByteArray): Boolean = OVERHEAD_BYTES + sizeOf(range, entry.size) <= valueBytes
 
     /**
-     * The writes that bring about [changes], in their order; each changed entry must have a higher version than the present one.
-     * Left out are entries that have to wait for a write in flight, and those that no value can hold.
+     * Returns the writes that apply [changes], in the order of the changes. Each changed entry must have a higher version than the current
+     * entry. Entries that must wait for a write in flight, and entries too large for any value, are left out.
      */
     fun pack(changes: Map<TaskRange, ByteArray>): List<PackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
@@ -112,8 +114,9 @@
     }
 
     /**
-     * Rewrites the packed record of [write] with its current entries, only to change its revision, so that no late copy of [write] can
-     * be applied. They fit into a value, as they did when [write] was made: nobody else has written the record since.
+     * Returns a write of the packed record of [write] with the record's current entries. The rewrite only changes the record's revision, so
+     * that a delayed copy of [write] can't be applied. The entries fit into a value, as they did when [write] was packed, because no other
+     * writer has changed the record since.
      */
     internal fun rewriteUnchanged(write: PackedWrite): PackedWrite = Draft(write.write.key).write()
 
@@ -135,7 +138,7 @@
     private fun hasCapacity(bytes: Int, range: TaskRange, entry: ByteArray) =
         bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_FRACTION
 
-    /** The size of a packed record's current entries. */
+    /** Returns the size in bytes of a packed record's current entries. */
     private fun bytesOf(key: String): Int {
         var sum = OVERHEAD_BYTES
         for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
@@ -147,19 +150,19 @@
 
     private fun sizeOf(range: TaskRange, bytes: Int) = range.job.text.length + bytes + OVERHEAD_BYTES
 
-    /** [write] is about to be sent: nothing that depends on its outcome is packed until [clearInFlight]. */
+    /** Must be called before [write] is sent. No entry that depends on the outcome of [write] is packed until [clearInFlight]. */
     fun markInFlight(write: PackedWrite) {
         recordsInFlight += write.write.key
         rangesInFlight += write.ranges
     }
 
-    /** The outcome of [write] is known, and what it changed is in the replica. */
+    /** Must be called once the outcome of [write] is known and the replica holds the changes of [write]. */
     fun clearInFlight(write: PackedWrite) {
         recordsInFlight -= write.write.key
         rangesInFlight -= write.ranges
     }
 
-    /** No earlier write can be applied any more. */
+    /** Must be called only when no earlier write can be applied any more. */
     fun clearAllInFlight() {
         recordsInFlight.clear()
         rangesInFlight.clear()
@@ -167,14 +170,14 @@
     }
 
     private companion object {
-        /** Packed records are read and written whole: larger ones would cost more processor time than they save writes. */
+        /** Packed records are read and written as a whole. Larger records would cost more CPU time than the saved writes are worth. */
         const val MAX_RECORD_BYTES = 8 * 1024.0
         const val FULL_FRACTION = 0.9
 
-        /** Entries grow after they were packed, so a packed record gets new entries only up to this part of its full size. */
+        /** Entries grow after they are packed, so a packed record accepts new entries only up to this fraction of its full size. */
         const val NEW_ENTRY_FRACTION = 0.75
 
-        /** An upper bound on the bytes around a record and around each of its entries. */
+        /** An upper bound on the encoding overhead of a record, and of each entry, in bytes. */
         const val OVERHEAD_BYTES = 16
         val log = LoggerFactory.getLogger("storage")
     }
--- a/src/main/kotlin/copperglade/storage/RecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/RecordTable.kt
@@ -6,14 +6,14 @@
 import copperglade.protocol.Revision
 import copperglade.protocol.ShardName
 
-/** Called for each end record that a change brings. */
+/** Called for each end record received in a change. */
 internal fun interface EndRecordListener {
     fun ended(id: JobId, record: EncodedRecord, changes: ReplicaChanges)
 }
 
 /**
- * The live records, and how changes are applied to them. Changes may come in any order and more than once, from the watch, from reads
- * and from this controller's own transactions: the one with the highest revision of a key wins.
+ * The live records, and the application of changes to them. Changes may arrive in any order and more than once: from the watch, from reads
+ * and from this controller's own transactions. For each key, the change with the highest revision wins.
  */
 internal class RecordTable(private val onEnded: EndRecordListener) {
     val jobs = JobTable()
@@ -25,11 +25,11 @@
     var leader: StoredRecord<LeaderRecord>? = null
         private set
 
-    /** All changes up to this revision are known. */
+    /** The table holds all changes up to this revision. */
     var knownRevision = Revision.ABSENT
         private set
 
-    /** Revisions of deletions after [knownRevision]: a late change must not bring the deleted record back. */
+    /** Revisions of deletions after [knownRevision]. A delayed change must not restore a deleted record. */
     private val deletions = HashMap<String, Revision>()
 
     fun clear() {
@@ -42,7 +42,7 @@
         deletions.clear()
     }
 
-    /** All records of a listing that began at [revision] have been put. */
+    /** Must be called once all records of a listing that began at [revision] have been put. */
     fun loadedAt(revision: Revision) {
         knownRevision = revision
     }
@@ -50,7 +50,7 @@
     /** Applies the changes of a read that began at an earlier [knownRevision]. */
     fun apply(read: ChangesOutcome.Received, changes: ReplicaChanges) {
         for (change in read.changes) {
-            // Known already: the answer to a read from before a reload must not bring back what has been deleted since.
+            // Already applied. The answer to a read sent before a reload must not restore records deleted since.
             if (change.revision <= knownRevision) continue
             when (change) {
                 is Change.Set -> put(change.key, change.value, change.revision, changes)
@@ -61,7 +61,7 @@
         deletions.values.removeIf { it <= knownRevision }
     }
 
-    /** Applies a record that was written with [revision]. A malformed record counts as not written. */
+    /** Applies a record that was written at [revision]. Malformed records are ignored. */
     fun put(key: String, record: EncodedRecord, revision: Revision, changes: ReplicaChanges) {
         if (deletions[key]?.let { it >= revision } == true) return
         when (val parsed = decoded { Keys.parse(key) }) {
@@ -94,7 +94,7 @@
         if (revision > job.liveRevision()) decoded { record.live() }?.let { job.live = StoredRecord(it, revision) }
     }
 
-    /** Applies the deletion of a record with [revision]. */
+    /** Applies the deletion of a record at [revision]. */
     fun delete(key: String, revision: Revision, changes: ReplicaChanges) {
         if (revision > knownRevision) deletions[key] = revision
         when (val parsed = decoded { Keys.parse(key) }) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /** What [decode] reads, or null where the key or record is malformed. */
+    /** Returns the result of [decode], or null if the key or record is malformed. */
     private fun <T : Any> decoded(decode: () -> T?): T? = Decoding.orNull("record", decode)
 
     private fun isNewer(revision: Revision, present: StoredRecord<*>?) = present == null || revision > present.revision
