--- a/src/main/kotlin/copperglade/membership/SessionLease.kt
+++ b/src/main/kotlin/copperglade/membership/SessionLease.kt
@@ -58,7 +58,7 @@
             onRenewed(sentAt)
             LeaseOpening.Granted(outcome.leaseId)
         }
-        LeaseOutcome.Extended, LeaseOutcome.Gone, LeaseOutcome.Failed -> LeaseOpening.Failed
+        LeaseOutcome.Extended, LeaseOutcome.NoSuchLease, LeaseOutcome.Failed -> LeaseOpening.Failed
     }
 
     /** Extends the lease. [onOutcome] is not called without a lease, or if the lease was ended or replaced in the meantime. */
@@ -73,7 +73,7 @@
             onRenewed(sentAt)
             LeaseExtension.Extended
         }
-        LeaseOutcome.Gone -> {
+        LeaseOutcome.NoSuchLease -> {
             leaseId = null
             LeaseExtension.Lost
         }
--- a/src/main/kotlin/copperglade/tasks/OutcomeWriter.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeWriter.kt
@@ -92,7 +92,7 @@
             val record = job?.let { recordBuilder.update(it, range.index) }
             if (job == null || record == null) {
                 dirtySince.remove(range)
-            } else if (packer.ready(job, range.index)) {
+            } else if (packer.isReady(job, range.index)) {
                 changes[range] = RecordCodec.encode(record)
             }
         }
