--- a/src/main/kotlin/copperglade/agents/MachineHistory.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHistory.kt
@@ -8,7 +8,7 @@
 class MachineHistory(private val profiles: ProfileStore, private val failureEvidence: FailureEvidence) {
     /** Drops the history of [machine], which was removed from its shard. */
     fun remove(machine: MachineName) {
-        profiles.forgetMachine(machine)
+        profiles.removeMachine(machine)
         failureEvidence.removeMachine(machine)
     }
 }
