--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -65,7 +65,7 @@
         val stops = guard.requiredStops(heartbeat)
         val approved = guard.approveAnswer(heartbeat, stops + commands.withoutStopsIn(stops))
         audit.recordCommands(heartbeat.machine, state.fencingToken, approved, channel = "answer")
-        audit.recordAnswer(heartbeat.machine, state.fencingToken, stops.size)
+        audit.recordHeartbeatReply(heartbeat.machine, state.fencingToken, stops.size)
         return WorkerMessageCodec.encodeHeartbeatReply(state.fencingToken, approved)
     }
 
--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -15,7 +15,7 @@
     /** Records the run time of [run], which has just completed on [machine]; no effect for services and for runs not seen running. */
     fun record(run: Run, machine: Machine) {
         val runningSince = run.runningSince ?: return
-        val seconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
+        val seconds = (clock.now().millis - runningSince.millis) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
         run.stragglerRunSeconds?.let {
             log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, seconds, it)
@@ -24,7 +24,7 @@
     }
 
     private fun factors(run: Run, machine: Machine) =
-        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+        TaskFactors(run.task.job, run.spec.workloadClass, machine.typeName, run.spec.request, machine.runs.size)
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -98,7 +98,7 @@
             maxCatchUp = stalenessLimit,
             EndedJobs.maxEndsFor(heapBytes),
         ) { spec ->
-            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
+            profiles.expectedRunSeconds(spec.id, spec.workloadClass, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
--- a/src/main/kotlin/copperglade/controller/LeaderLoop.kt
+++ b/src/main/kotlin/copperglade/controller/LeaderLoop.kt
@@ -24,7 +24,7 @@
     fun start() = loop.scheduleRepeating(::interval) {
         val startedAt = loop.now()
         metrics.measure("round", ::round)
-        lastRoundDuration = (loop.now().ms - startedAt.ms).milliseconds
+        lastRoundDuration = (loop.now().millis - startedAt.millis).milliseconds
     }
 
     /** The longer a round takes, the later the next one, and the more it decides: the loop keeps time for everything else. */
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -34,7 +34,7 @@
             member = membership.self,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
+            stateServiceAnswerAgeMillis = loop.now().millis - store.lastAnswerAt.millis,
             isLeader = leading,
             shards = ownedShards.capacities(),
             shardsToRelease = if (leading) shardAssigner.shardsToRelease else emptyList(),
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -24,7 +24,7 @@
     private val settings: AutoscalerSettings,
 ) {
     private val liveness = MachineLiveness(types, reports)
-    private val level = DemandLevel(settings.operatorSettings.scaleInHysteresisReplacements)
+    private val demandLevel = DemandLevel(settings.operatorSettings.scaleInHysteresisReplacements)
     private val scaleOut = ScaleOut(cloud, types)
     private val scaleIn = ScaleIn(replica, types, settings)
 
@@ -40,7 +40,7 @@
         cloud.reset()
         machinesToRetire = emptyList()
         liveness.reset()
-        level.reset()
+        demandLevel.reset()
     }
 
     private fun round() {
@@ -49,7 +49,7 @@
         val capacities = reports.capacities()
         liveness.recordReported(capacities.keys, now)
         val replacementSeconds = replacementSeconds()
-        level.update(DemandEstimate.of(replica.jobs.values, settings.teams), replacementSeconds, now)
+        demandLevel.update(DemandEstimate.of(replica.jobs.values, settings.teams), replacementSeconds, now)
         if (!cloud.isListed) return
         cloud.deleteDead(now) { liveness.isDead(it, now) }
         if (mayLackRentedMachines()) return
@@ -58,7 +58,7 @@
 
     /** Whether the list may still lack what a former leader has just rented. There was none in a cluster that has just started. */
     private fun mayLackRentedMachines(): Boolean =
-        leadership.leadingForSeconds < cloud.settlingSeconds && replica.knownRevision.number > LAST_REVISION_OF_NEW_CLUSTER
+        leadership.leadingForSeconds < cloud.rentalListingDelaySeconds && replica.knownRevision.number > LAST_REVISION_OF_NEW_CLUSTER
 
     /**
      * How long it takes until a machine rented now can do the work of one deleted now: its boot and the fetch of an image, on the
@@ -74,7 +74,10 @@
     private fun scale(now: MonotonicTime, capacities: Map<MachineName, MachineAvailability>, replacementSeconds: Double) {
         cloud.removeNeverListed(now)
         val inventory = inventory(now, capacities)
-        val target = Demand(level.onDemandCpus * settings.operatorSettings.headroom, level.spotCpus * settings.operatorSettings.headroom)
+        val target = Demand(
+            demandLevel.onDemandCpus * settings.operatorSettings.headroom,
+            demandLevel.spotCpus * settings.operatorSettings.headroom,
+        )
         val isShort = scaleOutFor(target, inventory, now)
         scaleOutForConstraints(capacities, inventory, now)
         machinesToRetire =
--- a/src/main/kotlin/copperglade/fleet/CloudMachines.kt
+++ b/src/main/kotlin/copperglade/fleet/CloudMachines.kt
@@ -39,7 +39,7 @@
     val isListed: Boolean get() = listing.completedAt != MonotonicTime.NEVER
 
     /** For how long the list may lack machines that a former leader has just rented. */
-    val settlingSeconds: Double get() = 2 * listLagSeconds
+    val rentalListingDelaySeconds: Double get() = 2 * listLagSeconds
 
     /** The kinds of machines that are rented and not listed yet, one entry a machine. */
     internal val unlisted: List<MachineKind> get() = rental.unlisted
@@ -53,7 +53,7 @@
     /** Forgets what a former leadership term has left, which is out of date. */
     fun reset() {
         listing.invalidate()
-        rental.forgetUnlisted()
+        rental.clearUnlisted()
     }
 
     private fun onListed() {
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -26,13 +26,13 @@
     fun of(jobs: Collection<Job>, teams: Map<TeamName, Team>): Demand {
         val quotas = QuotaUsage(teams)
         var demand = Demand.NONE
-        var largestTrial = Demand.NONE
+        var largestTrialDemand = Demand.NONE
         for (job in jobs.filter { it.live != null }.sortedBy { it.live?.value?.acceptedAtMillis }) {
             val spec = job.spec ?: continue
             if (!isActive(job)) continue
             if (job.failing) {
-                val trial = demandOf(spec, spec.request.cpus)
-                if (trial.cpus > largestTrial.cpus) largestTrial = trial
+                val trialDemand = demandOf(spec, spec.request.cpus)
+                if (trialDemand.cpus > largestTrialDemand.cpus) largestTrialDemand = trialDemand
                 continue
             }
             val wantedCpus = job.wantedTasks * spec.request.cpus * concurrentFraction(job, spec)
@@ -41,7 +41,7 @@
             demand += demandOf(spec, cpus)
         }
         // The trial of a failing job uses machines that are there for others; it gets one of its own only if nothing else is wanted.
-        return demand.takeIf { it.cpus > 0.0 } ?: largestTrial
+        return demand.takeIf { it.cpus > 0.0 } ?: largestTrialDemand
     }
 
     /** CPUs of tasks that could start at once if there were capacity: not yet assigned, and within their teams' quotas. */
--- a/src/main/kotlin/copperglade/fleet/MachineListing.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineListing.kt
@@ -91,7 +91,7 @@
         page.machines.forEach { listing.machines[it.name] = it }
         listing.pages++
         val last = page.machines.lastOrNull()
-        if (page.more && last != null) requestPage(listing, last.name.text) else complete(listing)
+        if (page.hasMore && last != null) requestPage(listing, last.name.text) else complete(listing)
     }
 
     /** Requests a page again that failed, so that the pages read before it are not lost; abandons the listing after some failures. */
--- a/src/main/kotlin/copperglade/fleet/MachineRental.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineRental.kt
@@ -60,7 +60,7 @@
         unlistedMachines.values.removeIf { now >= it.rentedAt + timeout }
     }
 
-    fun forgetUnlisted() = unlistedMachines.clear()
+    fun clearUnlisted() = unlistedMachines.clear()
 
     private fun send(request: RentalRequest, retries: Int) {
         val kind = request.kind
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -106,7 +106,7 @@
     private fun onAccepted(record: LiveRecord, transaction: Transaction, revision: Revision, responder: Responder) {
         val spec = record.spec
         replica.applyCommitted(transaction, revision)
-        log.debug("job_accepted job={} tasks={} load={}", spec.id, spec.tasks, spec.load)
+        log.debug("job_accepted job={} tasks={} load={}", spec.id, spec.tasks, spec.workloadClass)
         val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
         responder.send(Reply(HttpStatus.CREATED, UserApiCodec.encodeStatus(spec.id, status)))
     }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -76,7 +76,7 @@
         get() {
             if (!mayAct) return 0
             val ownershipUntil = maxOf(lease.aliveUntil, leaseEndorsement.endorsedUntil)
-            return minOf(ownershipUntil, replica.readTime + limits.staleness).ms - loop.now().ms
+            return minOf(ownershipUntil, replica.readTime + limits.staleness).millis - loop.now().millis
         }
 
     /**
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -46,7 +46,7 @@
 
     /** Whether a peer that we hear has had an answer of the state service lately: it, or whom it knows, takes our shards over. */
     fun peersReachStateService(): Boolean = peers.any { peer ->
-        recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SILENCE_LIMIT_MILLIS } ?: false
+        recentDirect(peer.member)?.let { it.stateServiceAnswerAgeMillis < STATE_SILENCE_LIMIT_MILLIS } ?: false
     }
 
     /** Whether there are peers, and none of them is heard. */
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -47,16 +47,16 @@
                 machine,
                 token,
                 channel,
-                basis(command.task.job),
+                jobContext(command.task.job),
             )
         }
     }
 
     /** A heartbeat of [machine] is answered with 200, which renews its lease; the answer carries [stops] stop commands. */
-    fun recordAnswer(machine: MachineName, token: FencingToken, stops: Int) {
+    fun recordHeartbeatReply(machine: MachineName, token: FencingToken, stops: Int) {
         count("heartbeat_answered")
         if (log.isDebugEnabled) {
-            log.debug("heartbeat_answered machine={} fencing_token={} stops={} {}", machine, token, stops, authority())
+            log.debug("heartbeat_answered machine={} fencing_token={} stops={} {}", machine, token, stops, authorityContext())
         }
     }
 
@@ -70,32 +70,32 @@
     fun recordDroppedRun(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
         count(if (onMachine) "run_dropped_on_machine" else "run_dropped")
         if (!log.isDebugEnabled) return
-        log.debug("run_dropped task={} state={} machine={} on_machine={} {}", task, state, machine, onMachine, basis(task.job))
+        log.debug("run_dropped task={} state={} machine={} on_machine={} {}", task, state, machine, onMachine, jobContext(task.job))
     }
 
     /** The leader asks the state service to end [job]. */
     fun recordJobEnd(job: JobId) {
         count("job_end_requested")
-        if (log.isDebugEnabled) log.debug("job_end_requested job={} {}", job, basis(job))
+        if (log.isDebugEnabled) log.debug("job_end_requested job={} {}", job, jobContext(job))
     }
 
     /** A waiting task is not started, for another reason than before. */
     fun recordRefusal(task: TaskId, refusal: Refusal) {
         count("start_refused_${refusal.name.lowercase()}")
-        if (log.isDebugEnabled) log.debug("start_refused task={} reason={} {}", task, refusal, basis(task.job))
+        if (log.isDebugEnabled) log.debug("start_refused task={} reason={} {}", task, refusal, jobContext(task.job))
     }
 
     private fun count(event: String) {
         counts.merge(event, 1, Int::plus)
     }
 
-    private fun authority(): String {
-        val recordsAgeMillis = loop.now().ms - replica.readTime.ms
+    private fun authorityContext(): String {
+        val recordsAgeMillis = loop.now().millis - replica.readTime.millis
         return "records_age_ms=$recordsAgeMillis revision=${replica.knownRevision} " +
             "authority_ms=${membership.authorityRemainingMillis} replica=${replica.state}"
     }
 
-    private fun basis(id: JobId): String {
+    private fun jobContext(id: JobId): String {
         val job = replica.jobs[id]
         val state = when {
             job?.live == null -> replica.endOf(id)?.status?.name ?: "UNKNOWN"
@@ -103,12 +103,12 @@
             job.dependencies.isEmpty() -> "FREE"
             else -> job.dependencyState.name
         }
-        return "job_state=$state job_revision=${job?.liveRevision()} ${authority()}"
+        return "job_state=$state job_revision=${job?.liveRevision()} ${authorityContext()}"
     }
 
     private fun logCounts() {
         val countsByEvent = counts.entries.joinToString(" ") { (event, count) -> "$event=$count" }
-        log.info("action_counts violations={} {} {}", violations.total, authority(), countsByEvent)
+        log.info("action_counts violations={} {} {}", violations.total, authorityContext(), countsByEvent)
         counts.clear()
     }
 
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -33,7 +33,7 @@
     private var intervalStartedAt = loop.now()
 
     /** Logs at intervals, from now on. */
-    fun start() = loop.scheduleRepeating({ INTERVAL }, ::report)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::logUsage)
 
     /** Runs [action] and counts its time under [kind], also where it throws. Times of nested actions count under both kinds. */
     fun measure(kind: String, action: () -> Unit) {
@@ -62,8 +62,8 @@
         .substringBefore('/')
         .substringBefore('?')
 
-    private fun report() {
-        val intervalSeconds = (loop.now().ms - intervalStartedAt.ms) / MILLIS_PER_SECOND
+    private fun logUsage() {
+        val intervalSeconds = (loop.now().millis - intervalStartedAt.millis) / MILLIS_PER_SECOND
         intervalStartedAt = loop.now()
         if (intervalSeconds <= 0.0) return
         for ((kind, usage) in usageByKind) {
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -14,19 +14,19 @@
     private var unavailableAnswers = 0
 
     /** Logs at intervals, from now on. */
-    fun start() = loop.scheduleRepeating({ INTERVAL }, ::report)
+    fun start() = loop.scheduleRepeating({ INTERVAL }, ::logLatency)
 
     /** A responder that also records the time from now to the answer, which it passes on to [responder]. */
     fun timed(responder: Responder): Responder {
         val startedAt = loop.now()
         return Responder { reply: Reply ->
-            histogram.recordValue((loop.now().ms - startedAt.ms).coerceIn(0, MAX_MILLIS))
+            histogram.recordValue((loop.now().millis - startedAt.millis).coerceIn(0, MAX_MILLIS))
             if (reply.status == HttpStatus.SERVICE_UNAVAILABLE) unavailableAnswers++
             responder.send(reply)
         }
     }
 
-    private fun report() {
+    private fun logLatency() {
         if (histogram.totalCount == 0L) return
         log.info(
             "request_latency kind={} answers={} unavailable={} p50_ms={} p99_ms={} max_ms={}",
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -154,7 +154,7 @@
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
-                    .thenByDescending { it.runningSince?.ms ?: Long.MAX_VALUE },
+                    .thenByDescending { it.runningSince?.millis ?: Long.MAX_VALUE },
             )
         for (victim in preemptible) {
             if (run.spec.request.fitsIn(free)) break
--- a/src/main/kotlin/copperglade/placement/ShardSummary.kt
+++ b/src/main/kotlin/copperglade/placement/ShardSummary.kt
@@ -53,7 +53,7 @@
             spot = machine.spot,
             usable = health.isUsable(machine, now),
             worthKeeping = health.isWorthKeeping(machine, now),
-            idleMillis = if (machine.isEmpty) now.ms - machine.idleSince.ms else 0,
+            idleMillis = if (machine.isEmpty) now.millis - machine.idleSince.millis else 0,
             free = free,
             preemptible = machine.runs.preemptibleCapacity().byPriority,
             images = machine.cachedImages,
--- a/src/main/kotlin/copperglade/placement/StragglerDetector.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerDetector.kt
@@ -89,17 +89,17 @@
     /** Whether it has run for longer than its job's tasks do on average (section 6.1). */
     private fun isStraggler(run: Run, now: MonotonicTime): Boolean {
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return false)
-        val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return false
+        val averageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.workloadClass) ?: return false
         return elapsedSeconds > averageSeconds * stragglerFactor
     }
 
     private fun assess(run: Run, machines: Collection<Machine>, free: Map<MachineName, Resources>, now: MonotonicTime): StragglerRestart? {
         val source = run.machine ?: return null
         val elapsedSeconds = now.secondsSince(run.runningSince ?: return null)
-        val jobAverageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.load) ?: return null
+        val jobAverageSeconds = profiles.averageRunSeconds(run.task.job, run.spec.workloadClass) ?: return null
         // On a slow machine less of the task is done than the elapsed time says.
         val doneSeconds = elapsedSeconds * profiles.speedOf(source.name)
-        val similarTasks = profiles.similarTasks(run.spec.load, doneSeconds)
+        val similarTasks = profiles.similarTasks(run.spec.workloadClass, doneSeconds)
         val prediction = profiles.predict(source.name, factors(source, run, source.runs.size), similarTasks) ?: return null
         val progress = Progress(elapsedSeconds, jobAverageSeconds, prediction.averageSeconds - elapsedSeconds)
         val options = possibleTargets(run, source, machines, free).mapNotNull { restartOption(run, it, similarTasks) }
@@ -140,7 +140,7 @@
     }
 
     private fun factors(machine: Machine, run: Run, neighbours: Int) =
-        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, neighbours)
+        TaskFactors(run.task.job, run.spec.workloadClass, machine.typeName, run.spec.request, neighbours)
 
     private fun logVerdict(verdict: RestartVerdict<MachineName>, run: Run, source: Machine, progress: Progress, options: Int) =
         when (verdict) {
--- a/src/main/kotlin/copperglade/protocol/CloudMachines.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudMachines.kt
@@ -33,5 +33,5 @@
     val ageSeconds: Double,
 )
 
-/** A page of the cloud's list of machines; [more] tells whether others follow. */
-class MachinePage(val machines: List<ListedMachine>, val more: Boolean)
+/** A page of the cloud's list of machines; [hasMore] tells whether others follow. */
+class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -26,7 +26,7 @@
 /**
  * A job as its user described it.
  *
- * @property load the workload class that objectives and predictions go by.
+ * @property workloadClass the workload class that objectives and predictions go by.
  * @property request what each task takes.
  * @property types the machine types that its tasks may run on; null: any.
  * @property zone the zone that its tasks must run in; null: any.
@@ -39,7 +39,7 @@
  */
 data class JobSpec(
     val id: JobId,
-    val load: String,
+    val workloadClass: String,
     val team: TeamName,
     val kind: JobKind,
     val priority: Priority,
--- a/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
@@ -12,50 +12,50 @@
     private const val MAX_TEXT_LENGTH = 200
 
     /** Ends the reading of a submission; never leaves this codec. */
-    private class Refused(val error: InvalidField) : Exception(null, null, false, false)
+    private class InvalidFieldException(val error: InvalidField) : Exception(null, null, false, false)
 
     /** Reads a user's submission; bytes that aren't a JSON object in UTF-8 are invalid. */
     fun decodeSubmission(bytes: ByteArray): ParsedSubmission {
         val root = Json.readStrict(bytes)
         return Decoding.orNull("submission") { parse(root) }
-            ?: ParsedSubmission.Invalid(InvalidField("body", "malformed"), root?.let(::idOf))
+            ?: ParsedSubmission.Invalid(InvalidField("body", "malformed"), root?.let(::readIdOrNull))
     }
 
     /** Reads a job from its parsed wire form. */
     fun parse(root: JsonNode?): ParsedSubmission = try {
-        if (root == null || !root.isObject) refuse("body", "not a JSON object")
-        ParsedSubmission.Valid(read(root), dependencies(root))
-    } catch (refused: Refused) {
-        ParsedSubmission.Invalid(refused.error, root?.let(::idOf))
+        if (root == null || !root.isObject) reject("body", "not a JSON object")
+        ParsedSubmission.Valid(readJobSpec(root), readDependencies(root))
+    } catch (exception: InvalidFieldException) {
+        ParsedSubmission.Invalid(exception.error, root?.let(::readIdOrNull))
     }
 
-    private fun idOf(root: JsonNode): JobId? = root.takeIf { it.isObject }?.stringOrNull("nameId")?.let { JobId.parse(it) }
-
-    private fun read(root: JsonNode): JobSpec = JobSpec(
-        id = JobId.parse(text(root, "nameId")) ?: refuse("nameId", "not of the form job-000412"),
-        load = text(root, "load"),
-        team = TeamName(text(root, "crew")),
-        kind = choice(root, "haul", listOf(JobKind.ARRAY, JobKind.SERVICE)) { it.wireName },
-        priority = choice(root, "urgency", Priority.entries) { it.wireName },
-        tasks = taskCount(root),
-        request = Resources(amount(root, "vcpus"), amount(root, "gpus"), amount(root, "memoryGb")),
-        image = Image(ImageName(text(root, "manifest")), amount(root, "pullGb")),
-        types = types(root),
-        zone = if (root.fieldOrNull("depot") == null) null else text(root, "depot"),
-        oneZone = flag(root, "oneZone"),
-        spread = flag(root, "spread"),
-        spotAllowed = flag(root, "borrowed"),
-        estimatedSeconds = amount(root, "etaS"),
-        checkpointIntervalSeconds = amount(root, "waypointS"),
-        checkpointSeconds = amount(root, "unloadS"),
-        deadlineSeconds = if (root.fieldOrNull("dueS") == null) null else amount(root, "dueS"),
+    private fun readIdOrNull(root: JsonNode): JobId? = root.takeIf { it.isObject }?.stringOrNull("nameId")?.let { JobId.parse(it) }
+
+    private fun readJobSpec(root: JsonNode): JobSpec = JobSpec(
+        id = JobId.parse(readString(root, "nameId")) ?: reject("nameId", "not of the form job-000412"),
+        workloadClass = readString(root, "load"),
+        team = TeamName(readString(root, "crew")),
+        kind = readEnum(root, "haul", listOf(JobKind.ARRAY, JobKind.SERVICE)) { it.wireName },
+        priority = readEnum(root, "urgency", Priority.entries) { it.wireName },
+        tasks = readTaskCount(root),
+        request = Resources(readNumber(root, "vcpus"), readNumber(root, "gpus"), readNumber(root, "memoryGb")),
+        image = Image(ImageName(readString(root, "manifest")), readNumber(root, "pullGb")),
+        types = readTypes(root),
+        zone = if (root.fieldOrNull("depot") == null) null else readString(root, "depot"),
+        oneZone = readBoolean(root, "oneZone"),
+        spread = readBoolean(root, "spread"),
+        spotAllowed = readBoolean(root, "borrowed"),
+        estimatedSeconds = readNumber(root, "etaS"),
+        checkpointIntervalSeconds = readNumber(root, "waypointS"),
+        checkpointSeconds = readNumber(root, "unloadS"),
+        deadlineSeconds = if (root.fieldOrNull("dueS") == null) null else readNumber(root, "dueS"),
     )
 
     /** Writes [spec] as [parse] reads it; its dependencies are not part of it. */
     fun write(out: JsonGenerator, spec: JobSpec) = with(out) {
         writeJsonObject {
             writeStringField("nameId", spec.id.text)
-            writeStringField("load", spec.load)
+            writeStringField("load", spec.workloadClass)
             writeStringField("crew", spec.team.text)
             writeStringField("haul", spec.kind.wireName)
             writeStringField("urgency", spec.priority.wireName)
@@ -77,46 +77,46 @@
         }
     }
 
-    private fun refuse(field: String, problem: String): Nothing = throw Refused(InvalidField(field, problem))
+    private fun reject(field: String, problem: String): Nothing = throw InvalidFieldException(InvalidField(field, problem))
 
-    private fun text(root: JsonNode, name: String): String {
-        val value = root.stringOrNull(name) ?: refuse(name, "missing or not a string")
-        if (value.isEmpty() || value.length > MAX_TEXT_LENGTH) refuse(name, "empty or too long")
+    private fun readString(root: JsonNode, name: String): String {
+        val value = root.stringOrNull(name) ?: reject(name, "missing or not a string")
+        if (value.isEmpty() || value.length > MAX_TEXT_LENGTH) reject(name, "empty or too long")
         return value
     }
 
-    private fun flag(root: JsonNode, name: String): Boolean =
-        root.booleanOrNull(name) ?: refuse(name, "missing or not true or false")
+    private fun readBoolean(root: JsonNode, name: String): Boolean =
+        root.booleanOrNull(name) ?: reject(name, "missing or not true or false")
 
-    private fun amount(root: JsonNode, name: String): Double {
-        val value = root.doubleOrNull(name) ?: refuse(name, "missing or not a number")
-        if (!value.isFinite() || value < 0.0 || value > MAX_AMOUNT) refuse(name, "out of range")
+    private fun readNumber(root: JsonNode, name: String): Double {
+        val value = root.doubleOrNull(name) ?: reject(name, "missing or not a number")
+        if (!value.isFinite() || value < 0.0 || value > MAX_AMOUNT) reject(name, "out of range")
         return value
     }
 
-    private fun taskCount(root: JsonNode): Int {
-        val value = root.longOrNull("boxes") ?: refuse("boxes", "missing or not an integer")
-        if (value !in 1..MAX_TASKS) refuse("boxes", "not between 1 and $MAX_TASKS")
+    private fun readTaskCount(root: JsonNode): Int {
+        val value = root.longOrNull("boxes") ?: reject("boxes", "missing or not an integer")
+        if (value !in 1..MAX_TASKS) reject("boxes", "not between 1 and $MAX_TASKS")
         return value.toInt()
     }
 
-    private fun types(root: JsonNode): List<String>? {
+    private fun readTypes(root: JsonNode): List<String>? {
         val value = root.fieldOrNull("fleets") ?: return null
-        if (!value.isArray || value.any { !it.isTextual }) refuse("fleets", "not a list of strings")
+        if (!value.isArray || value.any { !it.isTextual }) reject("fleets", "not a list of strings")
         return value.map { it.textValue() }
     }
 
-    private fun dependencies(root: JsonNode): List<JobId> {
+    private fun readDependencies(root: JsonNode): List<JobId> {
         val value = root.fieldOrNull(DEPENDENCIES) ?: return emptyList()
-        if (!value.isArray) refuse(DEPENDENCIES, "not a list of job ids")
+        if (!value.isArray) reject(DEPENDENCIES, "not a list of job ids")
         val ids = value.map { element ->
-            element.takeIf { it.isTextual }?.let { JobId.parse(it.textValue()) } ?: refuse(DEPENDENCIES, "not a list of job ids")
+            element.takeIf { it.isTextual }?.let { JobId.parse(it.textValue()) } ?: reject(DEPENDENCIES, "not a list of job ids")
         }
         return ids.distinct()
     }
 
-    private fun <T> choice(root: JsonNode, name: String, among: List<T>, wireName: (T) -> String): T {
-        val value = text(root, name)
-        return among.firstOrNull { wireName(it) == value } ?: refuse(name, "unknown value")
+    private fun <T> readEnum(root: JsonNode, name: String, values: List<T>, wireName: (T) -> String): T {
+        val value = readString(root, name)
+        return values.firstOrNull { wireName(it) == value } ?: reject(name, "unknown value")
     }
 }
--- a/src/main/kotlin/copperglade/protocol/MonotonicTime.kt
+++ b/src/main/kotlin/copperglade/protocol/MonotonicTime.kt
@@ -4,12 +4,12 @@
 
 /** A reading of this process's monotonic clock, in milliseconds. */
 @JvmInline
-value class MonotonicTime(val ms: Long) : Comparable<MonotonicTime> {
-    override fun compareTo(other: MonotonicTime) = ms.compareTo(other.ms)
+value class MonotonicTime(val millis: Long) : Comparable<MonotonicTime> {
+    override fun compareTo(other: MonotonicTime) = millis.compareTo(other.millis)
 
-    operator fun plus(duration: Duration) = MonotonicTime(ms + duration.inWholeMilliseconds)
+    operator fun plus(duration: Duration) = MonotonicTime(millis + duration.inWholeMilliseconds)
 
-    operator fun minus(duration: Duration) = MonotonicTime(ms - duration.inWholeMilliseconds)
+    operator fun minus(duration: Duration) = MonotonicTime(millis - duration.inWholeMilliseconds)
 
     companion object {
         /** Earlier than every reading, by more than any duration that is added to it. */
@@ -18,4 +18,4 @@
 }
 
 /** Seconds from [earlier] to this time. */
-fun MonotonicTime.secondsSince(earlier: MonotonicTime): Double = (ms - earlier.ms) / 1000.0
+fun MonotonicTime.secondsSince(earlier: MonotonicTime): Double = (millis - earlier.millis) / 1000.0
--- a/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
@@ -26,7 +26,7 @@
         out.writeText(status.member.text)
         out.writeLong(status.incarnation.number)
         out.writeLong(status.knownRevision.number)
-        out.writeLong(status.stateSilentMillis)
+        out.writeLong(status.stateServiceAnswerAgeMillis)
         out.writeFlag(status.isLeader)
         // Types, zones and images recur on many machines: each is written once, ahead of the shards, and then by its index.
         val strings = StringTable()
@@ -45,7 +45,7 @@
     }
 
     /** The status, or null where the bytes are not one of this version. */
-    fun decodeStatus(bytes: ByteArray): PeerStatus? = decoding {
+    fun decodeStatus(bytes: ByteArray): PeerStatus? = decodeOrNull {
         val source = Buffer().write(bytes)
         if (source.readByte().toInt() == STATUS_VERSION) readStatus(source) else null
     }
@@ -54,7 +54,7 @@
         member = MemberId(source.readText()),
         incarnation = Incarnation(source.readLong()),
         knownRevision = Revision(source.readLong()),
-        stateSilentMillis = source.readLong(),
+        stateServiceAnswerAgeMillis = source.readLong(),
         isLeader = source.readFlag(),
         shards = readShards(source),
         shardsToRelease = source.readItems { ShardName(readText()) },
@@ -81,14 +81,14 @@
     }
 
     /** The cancellations, or null where the bytes are not of this version. */
-    fun decodeCancellations(bytes: ByteArray): List<Cancellation>? = decoding {
+    fun decodeCancellations(bytes: ByteArray): List<Cancellation>? = decodeOrNull {
         val source = Buffer().write(bytes)
         require(source.readByte().toInt() == CANCELLATIONS_VERSION)
         source.readItems { Cancellation(requireNotNull(JobId.parse(readText())), Revision(readLong())) }
     }
 
     /** What [decode] makes of a message, or null where it is no such message. */
-    private fun <T : Any> decoding(decode: () -> T?): T? = Decoding.orNull("peer_message", decode)
+    private fun <T : Any> decodeOrNull(decode: () -> T?): T? = Decoding.orNull("peer_message", decode)
 
     /** The strings of a message by their index, in order of their first use. */
     private class StringTable {
--- a/src/main/kotlin/copperglade/protocol/PeerStatus.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerStatus.kt
@@ -32,7 +32,7 @@
  * state service, and nothing relies on receiving one.
  *
  * @property knownRevision everything up to this revision of the state service is in the status.
- * @property stateSilentMillis for how long the state service has not answered this controller.
+ * @property stateServiceAnswerAgeMillis for how long the state service has not answered this controller.
  * @property shardsToRelease from the leader: shards that it would rather see with another owner.
  * @property machinesToRetire from the leader: machines that are no longer needed.
  * @property desiredWritesPerSecond changes a second that this controller would like to make in the state service.
@@ -41,7 +41,7 @@
     val member: MemberId,
     val incarnation: Incarnation,
     val knownRevision: Revision,
-    val stateSilentMillis: Long,
+    val stateServiceAnswerAgeMillis: Long,
     val isLeader: Boolean,
     val shards: List<ShardCapacity>,
     val shardsToRelease: List<ShardName>,
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -58,7 +58,7 @@
         // A job that is late for every multiple of its deadline still has an objective to meet, after all that can be in time.
         val objective = objectives
             .latestEndSeconds(
-                spec.load,
+                spec.workloadClass,
                 spec.estimatedSeconds,
             )?.let { it - waitedSeconds }
             ?.takeIf { isFeasible(spec, it) }
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -107,7 +107,7 @@
         consecutiveFailures = if (outcome is ChangesOutcome.Received) 0 else consecutiveFailures + 1
         logRead(outcome, sentAt)
         if (outcome is ChangesOutcome.Received) target.apply(outcome)
-        applyDuration = (loop.now().ms - receivedAt.ms).milliseconds
+        applyDuration = (loop.now().millis - receivedAt.millis).milliseconds
         // Changes that arrive while loading aren't applied, so they must not make the snapshot look newer than it is.
         if (outcome is ChangesOutcome.Received && sentAt > readTime && target.state == ReplicaState.CURRENT) readTime = sentAt
     }
@@ -125,8 +125,8 @@
             target.knownRevision,
             received?.storeRevision,
             received?.changes?.size,
-            loop.now().ms - sentAt.ms,
-            loop.now().ms - readTime.ms,
+            loop.now().millis - sentAt.millis,
+            loop.now().millis - readTime.millis,
             target.state,
         )
     }
@@ -149,7 +149,7 @@
     fun readIfRequested() {
         if (readInFlight || !watchOpen || waiters.isEmpty() || target.state != ReplicaState.CURRENT) return
         readInFlight = true
-        val remainingMillis = pause().inWholeMilliseconds - (loop.now().ms - lastRequestAt.ms)
+        val remainingMillis = pause().inWholeMilliseconds - (loop.now().millis - lastRequestAt.millis)
         if (remainingMillis > 0) loop.after(remainingMillis.milliseconds) { readNow() } else readNow()
     }
 
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -49,7 +49,9 @@
 
     /** The deadline set by its user, if any. */
     val ownDeadline: Deadline?
-        get() = live?.value?.let { record -> record.spec.deadlineSeconds?.let { Deadline(record.spec.load, record.acceptedAtMillis, it) } }
+        get() = live?.value?.let { record ->
+            record.spec.deadlineSeconds?.let { Deadline(record.spec.workloadClass, record.acceptedAtMillis, it) }
+        }
 
     /** The tightest of its own deadline and those inherited from its dependents. */
     val deadline: Deadline? get() = inheritedDeadline ?: ownDeadline
--- a/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
@@ -39,7 +39,7 @@
         assertEquals(MemberId("lorry-2"), status.member)
         assertEquals(Incarnation(2), status.incarnation)
         assertEquals(Revision(51), status.knownRevision)
-        assertEquals(458, status.stateSilentMillis)
+        assertEquals(458, status.stateServiceAnswerAgeMillis)
         assertFalse(status.isLeader)
         assertEquals(0.10845220000923077, status.desiredWritesPerSecond)
         assertEquals(listOf("north.1 6 1", "south.2 7 0"), status.shards.map { "${it.shard} ${it.fencingToken} ${it.machines.size}" })
@@ -116,7 +116,10 @@
         }
         val status = PeerMessageCodec.decodeStatus(bytes.toByteArray())!!
         assertArrayEquals(bytes.toByteArray(), PeerMessageCodec.encodeStatus(status))
-        assertEquals(listOf(3L, 9L, 12L), listOf(status.incarnation.number, status.knownRevision.number, status.stateSilentMillis))
+        assertEquals(
+            listOf(3L, 9L, 12L),
+            listOf(status.incarnation.number, status.knownRevision.number, status.stateServiceAnswerAgeMillis),
+        )
         assertEquals(listOf("z.1"), status.shardsToRelease.map { it.text })
         assertEquals(listOf("i-2"), status.machinesToRetire.map { it.text })
         assertEquals(12.5, status.desiredWritesPerSecond)
--- a/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
@@ -96,7 +96,7 @@
         assertEquals(1_001_007, live.acceptedAtMillis)
         assertFalse(live.cancelled)
         with(live.spec) {
-            assertEquals(listOf("job-604", "batch", "team", "img-3"), listOf(id.text, load, team.text, image.name.text))
+            assertEquals(listOf("job-604", "batch", "team", "img-3"), listOf(id.text, workloadClass, team.text, image.name.text))
             assertEquals(JobKind.ARRAY, kind)
             assertEquals(Priority.LOW, priority)
             assertEquals(2, tasks)
--- a/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
@@ -14,16 +14,16 @@
     @Test
     fun `a job survives its own wire form`() {
         val spec = (JobSpecCodec.parse(Json.read(job.toByteArray())) as ParsedSubmission.Valid).spec
-        val again = (
+        val decoded = (
             JobSpecCodec.parse(
                 Json.read(Json.write { JobSpecCodec.write(this, spec) }),
             ) as ParsedSubmission.Valid
         ).spec
-        assertEquals(spec.id, again.id)
-        assertEquals(spec.request, again.request)
-        assertEquals(listOf("a"), again.types)
-        assertEquals(2, again.perZoneLimit)
-        assertNull(again.zone)
+        assertEquals(spec.id, decoded.id)
+        assertEquals(spec.request, decoded.request)
+        assertEquals(listOf("a"), decoded.types)
+        assertEquals(2, decoded.perZoneLimit)
+        assertNull(decoded.zone)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/protocol/PeerMessageCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/PeerMessageCodecTest.kt
@@ -13,15 +13,15 @@
         assertEquals(sent.map { it.job to it.revision }, PeerMessageCodec.decodeCancellations(bytes)!!.map { it.job to it.revision })
         val random = Random(2)
         repeat(2000) {
-            val broken = bytes.copyOf(random.nextInt(bytes.size))
-            if (broken.size > 1) broken[random.nextInt(broken.size)] = random.nextInt(256).toByte()
-            assertNull(PeerMessageCodec.decodeCancellations(broken))
+            val corrupted = bytes.copyOf(random.nextInt(bytes.size))
+            if (corrupted.size > 1) corrupted[random.nextInt(corrupted.size)] = random.nextInt(256).toByte()
+            assertNull(PeerMessageCodec.decodeCancellations(corrupted))
         }
     }
 
     @Test
     fun `a peer status survives its buffer, and a torn one is refused`() {
-        val room = MachineAvailability(
+        val machine = MachineAvailability(
             MachineName("i-1"),
             "a",
             "z",
@@ -39,16 +39,16 @@
             Revision(9),
             12,
             isLeader = true,
-            listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(room))),
+            listOf(ShardCapacity(ShardName("z.0"), FencingToken(4), listOf(machine))),
             listOf(ShardName("z.1")),
             listOf(MachineName("i-2")),
             desiredWritesPerSecond = 12.5,
         )
         val bytes = PeerMessageCodec.encodeStatus(status)
-        val again = PeerMessageCodec.decodeStatus(bytes)!!
-        assertEquals(status.knownRevision, again.knownRevision)
-        assertEquals(room.preemptible, again.shards[0].machines[0].preemptible)
-        assertEquals(status.machinesToRetire, again.machinesToRetire)
-        for (cut in 0 until bytes.size) assertNull(PeerMessageCodec.decodeStatus(bytes.copyOf(cut)))
+        val decoded = PeerMessageCodec.decodeStatus(bytes)!!
+        assertEquals(status.knownRevision, decoded.knownRevision)
+        assertEquals(machine.preemptible, decoded.shards[0].machines[0].preemptible)
+        assertEquals(status.machinesToRetire, decoded.machinesToRetire)
+        for (length in 0 until bytes.size) assertNull(PeerMessageCodec.decodeStatus(bytes.copyOf(length)))
     }
 }
--- a/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
@@ -10,7 +10,7 @@
 
 class WorkerMessageCodecTest {
     /** The plain way to read a report, by a tree: what the streaming one must agree with. */
-    private fun plainHeartbeat(bytes: ByteArray): String? {
+    private fun decodeFromTree(bytes: ByteArray): String? {
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
         val reportedTasks = root.fieldOrNull("boxes")
         if (reportedTasks != null && !reportedTasks.isArray) return null
@@ -34,7 +34,7 @@
         ).toString()
     }
 
-    private fun asText(heartbeat: Heartbeat) = with(heartbeat) {
+    private fun fieldsAsText(heartbeat: Heartbeat) = with(heartbeat) {
         listOf(machine, endpoint, type, zone, spot, epoch, sequenceNumber, fencingToken, evictionNoticeSeconds, reportedTasks).toString()
     }
 
@@ -42,21 +42,25 @@
     @ValueSource(longs = [1, 2, 3])
     fun `reports read in a stream are those that a tree gives`(seed: Long) {
         val random = Random(seed)
-        val odd = listOf("null", "7", "-1", "1.5", "\"x\"", "true", "[]", "[1,{}]", "{}", "{\"a\":[2]}", "\"job-1/0\"", "\"ended\"", "1e3")
-        val whole = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
+        val replacements =
+            listOf("null", "7", "-1", "1.5", "\"x\"", "true", "[]", "[1,{}]", "{}", "{\"a\":[2]}", "\"job-1/0\"", "\"ended\"", "1e3")
+        val complete = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
             "baton":4,"recallS":null,"boxes":[{"box":"job-1/3","trip":2,"status":"running"},
             {"box":"job-2/0","trip":1,"status":"ended","cause":"done"}],"more":{"boxes":[1]}}"""
-        val values = Regex(":(\"[^\"]*\"|[0-9]+|true|null)").findAll(whole).map { it.groups[1]!!.range }.toList()
-        var sound = 0
+        val values = Regex(":(\"[^\"]*\"|[0-9]+|true|null)").findAll(complete).map { it.groups[1]!!.range }.toList()
+        var validCount = 0
         repeat(500) {
-            var text = whole
-            values.filter { random.nextInt(8) == 0 }.reversed().forEach { text = text.replaceRange(it, odd[random.nextInt(odd.size)]) }
+            var text = complete
+            values.filter { random.nextInt(8) == 0 }.reversed().forEach {
+                text =
+                    text.replaceRange(it, replacements[random.nextInt(replacements.size)])
+            }
             if (random.nextInt(10) == 0) text = text.take(random.nextInt(text.length))
             val read = WorkerMessageCodec.decodeHeartbeat(text.toByteArray())
-            assertEquals(plainHeartbeat(text.toByteArray()), read?.let(::asText), text)
-            if (read != null) sound++
+            assertEquals(decodeFromTree(text.toByteArray()), read?.let(::fieldsAsText), text)
+            if (read != null) validCount++
         }
-        assertTrue(sound in 20..480, "$sound sound ones")
+        assertTrue(validCount in 20..480, "$validCount sound ones")
     }
 
     @Test
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -205,8 +205,8 @@
         val counted = users.values.filter {
             it.accepted && it.cancelRequestedAtMs == null && pipelines.releasedAtMs(it) != null && !pipelines.dependencyCancelRequested(it)
         }
-        val groups = counted.groupBy { "class ${it.spec.load}" } + counted.groupBy { "team ${it.spec.team}" } +
-            counted.groupBy { it.spec.load }.map { (load, members) ->
+        val groups = counted.groupBy { "class ${it.spec.workloadClass}" } + counted.groupBy { "team ${it.spec.team}" } +
+            counted.groupBy { it.spec.workloadClass }.map { (load, members) ->
                 val largest = (members.size + LARGEST_JOBS_ONE_IN - 1) / LARGEST_JOBS_ONE_IN
                 "largest of $load" to members.sortedByDescending { it.spec.tasks }.take(largest)
             }
--- a/src/test/kotlin/copperglade/soak/SoakRun.kt
+++ b/src/test/kotlin/copperglade/soak/SoakRun.kt
@@ -40,7 +40,7 @@
         if (!awaitHealthy(site)) return result(site, schedule, Verdict.INCONCLUSIVE, "the controllers did not come up")
         site.onLoop {
             users.start()
-            lastTickMs = site.loop.now().ms
+            lastTickMs = site.loop.now().millis
             watch(site)
         }
         Thread.sleep(STARTUP_MS)
@@ -75,7 +75,7 @@
     /** Looks several times a second at what only time breaks, and whether the harness itself has stood still. */
     private fun watch(site: SoakSite) {
         if (!watching) return
-        val now = site.loop.now().ms
+        val now = site.loop.now().millis
         longestStallMs = maxOf(longestStallMs, now - lastTickMs - TICK_MS)
         lastTickMs = now
         site.referee.check()
@@ -90,7 +90,7 @@
         site.workers.values.forEach { it.resume() }
         users.submitting = false
         users.cancelServices()
-        return site.loop.now().ms
+        return site.loop.now().millis
     }
 
     private fun awaitCompletion(site: SoakSite) {
--- a/src/test/kotlin/copperglade/soak/SoakSite.kt
+++ b/src/test/kotlin/copperglade/soak/SoakSite.kt
@@ -63,7 +63,7 @@
     private val http = NettyHttpClient(loop, ProcessHeap.maxBytes)
     val random = Random(seed)
     val network = SoakNetwork(loop, random)
-    val referee = SoakReferee({ loop.now().ms }, (CANCEL_S * MS_PER_S).toLong(), teamCpus)
+    val referee = SoakReferee({ loop.now().millis }, (CANCEL_S * MS_PER_S).toLong(), teamCpus)
     lateinit var state: StandInState
         private set
     private lateinit var cloud: StandInCloud
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -77,7 +77,7 @@
     }
 
     fun askOnce(id: JobId, node: Int) {
-        val askedAt = site.loop.now().ms
+        val askedAt = site.loop.now().millis
         site.ask(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == HttpStatus.NOT_FOUND) referee.refused(id, reply.status)
             val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
@@ -92,7 +92,7 @@
             return
         }
         job.cancelRequested = true
-        val askedAt = site.loop.now().ms
+        val askedAt = site.loop.now().millis
         site.ask(anyNode(), Request(Method.POST, "/submissions/$id/cancel")) { reply ->
             val status = reply?.takeIf { it.status == HttpStatus.OK }?.let { Json.read(it.body)?.stringOrNull("status") }
             if (status == null) {
--- a/src/test/kotlin/copperglade/standin/StandInWorker.kt
+++ b/src/test/kotlin/copperglade/standin/StandInWorker.kt
@@ -119,7 +119,7 @@
 
     private fun expire() {
         val since = answeredSentAt ?: epochBegan
-        if (loop.now().ms - since.ms <= site.leaseSeconds * 1000) return
+        if (loop.now().millis - since.millis <= site.leaseSeconds * 1000) return
         wipe()
         epoch++
         epochBegan = loop.now()
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -24,7 +24,7 @@
         assertFalse(failureEvidence.blamesMachine(machine(1)))
         assertTrue(failureEvidence.shouldAvoid(job(1), machine(1), now))
         assertFalse(failureEvidence.shouldAvoid(job(2), machine(1), now))
-        assertFalse(failureEvidence.shouldAvoid(job(1), machine(1), MonotonicTime(now.ms + 11_000)))
+        assertFalse(failureEvidence.shouldAvoid(job(1), machine(1), MonotonicTime(now.millis + 11_000)))
     }
 
     @Test
