--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -11,8 +11,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The leader's scaling of the fleet: rents machines for the demand of the jobs, replaces dead and overdue ones, and tells the
- * shard owners which idle ones to delete.
+ * Scales the fleet while this controller is the leader: rents machines for the jobs' demand, replaces dead and overdue machines,
+ * and chooses the machines that the shard owners should delete.
  */
 class Autoscaler(
     private val loop: EventLoop,
@@ -28,14 +28,14 @@
     private val scaleOut = ScaleOut(cloud, types)
     private val scaleIn = ScaleIn(replica, types, settings)
 
-    /** Machines that their shards' owners are to delete. */
+    /** The machines that the shard owners should delete. */
     var machinesToRetire: List<MachineName> = emptyList()
         private set
 
-    /** Runs a scaling round at regular intervals while leading. Call it once. */
+    /** Starts scaling rounds, which run at regular intervals while this controller is the leader. Must be called once only. */
     fun start() = loop.scheduleRepeating({ ROUND_INTERVAL }) { if (leadership.leading && types.isLoaded) round() else reset() }
 
-    /** Forgets what a former leadership term has left, which is out of date. */
+    /** Discards the state of a former leadership term, which is out of date. */
     private fun reset() {
         cloud.reset()
         machinesToRetire = emptyList()
@@ -56,13 +56,16 @@
         scale(now, capacities, replacementSeconds)
     }
 
-    /** Whether the list may still lack what a former leader has just rented. There was none in a cluster that has just started. */
+    /**
+     * Whether the cloud's list may still lack machines that a former leader has just rented. A cluster that has just started had no
+     * former leader.
+     */
     private fun mayLackRentedMachines(): Boolean =
         leadership.leadingForSeconds < cloud.rentalListingDelaySeconds && replica.knownRevision.number > LAST_REVISION_OF_NEW_CLUSTER
 
     /**
-     * How long it takes until a machine rented now can do the work of one deleted now: its boot and the fetch of an image, on the
-     * type that takes longest.
+     * The time until a machine rented now can do the work of a machine deleted now: the boot and the fetch of an image of average
+     * size, on the machine type that takes longest.
      */
     private fun replacementSeconds(): Double {
         val specs = replica.jobs.values.mapNotNull { it.spec }
@@ -106,8 +109,10 @@
     private fun kindOf(machine: ListedMachine) = MachineKind(machine.type, machine.zone, machine.spot)
 
     /**
-     * Rents what [inventory] lacks of [target], on-demand machines also for spot work where no spot machines are available.
-     * Returns whether anything was lacking.
+     * Rents machines for the CPUs of [target] that [inventory] does not cover. Where too few spot machines are available, on-demand
+     * machines are rented for the spot work as well.
+     *
+     * Returns whether on-demand CPUs are missing, or spot CPUs that no spot machines were requested for.
      */
     private fun scaleOutFor(target: Demand, inventory: FleetInventory, now: MonotonicTime): Boolean {
         var missingOnDemandCpus = target.onDemandCpus - inventory.onDemandCpus
@@ -119,7 +124,7 @@
         return missingSpotCpus > 0 || missingOnDemandCpus > 0
     }
 
-    /** Rents machines for work that only some machines can take, unless such machines are free or about to come up. */
+    /** Rents machines for work that only some machines can run, unless such machines are free or expected to come up. */
     private fun scaleOutForConstraints(capacities: Map<MachineName, MachineAvailability>, inventory: FleetInventory, now: MonotonicTime) {
         val fragmentation = FragmentationCheck(loop, capacities.values)
         val demand = ConstrainedDemand.of(replica.jobs.values, settings.teams, reports::zoneOf, fragmentation::isFragmented)
@@ -134,7 +139,7 @@
         }
     }
 
-    /** The machines that are listed, rented or requested, but not reported by their shards' owners yet. */
+    /** The machines that are listed, rented or requested, but not yet reported by the shard owners. */
     private fun expectedMachines(capacities: Map<MachineName, MachineAvailability>, now: MonotonicTime): List<MachineKind> {
         val listed = cloud.listed.values.filter { it.name !in capacities && isExpectedToWork(it, now) }
         return listed.map(::kindOf) + cloud.unlisted + cloud.requested.flatMap { (kind, count) -> List(count) { kind } }
--- a/src/main/kotlin/copperglade/fleet/BootTimes.kt
+++ b/src/main/kotlin/copperglade/fleet/BootTimes.kt
@@ -8,10 +8,10 @@
 import kotlin.math.min
 
 /**
- * How long machines of each type take to boot, by what the cloud's listings have shown.
+ * The boot times of each machine type, as observed in the cloud's listings.
  *
- * Some machines take several times as long as most, and a few never come up. An overdue machine no longer counts towards the
- * fleet's capacity, so that another is rented in its place; if it comes up after all it is used, or scaled in as idle.
+ * Some machines take several times as long to boot as most, and a few never come up. An overdue machine no longer counts towards the
+ * fleet's capacity, so that another is rented in its place. An overdue machine that comes up later is used, or scaled in as idle.
  */
 internal class BootTimes {
     private val booting = HashSet<MachineName>()
@@ -52,10 +52,10 @@
         const val SLOW_QUANTILE = 0.9
         const val SLOW_BOOT_MARGIN = 1.2
 
-        /** By the protocol, boots commonly take up to this multiple of what their type says. */
+        /** By the cloud's protocol, boots commonly take up to this multiple of the boot time stated for the machine type. */
         const val COMMON_MAX_BOOT_FACTOR = 1.5
 
-        /** Waiting for longer costs more than a machine rented for nothing, whatever boot times were seen. */
+        /** Beyond this multiple, waiting costs more than renting a machine in vain, whatever boot times were observed. */
         const val MAX_BOOT_FACTOR = 3.0
         const val LISTING_DELAY_SECONDS = 5.0
     }
--- a/src/main/kotlin/copperglade/fleet/CloudMachines.kt
+++ b/src/main/kotlin/copperglade/fleet/CloudMachines.kt
@@ -13,10 +13,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The machines at the cloud: those listed, those rented but not listed yet, and the requests that rent and delete them within
- * the [budget] of requests.
+ * The machines at the cloud: listed machines, and machines rented but not listed yet. Sends the requests that list, rent and delete
+ * machines, within the request [budget].
  *
- * @param listLagSeconds by how much the cloud's list may be late.
+ * @param listLagSeconds the maximum delay of the cloud's list.
  */
 class CloudMachines(
     loop: EventLoop,
@@ -38,19 +38,19 @@
     /** Whether there has been a complete listing since [reset]. */
     val isListed: Boolean get() = listing.completedAt != MonotonicTime.NEVER
 
-    /** For how long the list may lack machines that a former leader has just rented. */
+    /** For how long the cloud's list may lack machines that a former leader has just rented. */
     val rentalListingDelaySeconds: Double get() = 2 * listLagSeconds
 
     /** The kinds of machines that are rented and not listed yet, one entry a machine. */
     internal val unlisted: List<MachineKind> get() = rental.unlisted
 
-    /** How many machines of each kind are requested. */
+    /** The number of machines of each kind in rental requests in flight. */
     internal val requested: Map<MachineKind, Int> get() = rental.requested
 
     /** Starts a listing if one is due. */
     fun refresh(now: MonotonicTime) = listing.refresh(now)
 
-    /** Forgets what a former leadership term has left, which is out of date. */
+    /** Discards the state of a former leadership term, which is out of date. */
     fun reset() {
         listing.invalidate()
         rental.clearUnlisted()
@@ -61,18 +61,19 @@
         bootTimes.observe(listed)
     }
 
-    /** Stops counting rented machines that should have been listed by now. */
+    /** Stops counting rented machines that are not listed although they should be by now. */
     fun removeNeverListed(now: MonotonicTime) =
         rental.removeNeverListed((listLagSeconds * LIST_LAGS_UNTIL_LISTED + 1).seconds + listing.interval, now)
 
-    /** Whether another machine should be rented in place of [machine], which takes too long to boot. */
+    /** Whether [machine] takes so long to boot that another should be rented in its place. */
     fun isOverdue(machine: ListedMachine): Boolean = types[machine.type]?.let { bootTimes.isOverdue(machine, it) } ?: false
 
     fun isDeleted(machine: MachineName): Boolean = deletion.isDeleted(machine)
 
     /**
-     * Deletes the listed machines for which [isDead] holds, as many as one request can name, if the budget allows it.
-     * Deleting is always safe: whatever ran on a machine is gone with it, and its owner waits for its lease to expire.
+     * Deletes the listed machines for which [isDead] holds, up to the limit of one request, if the request budget allows a request.
+     *
+     * Deleting is always safe: the tasks on a machine end with the machine, and the shard owner waits for the worker's lease to expire.
      */
     fun deleteDead(now: MonotonicTime, isDead: (ListedMachine) -> Boolean) {
         deletion.expire(now)
@@ -86,7 +87,7 @@
     /** Whether machines of [kind] may be requested now. */
     internal fun isAvailable(kind: MachineKind, now: MonotonicTime): Boolean = rental.isAvailable(kind, now)
 
-    /** Requests [count] machines of [kind]; returns false where the budget does not allow it. */
+    /** Requests [count] machines of [kind]; returns false where the request budget does not allow a request. */
     internal fun rent(kind: MachineKind, count: Int, now: MonotonicTime): Boolean {
         if (!budget.tryTake(1, now)) return false
         rental.request(kind, count)
--- a/src/main/kotlin/copperglade/fleet/ConstrainedDemand.kt
+++ b/src/main/kotlin/copperglade/fleet/ConstrainedDemand.kt
@@ -9,16 +9,16 @@
 import kotlin.math.max
 import kotlin.math.min
 
-/** Which machines a task may run on. */
+/** The machines that a task may run on, by type, zone and kind; null stands for any type or zone. */
 data class PlacementConstraint(val types: List<String>?, val zone: String?, val spotAllowed: Boolean) {
-    /** Whether it excludes machine types or zones. */
+    /** Whether the constraint excludes machine types or zones. */
     val isRestricted: Boolean get() = types != null || zone != null
 
     fun allows(type: String, machineZone: String, spot: Boolean): Boolean =
         (types == null || type in types) && (zone == null || zone == machineZone) && (!spot || spotAllowed)
 }
 
-/** CPUs that wait for capacity under a [PlacementConstraint], and the largest request among them. */
+/** The CPUs of tasks that wait for capacity under one [PlacementConstraint], and the largest request of these tasks. */
 class ConstrainedWork {
     var cpus = 0.0
         private set
@@ -33,20 +33,20 @@
 }
 
 /**
- * Demand that only some machines can meet. The fleet as a whole may be large enough while all of its free capacity is where the
- * waiting work may not run, or in pieces that are too small for a task.
+ * Demand that only some machines can meet. The fleet as a whole may be large enough while its free capacity is only on machines
+ * that the waiting tasks may not run on, or is spread over machines of which none has enough for one task.
  */
 object ConstrainedDemand {
     private class WaitingJob(val job: Job, val spec: JobSpec, val constraint: PlacementConstraint) {
-        /** One machine is enough to end fragmentation; constrained tasks all need machines that they may use. */
+        /** One more machine ends fragmentation, whereas each task of a restricted job needs capacity on allowed machines. */
         val tasks: Int get() = if (constraint.isRestricted) job.wantedTasks - job.assignments().size else 1
     }
 
     /**
-     * The waiting work by its constraint.
+     * The waiting work, grouped by placement constraint.
      *
-     * @param zoneOf the zone in which a job that must stay in one has begun.
-     * @param isFragmented whether a task of the job has waited for long though all free capacity together would hold it.
+     * @param zoneOf returns the zone of a job's assigned tasks, for jobs that must stay in one zone; null where no task is assigned.
+     * @param isFragmented whether a job has waited for long although the free capacity of all machines together would hold a task.
      */
     fun of(
         jobs: Collection<Job>,
@@ -68,7 +68,7 @@
         return workByConstraint
     }
 
-    /** Null where the job has no unassigned tasks, or is blocked. */
+    /** Returns null where the job has no unassigned tasks or is blocked. */
     private fun waitingJob(job: Job, zoneOf: (Job) -> String?): WaitingJob? {
         val spec = job.spec ?: return null
         if (job.wantedTasks <= job.assignments().size || job.blocked) return null
@@ -87,7 +87,7 @@
         return min(quotaCpus, concurrentTasks * taskCpus)
     }
 
-    /** CPUs of free capacity that such work could have at once. */
+    /** The free CPUs of the [machines] that [constraint] allows and that have room for the largest request of [work]. */
     fun freeCpus(constraint: PlacementConstraint, work: ConstrainedWork, machines: Collection<MachineAvailability>): Double = machines
         .filter { it.usable && constraint.allows(it.type, it.zone, it.spot) && work.largestRequest.fitsIn(it.free) }
         .sumOf { it.free.cpus }
--- a/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandEstimate.kt
@@ -7,7 +7,7 @@
 import copperglade.storage.Job
 import kotlin.math.min
 
-/** CPUs wanted now: by work that needs on-demand machines, and by work that may use spot machines as well. */
+/** The CPUs needed now, by work that requires on-demand machines and by work that may use spot machines as well. */
 class Demand(val onDemandCpus: Double, val spotCpus: Double) {
     val cpus get() = onDemandCpus + spotCpus
 
@@ -22,7 +22,7 @@
 object DemandEstimate {
     private const val USABLE_DEADLINE_FRACTION = 0.8
 
-    /** The CPUs that [jobs] need to be done in time, those of assigned tasks included. */
+    /** The CPUs that [jobs] need in order to be done in time, including the CPUs of assigned tasks. */
     fun of(jobs: Collection<Job>, teams: Map<TeamName, Team>): Demand {
         val quotas = QuotaUsage(teams)
         var demand = Demand.NONE
@@ -40,11 +40,12 @@
             quotas.use(spec.team, cpus)
             demand += demandOf(spec, cpus)
         }
-        // The trial of a failing job uses machines that are there for others; it gets one of its own only if nothing else is wanted.
+        // A failing job counts as one trial task, which uses machines rented for other jobs. A machine is rented for a trial task
+        // only where there is no other demand.
         return demand.takeIf { it.cpus > 0.0 } ?: largestTrialDemand
     }
 
-    /** CPUs of tasks that could start at once if there were capacity: not yet assigned, and within their teams' quotas. */
+    /** The CPUs of unassigned tasks, within their teams' quotas: tasks that could start at once if there were capacity. */
     fun backlogCpus(jobs: Collection<Job>, teams: Map<TeamName, Team>): Double {
         val quotas = QuotaUsage(teams)
         val waitingCpus = HashMap<TeamName, Double>()
@@ -59,8 +60,8 @@
     }
 
     /**
-     * The fraction of a job's tasks that must run concurrently for a job that starts at once to meet its deadline. It does not
-     * grow while the job waits: by the time that further machines have booted, others have become free.
+     * The fraction of a job's tasks that must run concurrently for the job to meet its deadline, if the job starts as soon as it may.
+     * The fraction does not grow while the job waits: by the time that further machines have booted, others have become free.
      */
     fun concurrentFraction(job: Job, spec: JobSpec): Double {
         if (spec.kind != JobKind.ARRAY) return 1.0
--- a/src/main/kotlin/copperglade/fleet/DemandLevel.kt
+++ b/src/main/kotlin/copperglade/fleet/DemandLevel.kt
@@ -6,9 +6,9 @@
 import kotlin.math.max
 
 /**
- * The level of demand that the fleet is scaled to: it follows demand up at once and down slowly, since demand comes in bursts.
+ * The level of demand that the fleet is scaled to. The level rises with demand at once and declines slowly, since demand comes in bursts.
  *
- * @param hysteresisReplacements the time constant of the decline, in multiples of the time that it takes to replace a machine.
+ * @param hysteresisReplacements the time constant of the exponential decline, in multiples of the time that replacing a machine takes.
  */
 internal class DemandLevel(private val hysteresisReplacements: Double) {
     var onDemandCpus = 0.0
@@ -24,13 +24,13 @@
         updatedAt = now
     }
 
-    /** What is left of the former level. */
+    /** The fraction of the former level that is left after the time since the last update. */
     private fun remainingFraction(replacementSeconds: Double, now: MonotonicTime): Double {
         if (updatedAt == MonotonicTime.NEVER) return 0.0
         return exp(-now.secondsSince(updatedAt) / (replacementSeconds * hysteresisReplacements))
     }
 
-    /** Lets the next update start from its demand alone. */
+    /** Discards the level, so that the next update sets it from the current demand alone. */
     fun reset() {
         updatedAt = MonotonicTime.NEVER
     }
--- a/src/main/kotlin/copperglade/fleet/FleetInventory.kt
+++ b/src/main/kotlin/copperglade/fleet/FleetInventory.kt
@@ -1,6 +1,6 @@
 package copperglade.fleet
 
-/** The machines that the fleet can count on: listed, rented and requested ones, and their CPUs. */
+/** The machines that are expected to run tasks, whether listed, rented or requested, and their CPUs. */
 internal class FleetInventory(private val types: MachineTypeCatalog) {
     private val countByKind = HashMap<MachineKind, Int>()
     var onDemandCpus = 0.0
--- a/src/main/kotlin/copperglade/fleet/FragmentationCheck.kt
+++ b/src/main/kotlin/copperglade/fleet/FragmentationCheck.kt
@@ -5,14 +5,14 @@
 import copperglade.storage.Job
 import copperglade.transport.EventLoop
 
-/** Finds jobs whose tasks fit on none of [machines] although these have enough free capacity together. */
+/** Finds jobs whose tasks fit on none of the [machines] although the machines together have enough free capacity. */
 internal class FragmentationCheck(private val loop: EventLoop, private val machines: Collection<MachineAvailability>) {
     private data class ConstrainedRequest(val constraint: PlacementConstraint, val request: Resources)
 
-    /** Many jobs request the same under the same constraint. */
+    /** Results by constraint and request, which many jobs have in common. */
     private val results = HashMap<ConstrainedRequest, Boolean>()
 
-    /** Whether [job] has waited for a while and its tasks fit on no machine because free capacity is fragmented. */
+    /** Whether [job] has waited for [MIN_WAIT_MILLIS] and its tasks fit on no machine because free capacity is fragmented. */
     fun isFragmented(job: Job): Boolean {
         val spec = job.spec ?: return false
         if (loop.wallMillis() < job.startableSinceMillis + MIN_WAIT_MILLIS) return false
--- a/src/main/kotlin/copperglade/fleet/MachineDeletion.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineDeletion.kt
@@ -11,13 +11,13 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** Deletes machines at the cloud, and remembers which were deleted while the cloud's list still shows them. */
+/** Deletes machines at the cloud, and records recent deletions, since the cloud's list may still show deleted machines. */
 internal class MachineDeletion(private val http: HttpClient, private val cloud: Endpoint) {
     private val deletedAt = HashMap<MachineName, MonotonicTime>()
 
     fun isDeleted(machine: MachineName): Boolean = machine in deletedAt
 
-    /** Forgets deletions after a while, so that a machine that is still listed is deleted again. */
+    /** Drops deletions older than [RETRY_DELAY], so that a machine that is still listed is deleted again. */
     fun expire(now: MonotonicTime) {
         deletedAt.values.removeIf { now >= it + RETRY_DELAY }
     }
--- a/src/main/kotlin/copperglade/fleet/MachineKind.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineKind.kt
@@ -1,4 +1,4 @@
 package copperglade.fleet
 
-/** What the cloud rents out: machines of a type, in a zone, as spot or on-demand machines. */
+/** A kind of machine that the cloud rents out: a machine type in a zone, as a spot or an on-demand machine. */
 internal data class MachineKind(val type: String, val zone: String, val spot: Boolean)
--- a/src/main/kotlin/copperglade/fleet/MachineListing.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineListing.kt
@@ -21,8 +21,8 @@
 /**
  * The cloud's list of machines, read page by page at regular intervals.
  *
- * Every page is taken from the cloud's request budget, and the interval grows with the list, so that renting and deleting
- * machines keep most of the budget whatever the size of the fleet.
+ * Each page costs one request of the cloud's request budget. The interval grows with the list, so that most of the budget remains
+ * for renting and deleting machines whatever the size of the fleet.
  */
 internal class MachineListing(
     private val loop: EventLoop,
@@ -43,7 +43,7 @@
     var machines: Map<MachineName, ListedMachine> = emptyMap()
         private set
 
-    /** When the last complete listing ended; [MonotonicTime.NEVER] where [machines] is out of date. */
+    /** When the last complete listing ended; [MonotonicTime.NEVER] where [machines] has been invalidated. */
     var completedAt = MonotonicTime.NEVER
         private set
 
@@ -94,7 +94,7 @@
         if (page.hasMore && last != null) requestPage(listing, last.name.text) else complete(listing)
     }
 
-    /** Requests a page again that failed, so that the pages read before it are not lost; abandons the listing after some failures. */
+    /** Requests a failed page again, which keeps the pages read before; abandons the listing after [MAX_FAILURES] retries. */
     private fun retryPage(listing: Listing, from: String) {
         listing.failures++
         if (listing.failures > MAX_FAILURES) {
--- a/src/main/kotlin/copperglade/fleet/MachineLiveness.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineLiveness.kt
@@ -6,21 +6,21 @@
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.secondsSince
 
-/** Finds machines that will never run tasks again, by the cloud's list and the reports of the shard owners. */
+/** Detects machines that will never run tasks again, from the cloud's list and the reports of the shard owners. */
 internal class MachineLiveness(private val types: MachineTypeCatalog, private val reports: MachineReports) {
-    /** When a machine was last reported by its owner, or could not have been because its owner was unreachable. */
+    /** When a machine was last reported, or last could not be reported because its shard had no reachable owner. */
     private val lastReportedAt = HashMap<MachineName, MonotonicTime>()
 
     fun recordReported(machines: Set<MachineName>, now: MonotonicTime) = machines.forEach { lastReportedAt[it] = now }
 
     fun reset() = lastReportedAt.clear()
 
-    /** Whether the last report of [machine] is still recent enough to judge by. */
+    /** Whether the last report of [machine] is recent enough to rely on; true where no report is recorded. */
     fun isReportRecent(machine: MachineName, now: MonotonicTime): Boolean =
         now.secondsSince(lastReportedAt[machine] ?: now) < REPORT_TIMEOUT_SECONDS
 
     /**
-     * Whether [machine] has failed, has taken too long to boot, or is running but not reported by an owner who reports on its shard.
+     * Whether [machine] has failed, has taken too long to boot, or is running but not reported by an owner that reports on its shard.
      */
     fun isDead(machine: ListedMachine, now: MonotonicTime): Boolean {
         val bootSeconds = types[machine.type]?.bootSeconds ?: 0.0
--- a/src/main/kotlin/copperglade/fleet/MachineRental.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineRental.kt
@@ -25,7 +25,7 @@
 ) {
     private class UnlistedMachine(val kind: MachineKind, val rentedAt: MonotonicTime)
 
-    /** A request for [count] machines; the cloud carries out each [name] once at most. */
+    /** A request for [count] machines; the cloud executes at most one request of each [name]. */
     private class RentalRequest(val name: String, val kind: MachineKind, val count: Int)
 
     private val unlistedMachines = HashMap<MachineName, UnlistedMachine>()
@@ -36,10 +36,10 @@
     /** The kinds of machines that are rented and not listed yet, one entry a machine. */
     val unlisted: List<MachineKind> get() = unlistedMachines.values.map { it.kind }
 
-    /** How many machines of each kind are requested. */
+    /** The number of machines of each kind in rental requests in flight. */
     val requested: Map<MachineKind, Int> get() = requestedCounts
 
-    /** Whether machines of [kind] may be requested: no request for it is in flight, and none was refused lately. */
+    /** Whether machines of [kind] may be requested: no request for [kind] is in flight, and none was recently refused or cut short. */
     fun isAvailable(kind: MachineKind, now: MonotonicTime): Boolean =
         kind !in requestedCounts && now >= (unavailableUntil[kind] ?: MonotonicTime.NEVER)
 
@@ -52,10 +52,10 @@
         send(request, MAX_RETRIES)
     }
 
-    /** The listed machines are counted by the list from now on. */
+    /** Stops counting [machines], which the cloud's list counts from now on. */
     fun removeListed(machines: Set<MachineName>) = machines.forEach(unlistedMachines::remove)
 
-    /** Stops counting machines that were rented at least [timeout] ago and have not been listed since: they are gone. */
+    /** Stops counting machines that were rented at least [timeout] ago and have not been listed since: they no longer exist. */
     fun removeNeverListed(timeout: Duration, now: MonotonicTime) {
         unlistedMachines.values.removeIf { now >= it.rentedAt + timeout }
     }
@@ -72,7 +72,7 @@
         val rented = reply?.takeIf { it.status == HttpStatus.OK }?.let { CloudApiCodec.decodeRental(Json.read(it.body)) }
         when {
             rented != null -> onRented(request, rented)
-            // Under the same name: if the first request was carried out after all, nothing more is rented.
+            // The retry has the same name, so that nothing more is rented if the first request was executed after all.
             (reply == null || reply.status == HttpStatus.TOO_MANY_REQUESTS) && retries > 0 ->
                 loop.after(RETRY_DELAY) { send(request, retries - 1) }
             else -> onRefused(request, reply?.status)
--- a/src/main/kotlin/copperglade/fleet/MachineReports.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineReports.kt
@@ -10,9 +10,9 @@
 import copperglade.storage.Replica
 
 /**
- * What the shard owners report of their machines.
+ * The shard owners' reports of their machines.
  *
- * @param statusOf the last status of a controller; null where it is unreachable.
+ * @param statusOf returns the last status of a controller; null where the controller is unreachable.
  */
 class MachineReports(
     private val replica: Replica,
@@ -29,13 +29,13 @@
         return capacities
     }
 
-    /** Whether the owner of the machine's shard is reachable and reports on that shard, so that it would report the machine too. */
+    /** Whether the owner of the machine's shard is reachable and reports on that shard, and so would report the machine too. */
     fun isShardReported(machine: ListedMachine): Boolean {
         val shard = shardMap.of(machine.name, machine.zone)
         val status = replica.shards[shard]?.let { statusOf(it.value.member) } ?: return false
         return status.shards.any { it.shard == shard }
     }
 
-    /** The zone in which [job] has begun; null where none of its tasks is assigned. */
+    /** The zone of [job]'s assigned tasks, by the first of them; null where no task is assigned. */
     fun zoneOf(job: Job): String? = job.assignments().firstOrNull()?.let { shardMap.zoneOf(it.shard) }
 }
--- a/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineTypeCatalog.kt
@@ -22,7 +22,7 @@
 
     operator fun get(name: String): MachineType? = types[name]
 
-    /** Reads the types now and again from time to time. Call it once. */
+    /** Reads the types now, and from then on at regular intervals. Must be called once only. */
     fun start() {
         http.call(cloud, Request(Method.GET, "/machine_types"), REQUEST_TIMEOUT, ::onReply)
     }
--- a/src/main/kotlin/copperglade/fleet/QuotaUsage.kt
+++ b/src/main/kotlin/copperglade/fleet/QuotaUsage.kt
@@ -4,7 +4,7 @@
 import copperglade.settings.Team
 import kotlin.math.max
 
-/** CPUs that are counted against the quotas of [teams]. */
+/** The CPUs that count against the quotas of the [teams]. */
 internal class QuotaUsage(private val teams: Map<TeamName, Team>) {
     private val usedCpus = HashMap<TeamName, Double>()
 
@@ -12,7 +12,7 @@
         usedCpus.merge(team, cpus, Double::plus)
     }
 
-    /** What is left of the team's quota; very large where it has none. */
+    /** The unused part of the team's quota; very large where the team has no quota. */
     fun remainingCpus(team: TeamName): Double {
         val quotaCpus = teams[team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
         return max(0.0, quotaCpus - (usedCpus[team] ?: 0.0))
--- a/src/main/kotlin/copperglade/fleet/ScaleIn.kt
+++ b/src/main/kotlin/copperglade/fleet/ScaleIn.kt
@@ -4,19 +4,19 @@
 import copperglade.protocol.MachineName
 import copperglade.storage.Replica
 
-/** Chooses which machines the shard owners are to delete. */
+/** Chooses the machines that the shard owners should delete. */
 internal class ScaleIn(
     private val replica: Replica,
     private val types: MachineTypeCatalog,
     private val settings: AutoscalerSettings,
 ) {
-    /** Machines that are idle and not worth keeping, whatever the demand is. */
+    /** The machines that are idle and not worth keeping, regardless of demand. */
     fun unusable(machines: Collection<MachineAvailability>): List<MachineName> =
         machines.filter { !it.worthKeeping && it.idleMillis > MIN_UNUSABLE_IDLE_MILLIS }.map { it.name }
 
     /**
-     * The [unusable] machines, and those that have been idle for long while the others in [inventory] are enough for [target].
-     * The longer it takes to replace a machine, the longer an idle one is kept.
+     * The [unusable] machines, and machines that have been idle for long, as far as the rest of [inventory] covers [target].
+     * The longer replacing a machine takes, the longer an idle machine is kept.
      */
     fun choose(
         machines: Collection<MachineAvailability>,
--- a/src/main/kotlin/copperglade/fleet/ScaleOut.kt
+++ b/src/main/kotlin/copperglade/fleet/ScaleOut.kt
@@ -5,13 +5,15 @@
 import copperglade.protocol.MonotonicTime
 import kotlin.math.ceil
 
-/** Chooses which machines to rent for the CPUs that are missing. */
+/** Chooses and requests machines for missing CPUs. */
 internal class ScaleOut(private val cloud: CloudMachines, private val types: MachineTypeCatalog) {
     private class Offer(val kind: MachineKind, val type: MachineType)
 
     /**
-     * Requests machines with about [cpus] in all, the cheapest per CPU first, then the kinds that [inventory] has fewest of; those
-     * of a type are spread over its zones. Returns how many CPUs were requested.
+     * Requests machines with about [cpus] CPUs in total, and returns the number of CPUs requested.
+     *
+     * Kinds with the lowest price per CPU come first, and among equal prices the kinds that [inventory] has fewest of. The machines of
+     * a type are spread over its zones.
      */
     fun rent(
         cpus: Double,
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -15,8 +15,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Records each action and what it rested on: which fencing token, how old the records were, how long the authority to act would last,
- * what the job waited for. Each action is a line at `debug`; at `info` there are counts, once a minute.
+ * Records each action of this controller together with its basis: the fencing token, the age of the records, the remaining duration of
+ * the authority to act, and the state of the job and its dependencies.
+ *
+ * Each action is logged at `debug`; the counts of actions are logged at `info` once a minute.
  */
 class ActionAudit(
     private val loop: EventLoop,
@@ -26,10 +28,10 @@
 ) {
     private val counts = TreeMap<String, Int>()
 
-    /** Logs the counts at intervals, from now on. */
+    /** Starts logging the counts at regular intervals. */
     fun start() = loop.scheduleRepeating({ INTERVAL }, ::logCounts)
 
-    /** [commands] go out to [machine] under [token], by this [channel]: directly or with the answer to a heartbeat. */
+    /** Records that [commands] are sent to [machine] under [token], by [channel]: directly or in the answer to a heartbeat. */
     fun recordCommands(machine: MachineName, token: FencingToken, commands: List<Command>, channel: String) {
         for (command in commands) {
             val event = when (command) {
@@ -52,7 +54,7 @@
         }
     }
 
-    /** A heartbeat of [machine] is answered with 200, which renews its lease; the answer carries [stops] stop commands. */
+    /** Records a 200 answer to a heartbeat of [machine], which renews the worker's lease and has [stops] stop commands. */
     fun recordHeartbeatReply(machine: MachineName, token: FencingToken, stops: Int) {
         count("heartbeat_answered")
         if (log.isDebugEnabled) {
@@ -61,11 +63,11 @@
     }
 
     /**
-     * The shard no longer follows [task], since its record says that it has ended or is assigned elsewhere.
+     * Records that the shard owner no longer tracks [task], since the record says that the task has ended or is assigned elsewhere.
      *
-     * @param state the state in which its owner knew it last.
-     * @param machine the machine that it is on, or was to be started on.
-     * @param onMachine whether it may be on that machine now, or come to be.
+     * @param state the last state of the task at the shard owner.
+     * @param machine the machine that the task is on or was to be started on.
+     * @param onMachine whether the task may be on that machine now, or may still start there.
      */
     fun recordDroppedRun(task: TaskId, state: String, machine: MachineName?, onMachine: Boolean) {
         count(if (onMachine) "run_dropped_on_machine" else "run_dropped")
@@ -73,13 +75,13 @@
         log.debug("run_dropped task={} state={} machine={} on_machine={} {}", task, state, machine, onMachine, jobContext(task.job))
     }
 
-    /** The leader asks the state service to end [job]. */
+    /** Records that the leader requests the end of [job] from the state service. */
     fun recordJobEnd(job: JobId) {
         count("job_end_requested")
         if (log.isDebugEnabled) log.debug("job_end_requested job={} {}", job, jobContext(job))
     }
 
-    /** A waiting task is not started, for another reason than before. */
+    /** Records that a waiting task is not started, for a reason other than the last one recorded. */
     fun recordRefusal(task: TaskId, refusal: Refusal) {
         count("start_refused_${refusal.name.lowercase()}")
         if (log.isDebugEnabled) log.debug("start_refused task={} reason={} {}", task, refusal, jobContext(task.job))
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -13,8 +13,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What the event loop spends its time on, by kind of work; logged once a minute. A controller can follow as many machines as its loop
- * has time for.
+ * The time that the event loop spends on each kind of work, logged once a minute. The event loop's time limits how many machines a
+ * controller can manage.
  */
 class EventLoopMetrics(private val loop: EventLoop) {
     private class Usage {
@@ -32,10 +32,10 @@
     private val usageByKind = TreeMap<String, Usage>()
     private var intervalStartedAt = loop.now()
 
-    /** Logs at intervals, from now on. */
+    /** Starts logging the usage at regular intervals. */
     fun start() = loop.scheduleRepeating({ INTERVAL }, ::logUsage)
 
-    /** Runs [action] and counts its time under [kind], also where it throws. Times of nested actions count under both kinds. */
+    /** Runs [action] and counts its time under [kind], also where [action] throws. Times of nested actions count under both kinds. */
     fun measure(kind: String, action: () -> Unit) {
         val startedAtMicros = loop.micros()
         try {
@@ -46,12 +46,12 @@
         }
     }
 
-    /** [handler], its time counted under `in:` and the first segment of the request's path. */
+    /** Wraps [handler] so that its time counts under `in:` and the first segment of the request's path. */
     fun measured(handler: RequestHandler) = RequestHandler { request: Request, responder: Responder ->
         measure("in:${firstSegment(request)}") { handler.handle(request, responder) }
     }
 
-    /** [caller], the time of its callbacks counted under `out:` and the first segment of the request's path. */
+    /** Wraps [caller] so that the time of its callbacks counts under `out:` and the first segment of the request's path. */
     fun measured(caller: HttpClient) = HttpClient { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
         val kind = "out:${firstSegment(request)}"
         caller.call(to, request, timeout) { reply -> measure(kind) { done(reply) } }
--- a/src/main/kotlin/copperglade/observability/RequestLatency.kt
+++ b/src/main/kotlin/copperglade/observability/RequestLatency.kt
@@ -8,15 +8,15 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** How long users wait for answers to one [kind] of request; logged once a minute where there were any. */
+/** The time that users wait for answers to one [kind] of request, logged once a minute where there were answers. */
 class RequestLatency(private val loop: EventLoop, private val kind: String) {
     private val histogram = Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS)
     private var unavailableAnswers = 0
 
-    /** Logs at intervals, from now on. */
+    /** Starts logging the latency at regular intervals. */
     fun start() = loop.scheduleRepeating({ INTERVAL }, ::logLatency)
 
-    /** A responder that also records the time from now to the answer, which it passes on to [responder]. */
+    /** Wraps [responder] so that the time from now to the answer is recorded. */
     fun timed(responder: Responder): Responder {
         val startedAt = loop.now()
         return Responder { reply: Reply ->
--- a/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 
-/** Bodies and limits of the cloud's HTTP interface. A malformed response decodes to null, malformed entries of a list are left out. */
+/** Bodies and limits of the cloud's HTTP interface. A malformed response decodes to null; malformed entries of a list are omitted. */
 object CloudApiCodec {
     const val MAX_MACHINES_PER_RENTAL = 50
     const val MAX_MACHINES_PER_DELETION = 100
     const val MACHINES_PER_PAGE = 500
     private const val RESPONSE = "cloud_response"
 
-    /** The machine types of the catalog. */
+    /** Decodes the machine types of the catalog. */
     fun decodeMachineTypes(root: JsonNode?): List<MachineType>? = Decoding.orNull(RESPONSE) {
         root?.get("fleets")?.takeIf { it.isArray }?.mapNotNull(::decodeMachineType)
     }
@@ -30,7 +30,7 @@
         )
     }
 
-    /** A page of the list of machines. */
+    /** Decodes a page of the list of machines. */
     fun decodeMachinePage(root: JsonNode?): MachinePage? = Decoding.orNull(RESPONSE) {
         root?.get("trucks")?.takeIf { it.isArray }?.let { machines ->
             MachinePage(machines.mapNotNull(::decodeMachine), root.booleanOrNull("truncated") ?: false)
@@ -53,7 +53,7 @@
         )
     }
 
-    /** Asks for [count] machines; repeating the same [request] rents none twice. */
+    /** Encodes a request for [count] machines; a repetition under the same [request] name rents no further machines. */
     fun encodeRental(request: String, type: String, zone: String, spot: Boolean, count: Int): ByteArray = Json.write {
         writeJsonObject {
             writeStringField("hire", request)
@@ -64,12 +64,12 @@
         }
     }
 
-    /** The names of the machines that a rental has brought. */
+    /** Decodes the names of the rented machines. */
     fun decodeRental(root: JsonNode?): List<MachineName>? = Decoding.orNull(RESPONSE) {
         root?.get("trucks")?.takeIf { it.isArray }?.map { MachineName(it.asText()) }
     }
 
-    /** Asks for [machines] to be deleted. */
+    /** Encodes a request to delete [machines]. */
     fun encodeDeletion(machines: List<MachineName>): ByteArray = Json.write {
         writeJsonObject { writeJsonArray("trucks") { machines.forEach { writeString(it.text) } } }
     }
--- a/src/main/kotlin/copperglade/protocol/CloudMachines.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudMachines.kt
@@ -3,11 +3,11 @@
 /**
  * A machine type of the cloud's catalog.
  *
- * @property imageCacheGb how much of its disk caches images.
- * @property price of an on-demand machine; only compared with each other.
- * @property spotPrice of a spot machine.
- * @property bootSeconds how long the cloud says that booting takes.
- * @property zones where it can be rented.
+ * @property imageCacheGb the part of the disk that caches images.
+ * @property price the price of an on-demand machine; prices are only compared with each other.
+ * @property spotPrice the price of a spot machine.
+ * @property bootSeconds the boot time that the cloud states.
+ * @property zones the zones in which the type can be rented.
  */
 class MachineType(
     val name: String,
@@ -20,10 +20,10 @@
     val zones: List<String>,
 )
 
-/** What the cloud says of a machine. */
+/** The status of a machine in the cloud's list. */
 enum class MachineStatus { BOOTING, RUNNING, FAILED }
 
-/** A machine as the cloud lists it, some seconds late. */
+/** A machine in the cloud's list, which lags some seconds behind. */
 class ListedMachine(
     val name: MachineName,
     val type: String,
@@ -33,5 +33,5 @@
     val ageSeconds: Double,
 )
 
-/** A page of the cloud's list of machines; [hasMore] tells whether others follow. */
+/** A page of the cloud's list of machines; [hasMore] tells whether further pages follow. */
 class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
--- a/src/main/kotlin/copperglade/protocol/ClusterNames.kt
+++ b/src/main/kotlin/copperglade/protocol/ClusterNames.kt
@@ -1,12 +1,12 @@
 package copperglade.protocol
 
-/** A machine's name; names are in order of creation and never given twice. */
+/** A machine's name. Names ascend in order of creation and are never reused. */
 @JvmInline
 value class MachineName(val text: String) {
     override fun toString() = text
 }
 
-/** A controller's name; it stays the same over restarts, see [Incarnation]. */
+/** A controller's name, which stays the same over restarts; an [Incarnation] identifies one process of a controller. */
 @JvmInline
 value class MemberId(val text: String) {
     override fun toString() = text
@@ -18,7 +18,7 @@
     override fun toString() = text
 }
 
-/** The name of a team that submits jobs under a guarantee and a limit. */
+/** The name of a team that submits jobs and has a guaranteed share and a limit. */
 @JvmInline
 value class TeamName(val text: String) {
     override fun toString() = text
--- a/src/main/kotlin/copperglade/protocol/Command.kt
+++ b/src/main/kotlin/copperglade/protocol/Command.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** What a shard's owner tells a worker to do with an attempt at a task. */
+/** A command of a shard owner to a worker, about an attempt at a task. */
 sealed interface Command {
     val task: TaskId
     val attempt: Attempt
@@ -8,9 +8,9 @@
     /** Starts the attempt. */
     data class Start(override val task: TaskId, override val attempt: Attempt) : Command
 
-    /** Stops the attempt, with time for a checkpoint where it needs no more than [graceSeconds]. */
+    /** Stops the attempt, after a checkpoint where that takes no more than [graceSeconds]. */
     data class Stop(override val task: TaskId, override val attempt: Attempt, val graceSeconds: Double) : Command
 
-    /** Removes what the worker keeps of an attempt that has ended. */
+    /** Removes the worker's record of an attempt that has ended. */
     data class Remove(override val task: TaskId, override val attempt: Attempt) : Command
 }
--- a/src/main/kotlin/copperglade/protocol/Endpoint.kt
+++ b/src/main/kotlin/copperglade/protocol/Endpoint.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** Host and port. */
+/** A network address: host and port. */
 data class Endpoint(val host: String, val port: Int) {
     override fun toString() = "$host:$port"
 
--- a/src/main/kotlin/copperglade/protocol/Heartbeat.kt
+++ b/src/main/kotlin/copperglade/protocol/Heartbeat.kt
@@ -1,17 +1,17 @@
 package copperglade.protocol
 
-/** What a worker says of a task that it has, with the name on the wire. */
+/** The state of a task as reported by its worker, with the name on the wire. */
 enum class ReportedTaskState(val wireName: String) {
     FETCHING("pulling"),
 
-    /** Only gangs wait for their other tasks; read so that a newer worker is understood. */
+    /** A gang's task that waits for the gang's other tasks; decoded so that heartbeats of newer workers are accepted. */
     WAITING("waiting"),
     RUNNING("running"),
     CHECKPOINTING("saving"),
     EXITED("ended"),
 }
 
-/** Why a task has ended, with the name on the wire. */
+/** The reason why a task has ended, with the name on the wire. */
 enum class ExitCause(val wireName: String) {
     DONE("done"),
     STOPPED("halted"),
@@ -20,20 +20,20 @@
     BUSY("busy"),
     UNKNOWN_JOB("no_such"),
 
-    /** A cause that this version doesn't know. */
+    /** Any cause that this version does not define. */
     OTHER("other"),
 }
 
-/** A task on a machine, as its worker reports it; [cause] is given where it has ended. */
+/** A task on a machine, as reported by the machine's worker; [cause] is set where the task has ended. */
 data class ReportedTask(val task: TaskId, val attempt: Attempt, val state: ReportedTaskState, val cause: ExitCause?)
 
 /**
- * A worker's regular report, and its answer to commands.
+ * A worker's report, which the worker sends at regular intervals and as its answer to commands.
  *
- * @property epoch grows whenever the worker has lost its lease, or its process has begun.
- * @property sequenceNumber grows with each heartbeat of an epoch.
- * @property fencingToken the highest that the worker has seen.
- * @property evictionNoticeSeconds when the cloud takes the machine back; null: not announced.
+ * @property epoch increases whenever the worker has lost its lease or the worker's process has started.
+ * @property sequenceNumber increases with each heartbeat of an epoch.
+ * @property fencingToken the highest fencing token that the worker has received.
+ * @property evictionNoticeSeconds when the cloud reclaims the machine; null: no eviction is announced.
  */
 data class Heartbeat(
     val machine: MachineName,
@@ -47,7 +47,7 @@
     val evictionNoticeSeconds: Double?,
     val reportedTasks: List<ReportedTask>,
 ) {
-    /** Whether it was made after the heartbeat with these numbers. */
+    /** Whether this heartbeat was made after the heartbeat with the given numbers. */
     fun isNewerThan(otherEpoch: Long, otherSequenceNumber: Long): Boolean =
         epoch > otherEpoch || (epoch == otherEpoch && sequenceNumber > otherSequenceNumber)
 }
--- a/src/main/kotlin/copperglade/protocol/HeartbeatParser.kt
+++ b/src/main/kotlin/copperglade/protocol/HeartbeatParser.kt
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonToken
 
 /**
- * Reads a heartbeat from a stream of tokens: many come every second, and no tree of them is built. A missing or mistyped field that is
- * required makes it null as a whole; unknown fields are skipped.
+ * Parses a heartbeat from a stream of tokens, without building a JSON tree, since a controller receives many heartbeats a second. A
+ * heartbeat in which a required field is missing or mistyped parses to null; unknown fields are skipped.
  */
 internal class HeartbeatParser {
     private var machine: String? = null
@@ -19,7 +19,7 @@
     private var evictionNoticeSeconds: Double? = null
     private var reportedTasks: List<ReportedTask>? = emptyList()
 
-    /** Reads the fields of the object that [parser] has just entered. */
+    /** Parses the fields of the object whose start [parser] has just read; returns null for an invalid heartbeat. */
     fun parse(parser: JsonParser): Heartbeat? {
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             val name = parser.currentName()
@@ -101,7 +101,7 @@
 
     private fun JsonParser.booleanOrNull(): Boolean? = if (currentToken().isBoolean) booleanValue else skipMistyped()
 
-    /** Skips a value of another type than the field should have. */
+    /** Skips a value whose type is not the type of the field. */
     private fun JsonParser.skipMistyped(): Nothing? {
         skipChildren()
         return null
--- a/src/main/kotlin/copperglade/protocol/JobIds.kt
+++ b/src/main/kotlin/copperglade/protocol/JobIds.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** A job's id as its user chose it. */
+/** A job's id, chosen by the job's user. */
 @JvmInline
 value class JobId(val text: String) {
     override fun toString() = text
@@ -29,7 +29,7 @@
     }
 }
 
-/** An attempt at a task. Derived from the shard owner's fencing token, so that no two owners ever choose the same number. */
+/** An attempt at a task. Its number contains the shard owner's fencing token, so that no two owners ever choose the same number. */
 @JvmInline
 value class Attempt(val number: Long) {
     override fun toString() = number.toString()
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** How a job's tasks belong together, with its name on the wire. */
+/** How a job's tasks run in relation to each other, with the name on the wire. */
 enum class JobKind(val wireName: String) {
     /** Tasks that run once each, independently of each other. */
     ARRAY("array"),
@@ -8,11 +8,11 @@
     /** Tasks that run until they are cancelled. */
     SERVICE("daemon"),
 
-    /** All tasks at once or none; the protocol at hand takes no such submissions. */
+    /** All tasks run at once or none does; submissions of this kind are not accepted yet. */
     GANG("ensemble"),
 }
 
-/** From the most to the least important, with the name on the wire. */
+/** A job's priority, from the most to the least important, with the name on the wire. */
 enum class Priority(val wireName: String) {
     PRODUCTION("prod"),
     HIGH("urgent"),
@@ -24,18 +24,18 @@
 data class Image(val name: ImageName, val sizeGb: Double)
 
 /**
- * A job as its user described it.
+ * The description of a job in the user's submission.
  *
- * @property workloadClass the workload class that objectives and predictions go by.
- * @property request what each task takes.
- * @property types the machine types that its tasks may run on; null: any.
- * @property zone the zone that its tasks must run in; null: any.
+ * @property workloadClass the class by which service level objectives and run time predictions group jobs.
+ * @property request the resources that each task requests.
+ * @property types the machine types that the tasks may run on; null: any.
+ * @property zone the zone that the tasks must run in; null: any.
  * @property oneZone whether all tasks must run in the same zone.
  * @property spread whether no zone may run more than half of the tasks.
- * @property estimatedSeconds how long a task runs, by its user's estimate.
- * @property checkpointIntervalSeconds how often a task makes a checkpoint by itself; 0: never.
- * @property checkpointSeconds how long a task needs for a checkpoint before it stops.
- * @property deadlineSeconds how soon after its submission it should be done; null: no deadline.
+ * @property estimatedSeconds the run time of a task, as estimated by the user.
+ * @property checkpointIntervalSeconds the interval at which a running task makes checkpoints; 0: never.
+ * @property checkpointSeconds the time that a task needs for a checkpoint before the task stops.
+ * @property deadlineSeconds the time after submission within which the job should be done; null: no deadline.
  */
 data class JobSpec(
     val id: JobId,
@@ -60,12 +60,12 @@
     fun allows(type: String, machineZone: String, spot: Boolean): Boolean =
         (types == null || type in types) && (zone == null || zone == machineZone) && (!spot || spotAllowed)
 
-    /** The most tasks that [spread] lets one zone hold. */
+    /** The maximum number of tasks that may run in one zone, given [spread]. */
     val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
-    /** The same job with another priority. */
+    /** A copy with another priority. */
     fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) this else copy(priority = priority)
 
-    /** The same job without the list of machine types, which isn't needed once none of its tasks is placed any more. */
+    /** A copy without the list of machine types, which isn't needed once no task of the job is placed any more. */
     fun withoutTypes(): JobSpec = copy(types = null)
 }
--- a/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
@@ -3,25 +3,25 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.databind.JsonNode
 
-/** Reads and writes jobs in the users' wire form, which stored records share. */
+/** Decodes and encodes jobs in the wire form of the users' API, which stored records use as well. */
 object JobSpecCodec {
-    /** The jobs that have to be done before this one; the stored record of a job uses the same name. */
+    /** The field that lists the jobs to be done before this one; the stored record of a job uses the same name. */
     const val DEPENDENCIES = "awaits"
     private const val MAX_TASKS = 100_000
     private const val MAX_AMOUNT = 1e9
     private const val MAX_TEXT_LENGTH = 200
 
-    /** Ends the reading of a submission; never leaves this codec. */
+    /** Aborts the decoding of a submission; always caught within this codec. */
     private class InvalidFieldException(val error: InvalidField) : Exception(null, null, false, false)
 
-    /** Reads a user's submission; bytes that aren't a JSON object in UTF-8 are invalid. */
+    /** Decodes a user's submission; bytes that aren't a JSON object in UTF-8 are invalid. */
     fun decodeSubmission(bytes: ByteArray): ParsedSubmission {
         val root = Json.readStrict(bytes)
         return Decoding.orNull("submission") { parse(root) }
             ?: ParsedSubmission.Invalid(InvalidField("body", "malformed"), root?.let(::readIdOrNull))
     }
 
-    /** Reads a job from its parsed wire form. */
+    /** Decodes a job from the JSON tree of its wire form. */
     fun parse(root: JsonNode?): ParsedSubmission = try {
         if (root == null || !root.isObject) reject("body", "not a JSON object")
         ParsedSubmission.Valid(readJobSpec(root), readDependencies(root))
@@ -51,7 +51,7 @@
         deadlineSeconds = if (root.fieldOrNull("dueS") == null) null else readNumber(root, "dueS"),
     )
 
-    /** Writes [spec] as [parse] reads it; its dependencies are not part of it. */
+    /** Writes [spec] in the form that [parse] decodes. A spec holds no dependencies, so none are written. */
     fun write(out: JsonGenerator, spec: JobSpec) = with(out) {
         writeJsonObject {
             writeStringField("nameId", spec.id.text)
--- a/src/main/kotlin/copperglade/protocol/JobSummary.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSummary.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** What has become of a job, with the name on the wire. A final status never changes. */
+/** The status of a job, with the name on the wire. A final status never changes. */
 enum class JobStatus(val wireName: String, val isFinal: Boolean) {
     QUEUED("queued", false),
     RUNNING("running", false),
@@ -9,9 +9,9 @@
 }
 
 /**
- * What a user is told of a job.
+ * The progress of a job, as reported to users.
  *
- * @property done how many of its tasks are done.
- * @property running how many of its tasks are assigned to machines.
+ * @property done the number of tasks that are done.
+ * @property running the number of tasks that are assigned to machines.
  */
 class JobSummary(val id: JobId, val status: JobStatus, val done: Int, val running: Int)
--- a/src/main/kotlin/copperglade/protocol/Json.kt
+++ b/src/main/kotlin/copperglade/protocol/Json.kt
@@ -13,7 +13,7 @@
 import java.nio.ByteBuffer
 import java.nio.charset.CharacterCodingException
 
-/** The one place where Jackson is set up. Heartbeats are read as a stream and everything else as a tree; bodies are written as a stream. */
+/** The shared Jackson setup. Heartbeats are read as a stream and everything else as a tree; bodies are written as a stream. */
 object Json {
     private const val MAX_NESTING_DEPTH = 32
     private const val INITIAL_BYTES = 256
@@ -24,7 +24,7 @@
         .build()
     private val mapper = ObjectMapper(factory)
 
-    /** The tree, or null where the bytes are not one JSON value in UTF-8. */
+    /** Reads [bytes] into a tree; returns null where [bytes] are not one JSON value in UTF-8. */
     fun read(bytes: ByteArray): JsonNode? = try {
         mapper.readTree(bytes)?.takeUnless { it.isMissingNode }
     } catch (_: JsonProcessingException) {
@@ -33,7 +33,7 @@
         null
     }
 
-    /** As [read], for bytes of users: also refuses what is not UTF-8 and what follows the value. */
+    /** As [read], for bytes sent by users: also returns null for invalid UTF-8 and for content after the value. */
     fun readStrict(bytes: ByteArray): JsonNode? {
         try {
             Charsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes))
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A parser for what is read as a stream; the caller closes it. */
+    /** A streaming parser for [bytes]; the caller must close the parser. */
     fun parser(bytes: ByteArray): JsonParser = factory.createParser(bytes)
 
     /** The bytes of the JSON value that [content] writes. */
--- a/src/main/kotlin/copperglade/protocol/ParsedSubmission.kt
+++ b/src/main/kotlin/copperglade/protocol/ParsedSubmission.kt
@@ -1,13 +1,13 @@
 package copperglade.protocol
 
-/** What was wrong with a submission, by the name of its field on the wire. */
+/** The [problem] of a submission's invalid [field], which is named as on the wire. */
 class InvalidField(val field: String, val problem: String)
 
-/** What a submission's body holds. */
+/** The result of decoding a submission's body. */
 sealed interface ParsedSubmission {
-    /** @property dependencies the jobs that have to be done before it, each named once. */
+    /** @property dependencies the jobs to be done before this one, without duplicates. */
     class Valid(val spec: JobSpec, val dependencies: List<JobId> = emptyList()) : ParsedSubmission
 
-    /** @property id the job's id, where that much could be read. */
+    /** @property id the job's id; null where the id could not be decoded. */
     class Invalid(val error: InvalidField, val id: JobId? = null) : ParsedSubmission
 }
--- a/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerMessageCodec.kt
@@ -3,8 +3,8 @@
 import okio.Buffer
 
 /**
- * Messages between controllers, in binary. Each begins with its version; a message of another version, or one that is cut off, decodes
- * to null.
+ * The binary messages between controllers. Each message begins with its version; a message of another version, or a truncated message,
+ * decodes to null.
  */
 object PeerMessageCodec {
     /** Body: a status. */
@@ -13,13 +13,16 @@
     /** Body: the name of the member that asks to be endorsed. */
     const val ENDORSEMENT_PATH = "/vouch"
 
-    /** Body: cancellations that have just become durable. Versions that don't know the path answer 404, and learn of them by reading. */
+    /**
+     * Body: cancellations that have just become durable. Controllers of versions without this path answer 404, and observe the
+     * cancellations when they read the state service.
+     */
     const val CANCELLATIONS_PATH = "/cancelled"
     private const val STATUS_VERSION = 2
     private const val CANCELLATIONS_VERSION = 1
     private const val MAX_LENGTH = 100_000
 
-    /** The bytes of a status, as [decodeStatus] reads them. */
+    /** Encodes a status for [decodeStatus]. */
     fun encodeStatus(status: PeerStatus): ByteArray {
         val out = Buffer()
         out.writeByte(STATUS_VERSION)
@@ -28,7 +31,7 @@
         out.writeLong(status.knownRevision.number)
         out.writeLong(status.stateServiceAnswerAgeMillis)
         out.writeFlag(status.isLeader)
-        // Types, zones and images recur on many machines: each is written once, ahead of the shards, and then by its index.
+        // Many machines share types, zones and images: each string is written once, ahead of the shards, and then by its index.
         val strings = StringTable()
         val shards = Buffer()
         shards.writeItems(status.shards) { shard ->
@@ -44,7 +47,7 @@
         return out.readByteArray()
     }
 
-    /** The status, or null where the bytes are not one of this version. */
+    /** Decodes a status; returns null where [bytes] are not a status of this version. */
     fun decodeStatus(bytes: ByteArray): PeerStatus? = decodeOrNull {
         val source = Buffer().write(bytes)
         if (source.readByte().toInt() == STATUS_VERSION) readStatus(source) else null
@@ -69,7 +72,7 @@
         }
     }
 
-    /** The bytes of cancellations, as [decodeCancellations] reads them. */
+    /** Encodes cancellations for [decodeCancellations]. */
     fun encodeCancellations(cancellations: List<Cancellation>): ByteArray {
         val out = Buffer()
         out.writeByte(CANCELLATIONS_VERSION)
@@ -80,17 +83,17 @@
         return out.readByteArray()
     }
 
-    /** The cancellations, or null where the bytes are not of this version. */
+    /** Decodes cancellations; returns null where [bytes] are not cancellations of this version. */
     fun decodeCancellations(bytes: ByteArray): List<Cancellation>? = decodeOrNull {
         val source = Buffer().write(bytes)
         require(source.readByte().toInt() == CANCELLATIONS_VERSION)
         source.readItems { Cancellation(requireNotNull(JobId.parse(readText())), Revision(readLong())) }
     }
 
-    /** What [decode] makes of a message, or null where it is no such message. */
+    /** Returns the result of [decode], or null where the message is malformed. */
     private fun <T : Any> decodeOrNull(decode: () -> T?): T? = Decoding.orNull("peer_message", decode)
 
-    /** The strings of a message by their index, in order of their first use. */
+    /** Assigns an index to each string of a message, in order of first use. */
     private class StringTable {
         private val indices = LinkedHashMap<String, Int>()
         val inOrder: List<String> get() = indices.keys.toList()
@@ -115,7 +118,7 @@
     }
 
     private fun Buffer.readMachine(strings: List<String>): MachineAvailability {
-        fun readString(): String = strings.getOrNull(readInt()) ?: throw IllegalArgumentException("no such string")
+        fun readString(): String = strings.getOrNull(readInt()) ?: throw IllegalArgumentException("string index out of range")
         return MachineAvailability(
             name = MachineName(readText()),
             type = readString(),
--- a/src/main/kotlin/copperglade/protocol/PeerStatus.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerStatus.kt
@@ -1,12 +1,12 @@
 package copperglade.protocol
 
 /**
- * The capacity of one machine, as its shard's owner sees it.
+ * The capacity of one machine, as reported by the shard owner.
  *
- * @property usable false where nothing new should be started, such as on a machine about to be taken back.
- * @property worthKeeping false where the machine had better be replaced.
- * @property idleMillis for how long nothing has been running on it.
- * @property preemptible by priority, the capacity that would be freed by stopping that work.
+ * @property usable false where no further task should be started, such as on a machine that the cloud is about to reclaim.
+ * @property worthKeeping false where the machine should be replaced.
+ * @property idleMillis the time since the last task left the machine; 0 while the machine has tasks.
+ * @property preemptible by priority, the capacity that stopping the tasks of that priority would free.
  */
 data class MachineAvailability(
     val name: MachineName,
@@ -20,22 +20,22 @@
     val preemptible: List<Resources>,
     val images: List<ImageName>,
 ) {
-    /** The same without its images, which a truncated status leaves out. */
+    /** A copy without images, which a truncated status omits. */
     fun withoutImages() = copy(images = emptyList())
 }
 
-/** The capacity of a shard's machines, under the fencing token of the owner that sends it. */
+/** The capacity of a shard's machines, with the fencing token of the shard owner that reports the capacity. */
 class ShardCapacity(val shard: ShardName, val fencingToken: FencingToken, val machines: List<MachineAvailability>)
 
 /**
- * What a controller sends the others several times a second. These are hints: a controller that acts on one checks it against the
- * state service, and nothing relies on receiving one.
+ * The status that a controller sends to the others several times a second. A status is a hint: a controller that acts on a status
+ * checks it against the state service, and no decision relies on receiving one.
  *
- * @property knownRevision everything up to this revision of the state service is in the status.
- * @property stateServiceAnswerAgeMillis for how long the state service has not answered this controller.
- * @property shardsToRelease from the leader: shards that it would rather see with another owner.
+ * @property knownRevision the revision of the state service up to which the status includes all changes.
+ * @property stateServiceAnswerAgeMillis the time since the state service last answered this controller.
+ * @property shardsToRelease from the leader: shards that their owners should release to another owner.
  * @property machinesToRetire from the leader: machines that are no longer needed.
- * @property desiredWritesPerSecond changes a second that this controller would like to make in the state service.
+ * @property desiredWritesPerSecond the rate at which this controller would write to the state service without a limit.
  */
 data class PeerStatus(
     val member: MemberId,
@@ -48,7 +48,10 @@
     val machinesToRetire: List<MachineName>,
     val desiredWritesPerSecond: Double,
 ) {
-    /** The machines with the most free CPUs, without their images, as many as fit into about [maxBytes]. */
+    /**
+     * A copy with the machines that have the most free CPUs, as many as fit into about [maxBytes], without their images and without the
+     * leader's requests.
+     */
     fun truncatedTo(maxBytes: Int): PeerStatus {
         val maxMachines = (maxBytes - BYTES_BESIDE_MACHINES) / BYTES_PER_MACHINE
         val chosen = shards
@@ -63,7 +66,7 @@
         return copy(shards = truncatedShards, shardsToRelease = emptyList(), machinesToRetire = emptyList())
     }
 
-    /** The same without the capacities, for the controllers that don't lead. */
+    /** A copy without capacities, for the controllers that are not the leader. */
     fun withoutCapacities() = copy(shards = emptyList())
 
     private companion object {
@@ -72,5 +75,5 @@
     }
 }
 
-/** The cancelled mark of [job] was written with [revision]. */
+/** The cancellation of [job], whose cancelled mark was written with [revision]. */
 class Cancellation(val job: JobId, val revision: Revision)
--- a/src/main/kotlin/copperglade/protocol/Resources.kt
+++ b/src/main/kotlin/copperglade/protocol/Resources.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** What a task takes, or what a machine has. */
+/** The resources that a task requests, or the capacity of a machine. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
     operator fun plus(other: Resources) =
         Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
--- a/src/main/kotlin/copperglade/protocol/Revisions.kt
+++ b/src/main/kotlin/copperglade/protocol/Revisions.kt
@@ -12,7 +12,10 @@
     }
 }
 
-/** The right to command a shard's workers: the revision of the shard's key. Workers refuse a lower one than they have seen. */
+/**
+ * The token under which a shard owner commands the shard's workers: the revision of the shard's key. A worker refuses commands with
+ * a lower token than the highest that the worker has received.
+ */
 @JvmInline
 value class FencingToken(val number: Long) : Comparable<FencingToken> {
     override fun compareTo(other: FencingToken) = number.compareTo(other.number)
@@ -24,13 +27,13 @@
     }
 }
 
-/** One process of a controller: the number of its session lease, which the state service never gives twice. */
+/** Identifies one process of a controller: the number of its session lease, which the state service never reuses. */
 @JvmInline
 value class Incarnation(val number: Long) {
     override fun toString() = number.toString()
 }
 
-/** The state service's name for a session lease. */
+/** The state service's identifier of a session lease. */
 @JvmInline
 value class LeaseId(val number: Long) {
     override fun toString() = number.toString()
--- a/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
@@ -1,6 +1,6 @@
 package copperglade.protocol
 
-/** Paths and bodies of the users' HTTP interface; submissions are read by [JobSpecCodec]. */
+/** Paths and bodies of the users' HTTP interface; submissions are decoded by [JobSpecCodec]. */
 object UserApiCodec {
     const val JOBS_PATH = "/submissions"
     const val HEALTH_PATH = "/healthz"
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The body of a refusal; [field] names the field of the request that it is about. */
+    /** The body of an error answer; [field] names the invalid field of the request, if any. */
     fun encodeError(problem: String, field: String? = null): ByteArray = Json.write {
         writeJsonObject {
             writeStringField("error", problem)
--- a/src/main/kotlin/copperglade/protocol/WorkerMessageCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/WorkerMessageCodec.kt
@@ -5,18 +5,18 @@
 
 /** Paths and bodies of the messages between controllers and workers. */
 object WorkerMessageCodec {
-    /** Workers send heartbeats here, to controllers. */
+    /** The path on controllers that workers send heartbeats to. */
     const val HEARTBEAT_PATH = "/checkin"
 
-    /** Controllers send commands here, to workers. */
+    /** The path on workers that controllers send commands to. */
     const val COMMAND_PATH = "/do"
 
-    /** Reads a heartbeat, or a worker's answer to commands; null where the bytes are none. */
+    /** Decodes a heartbeat, or a worker's answer to commands, which has the same form; returns null where [bytes] are malformed. */
     fun decodeHeartbeat(bytes: ByteArray): Heartbeat? = Decoding.orNull("heartbeat") {
         Json.parser(bytes).use { if (it.nextToken() == JsonToken.START_OBJECT) HeartbeatParser().parse(it) else null }
     }
 
-    /** The body of the 200 to a heartbeat, which renews the worker's lease. */
+    /** The body of the 200 answer to a heartbeat, which renews the worker's lease. */
     fun encodeHeartbeatReply(fencingToken: FencingToken, commands: List<Command>): ByteArray = Json.write {
         writeJsonObject {
             writeNumberField("baton", fencingToken.number)
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The body of commands that are sent directly; a worker in another [epoch] refuses them. */
+    /** The body of commands sent directly, outside the answer to a heartbeat; a worker in another [epoch] refuses the commands. */
     fun encodeCommands(fencingToken: FencingToken, epoch: Long, commands: List<Command>): ByteArray = Json.write {
         writeJsonObject {
             writeNumberField("baton", fencingToken.number)
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Redirects a worker to its shard's [owner]; without one it tries the next controller by itself. */
+    /** The body that redirects a worker to its shard's [owner]. Where [owner] is null, the worker tries the next controller. */
     fun encodeRedirect(owner: MemberId?): ByteArray = Json.write {
         writeJsonObject { owner?.let { writeStringField("dispatcher", it.text) } }
     }
--- a/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
@@ -12,7 +12,7 @@
         "borrowed":true,"etaS":5.0,"waypointS":0.0,"unloadS":0.0,"dueS":20.0,"new":"field"}"""
 
     @Test
-    fun `a job survives its own wire form`() {
+    fun `an encoded job decodes to the same job`() {
         val spec = (JobSpecCodec.parse(Json.read(job.toByteArray())) as ParsedSubmission.Valid).spec
         val decoded = (
             JobSpecCodec.parse(
@@ -41,7 +41,7 @@
         "'\"oneZone\":false,', '', oneZone",
         "'\"dueS\":20.0', '\"dueS\":\"late\"', dueS",
     )
-    fun `bad fields are named`(part: String, by: String, field: String) {
+    fun `an invalid submission is rejected with the name of the invalid field`(part: String, by: String, field: String) {
         val parsed = JobSpecCodec.parse(Json.read(job.replace(part, by).toByteArray()))
         assertEquals(field, (parsed as ParsedSubmission.Invalid).error.field)
     }
--- a/src/test/kotlin/copperglade/protocol/JsonTest.kt
+++ b/src/test/kotlin/copperglade/protocol/JsonTest.kt
@@ -6,7 +6,7 @@
 
 class JsonTest {
     @Test
-    fun `strict reading refuses other text than one value in UTF-8`() {
+    fun `strict reading returns null for bytes other than one JSON value in UTF-8`() {
         assertNull(Json.readStrict(byteArrayOf('"'.code.toByte(), 0xC3.toByte(), '"'.code.toByte())))
         assertNull(Json.readStrict("{} {}".toByteArray()))
         assertNull(Json.readStrict("{".toByteArray()))
--- a/src/test/kotlin/copperglade/protocol/PeerMessageCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/PeerMessageCodecTest.kt
@@ -7,7 +7,7 @@
 
 class PeerMessageCodecTest {
     @Test
-    fun `cancellations survive their own wire form, and other bytes are none`() {
+    fun `encoded cancellations decode to the same cancellations, and corrupted bytes decode to null`() {
         val sent = listOf(Cancellation(JobId("job-7"), Revision(12)), Cancellation(JobId("job-000412"), Revision(1L shl 40)))
         val bytes = PeerMessageCodec.encodeCancellations(sent)
         assertEquals(sent.map { it.job to it.revision }, PeerMessageCodec.decodeCancellations(bytes)!!.map { it.job to it.revision })
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `a peer status survives its buffer, and a torn one is refused`() {
+    fun `an encoded peer status decodes to the same status, and a truncated one decodes to null`() {
         val machine = MachineAvailability(
             MachineName("i-1"),
             "a",
--- a/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
@@ -9,7 +9,7 @@
 import java.util.Random
 
 class WorkerMessageCodecTest {
-    /** The plain way to read a report, by a tree: what the streaming one must agree with. */
+    /** Decodes a heartbeat from a JSON tree, as a reference for the streaming parser. */
     private fun decodeFromTree(bytes: ByteArray): String? {
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
         val reportedTasks = root.fieldOrNull("boxes")
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3])
-    fun `reports read in a stream are those that a tree gives`(seed: Long) {
+    fun `the streaming parser and the tree decoder agree on valid and malformed heartbeats`(seed: Long) {
         val random = Random(seed)
         val replacements =
             listOf("null", "7", "-1", "1.5", "\"x\"", "true", "[]", "[1,{}]", "{}", "{\"a\":[2]}", "\"job-1/0\"", "\"ended\"", "1e3")
@@ -60,11 +60,11 @@
             assertEquals(decodeFromTree(text.toByteArray()), read?.let(::fieldsAsText), text)
             if (read != null) validCount++
         }
-        assertTrue(validCount in 20..480, "$validCount sound ones")
+        assertTrue(validCount in 20..480, "$validCount valid heartbeats")
     }
 
     @Test
-    fun `bad reports are no reports`() {
+    fun `malformed heartbeats decode to null`() {
         assertNull(WorkerMessageCodec.decodeHeartbeat("[]".toByteArray()))
         assertNull(WorkerMessageCodec.decodeHeartbeat("""{"truck":"i-1"}""".toByteArray()))
     }
