--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -32,7 +32,7 @@
     /** Calls [onResult] exactly once, during this call or later. */
     fun read(id: JobId, onResult: (JobStatusResult) -> Unit) {
         // An end record never changes, so a cached one needs no read.
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         if (end != null) return onResult(JobStatusResult.Found(summaryOf(id, end)))
         readRecords(id, loop.now(), onResult)
     }
@@ -42,7 +42,7 @@
 
     private fun onRecords(id: JobId, askedAt: MonotonicTime, outcome: CatchUpOutcome, onResult: (JobStatusResult) -> Unit) {
         val job = replica.jobs[id]
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         when {
             // This process may have paused between the read and now, while another controller reported a newer status to the user.
             outcome != CatchUpOutcome.Current || loop.now() >= askedAt + MAX_READ_AGE -> onResult(JobStatusResult.Unavailable)
@@ -52,12 +52,12 @@
             // The cancelled mark came from a peer, ahead of the read: the last task may have been recorded as done just before the mark.
             job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
             job?.live != null -> onResult(JobStatusResult.Found(summaryOf(job)))
-            else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
+            else -> replica.readEndRecord(id) { onEndRecord(id, it, onResult) }
         }
     }
 
     private fun onEndRecord(id: JobId, outcome: ReadOutcome, onResult: (JobStatusResult) -> Unit) {
-        val end = replica.endOf(id)
+        val end = replica.endRecordOf(id)
         onResult(
             when {
                 outcome == ReadOutcome.Failed -> JobStatusResult.Unavailable
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -66,7 +66,7 @@
      * case the records must be recent enough that a cancellation which they don't contain yet is still carried out in time.
      */
     override val mayAct: Boolean
-        get() = ownershipIntact && recordsComplete && loop.now() < replica.readTime + limits.actionStalenessLimit
+        get() = ownershipIntact && recordsComplete && loop.now() < replica.snapshotTakenAt + limits.actionStalenessLimit
 
     /** False during a reload of the replica: a part of the records is missing then, so they are no basis for decisions. */
     private val recordsComplete: Boolean get() = replica.state == ReplicaState.CURRENT
@@ -76,7 +76,7 @@
         get() {
             if (!mayAct) return 0
             val ownershipUntil = maxOf(lease.validUntil, leaseEndorsement.endorsedUntil)
-            return minOf(ownershipUntil, replica.readTime + limits.actionStalenessLimit).ms - loop.now().ms
+            return minOf(ownershipUntil, replica.snapshotTakenAt + limits.actionStalenessLimit).ms - loop.now().ms
         }
 
     /**
@@ -86,7 +86,7 @@
      * this process before.
      */
     override val mayStartTasks: Boolean
-        get() = mayAct && (loop.now() < replica.readTime + limits.startStalenessLimit || loop.now() < leaseEndorsement.endorsedUntil)
+        get() = mayAct && (loop.now() < replica.snapshotTakenAt + limits.startStalenessLimit || loop.now() < leaseEndorsement.endorsedUntil)
 
     /**
      * Whether this process may still extend worker leases, even if it may no longer send commands because its session lease has expired
@@ -95,7 +95,7 @@
      */
     val mayExtendWorkerLeases: Boolean
         get() = state == MemberState.MEMBER && recordsComplete &&
-            loop.now() < minOf(lease.renewedAt, replica.readTime) + limits.actionStalenessLimit
+            loop.now() < minOf(lease.renewedAt, replica.snapshotTakenAt) + limits.actionStalenessLimit
 
     /** The longest time that [mayExtendWorkerLeases] may stay true after the session lease has ended, measured by any clock. */
     val gracePeriod: Duration
