--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -76,7 +76,7 @@
         get() {
             if (!mayAct) return 0
             val ownershipUntil = maxOf(lease.validUntil, leaseEndorsement.endorsedUntil)
-            return minOf(ownershipUntil, replica.snapshotTakenAt + limits.actionStalenessLimit).ms - loop.now().ms
+            return minOf(ownershipUntil, replica.snapshotTakenAt + limits.actionStalenessLimit).millis - loop.now().millis
         }
 
     /**
