--- a/src/main/kotlin/copperglade/agents/MachineHealth.kt
+++ b/src/main/kotlin/copperglade/agents/MachineHealth.kt
@@ -29,8 +29,8 @@
      * expires.
      */
     fun countUnreachable(now: MonotonicTime): Int {
-        val limit = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEAT_INTERVALS)
-        return state.machines.values.count { now >= it.lastContactAt + limit }
+        val timeout = timeouts.heartbeatIntervals(UNREACHABLE_HEARTBEAT_INTERVALS)
+        return state.machines.values.count { now >= it.lastContactAt + timeout }
     }
 
     private fun isHealthy(machine: Machine, now: MonotonicTime): Boolean = state.isFenced(machine) && !machine.draining &&
--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -20,10 +20,10 @@
         run.stragglerRunSeconds?.let {
             log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, runSeconds, it)
         }
-        profiles.record(TaskProfile(machine.name, factors(run, machine), runSeconds))
+        profiles.record(TaskProfile(machine.name, taskFactors(run, machine), runSeconds))
     }
 
-    private fun factors(run: Run, machine: Machine) =
+    private fun taskFactors(run: Run, machine: Machine) =
         TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
 
     private companion object {
--- a/src/main/kotlin/copperglade/agents/RemovedMachines.kt
+++ b/src/main/kotlin/copperglade/agents/RemovedMachines.kt
@@ -14,7 +14,7 @@
  * limit would evict the first of these machines while late copies of their heartbeats still arrive.
  */
 class RemovedMachines(private val clock: Clock) {
-    private class Removal(val epoch: Long, val at: MonotonicTime)
+    private class Removal(val epoch: Long, val removedAt: MonotonicTime)
 
     /** In the order of removal, oldest first. */
     private val removals = LinkedHashMap<MachineName, Removal>()
@@ -31,8 +31,8 @@
 
     private fun evictOldRemovals() {
         val now = clock.now()
-        val oldest = removals.values.iterator()
-        while (oldest.hasNext() && now >= oldest.next().at + RETENTION) oldest.remove()
+        val iterator = removals.values.iterator()
+        while (iterator.hasNext() && now >= iterator.next().removedAt + RETENTION) iterator.remove()
     }
 
     /** Records that [machine] was deleted; machine names are never reused. */
--- a/src/main/kotlin/copperglade/agents/RunReconciler.kt
+++ b/src/main/kotlin/copperglade/agents/RunReconciler.kt
@@ -52,9 +52,9 @@
     /** Returns the run of [assignment]. A run that was returned to the leader is replaced when its task is assigned here again. */
     private fun runFor(job: Job, spec: JobSpec, acceptedAtMillis: Long, assignment: Assignment): Run {
         val task = TaskId(job.id, assignment.task)
-        val known = runs[task]
-        val assignedAgain = known != null && known.generation != assignment.generation && known.state == RunState.GONE
-        if (known != null && !assignedAgain) return known
+        val existing = runs[task]
+        val assignedAgain = existing != null && existing.generation != assignment.generation && existing.state == RunState.GONE
+        if (existing != null && !assignedAgain) return existing
         val initialState = if (state.isOwnToken(assignment.fencingToken)) RunState.WAITING else RunState.MISSING
         val newRun = Run(task, spec, assignment.generation, acceptedAtMillis, initialState, clock.now(), runs::onStateChanged)
         newRun.restarted = job.wasRestarted(assignment.task)
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -137,7 +137,7 @@
             .take(MAX_PREEMPTION_PLANS)
             .mapNotNull { scored -> victims(run, scored.candidate)?.let { PreemptionPlan(scored.cost, it) } }
             .minWithOrNull(compareBy({ it.cost }, { it.victims.size })) ?: return false
-        run.preempts(plan.victims)
+        run.recordVictims(plan.victims)
         plan.victims.forEach(actions::preempt)
         return true
     }
--- a/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
+++ b/src/main/kotlin/copperglade/tasks/OutcomeRecordBuilder.kt
@@ -10,10 +10,10 @@
 /** Builds the outcome records of a shard's tasks from the current records and the shard's runs. */
 internal class OutcomeRecordBuilder(private val shard: ShardState, private val failingJobs: FailingJobs) {
     /** The outcomes of one task range: those of the current record and those collected from runs. */
-    private class Draft(present: OutcomeRecord) {
-        val done = present.done.clone() as BitSet
-        val restarted = present.restarted.clone() as BitSet
-        val returned = present.returned.mapValuesTo(HashMap()) { (_, tasks) -> tasks.clone() as BitSet }
+    private class Draft(current: OutcomeRecord) {
+        val done = current.done.clone() as BitSet
+        val restarted = current.restarted.clone() as BitSet
+        val returned = current.returned.mapValuesTo(HashMap()) { (_, tasks) -> tasks.clone() as BitSet }
         var changed = false
             private set
 
@@ -32,13 +32,13 @@
 
     /** Returns the new record of [job]'s tasks in the range [rangeIndex], or null if the current record needs no change. */
     fun update(job: Job, rangeIndex: Int): OutcomeRecord? {
-        val present = job.outcomes[ShardTaskRange(rangeIndex, shard.name)]?.value ?: OutcomeRecord.EMPTY
-        val draft = Draft(present)
+        val current = job.outcomes[ShardTaskRange(rangeIndex, shard.name)]?.value ?: OutcomeRecord.EMPTY
+        val draft = Draft(current)
         for (run in shard.runs.inRange(TaskRange(job.id, rangeIndex))) draft.add(run, job.cancelled)
-        val failing = draft.done.isEmpty && (present.failing || job.id in failingJobs)
-        if (!draft.changed && failing == present.failing) return null
+        val failing = draft.done.isEmpty && (current.failing || job.id in failingJobs)
+        if (!draft.changed && failing == current.failing) return null
         val returned = retainAssigned(draft.returned, job.assignmentRanges[rangeIndex]?.value)
-        return OutcomeRecord(draft.done, returned, draft.restarted, present.version + 1, failing)
+        return OutcomeRecord(draft.done, returned, draft.restarted, current.version + 1, failing)
     }
 
     /** Keeps those of the [returned] tasks whose assignment is still in the leader's record [range]; the others are obsolete. */
--- a/src/main/kotlin/copperglade/tasks/Run.kt
+++ b/src/main/kotlin/copperglade/tasks/Run.kt
@@ -122,7 +122,7 @@
     val isPreemptedForWaitingRun: Boolean get() = preemptor?.state == RunState.WAITING
 
     /** Records that [victims] are being stopped to make room for this run. */
-    fun preempts(victims: List<Run>) {
+    fun recordVictims(victims: List<Run>) {
         this.victims = victims
         victims.forEach { it.preemptor = this }
     }
--- a/src/main/kotlin/copperglade/tasks/RunTable.kt
+++ b/src/main/kotlin/copperglade/tasks/RunTable.kt
@@ -22,7 +22,7 @@
     val missing: List<Run> get() = missingRuns.toList()
 
     /** Returns the run of [task], or null if the task isn't assigned to the shard. */
-    operator fun get(task: TaskId): Run? = byJob[task.job]?.get(rangeOf(task))?.get(task.index)
+    operator fun get(task: TaskId): Run? = byJob[task.job]?.get(rangeIndexOf(task))?.get(task.index)
 
     /** Returns all runs of [job]. */
     fun ofJob(job: JobId): List<Run> = byJob[job]?.values.orEmpty().flatMap { it.values }
@@ -33,20 +33,20 @@
     /** Adds [run], and removes the previous run of the same task if there is one. */
     fun add(run: Run) {
         val ranges = byJob.getOrPut(run.task.job) { HashMap() }
-        ranges.getOrPut(rangeOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
+        ranges.getOrPut(rangeIndexOf(run.task)) { HashMap() }.put(run.task.index, run)?.let(::removeFromIndex)
         addToIndex(run)
     }
 
     fun remove(run: Run) {
         removeFromIndex(run)
         val ranges = byJob[run.task.job] ?: return
-        val range = ranges[rangeOf(run.task)] ?: return
+        val range = ranges[rangeIndexOf(run.task)] ?: return
         range.remove(run.task.index)
-        if (range.isEmpty()) ranges.remove(rangeOf(run.task))
+        if (range.isEmpty()) ranges.remove(rangeIndexOf(run.task))
         if (ranges.isEmpty()) byJob.remove(run.task.job)
     }
 
-    private fun rangeOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
+    private fun rangeIndexOf(task: TaskId) = task.index / Keys.TASKS_PER_RANGE
 
     /** Updates the index. Must be called after every state transition of [run]; a run that is not in the table is ignored. */
     fun onStateChanged(run: Run) {
--- a/src/main/kotlin/copperglade/tasks/ShardState.kt
+++ b/src/main/kotlin/copperglade/tasks/ShardState.kt
@@ -27,7 +27,7 @@
     private val replica: Replica,
 ) {
     private val ownTokens = hashSetOf(grantToken)
-    private var attempts = 0
+    private var lastAttemptNumber = 0
     val runs = RunTable()
     val machines = HashMap<MachineName, Machine>()
 
@@ -45,11 +45,11 @@
     fun raiseToken(next: FencingToken) {
         ownTokens += next
         fencingToken = next
-        attempts = 0
+        lastAttemptNumber = 0
     }
 
     /** Returns a new attempt that has never been used before. */
-    fun nextAttempt(): Attempt = Attempt.of(fencingToken, ++attempts)
+    fun nextAttempt(): Attempt = Attempt.of(fencingToken, ++lastAttemptNumber)
 
     /**
      * Whether [machine]'s worker has reported [grantToken] or a higher token. From then on commands of earlier owners can't take effect;
