--- a/src/main/kotlin/copperglade/agents/ShardAgents.kt
+++ b/src/main/kotlin/copperglade/agents/ShardAgents.kt
@@ -2,24 +2,24 @@
 
 import copperglade.membership.FormerIncarnations
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.HeartbeatTimeouts
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.RunLifecycle
 import copperglade.tasks.ShardConnections
 import copperglade.tasks.ShardState
+import copperglade.tasks.SharedClusterData
 
 /**
- * The parts of a shard's owner that deal with its machines' workers and the tasks on them. Only wires them, in the order in which
- * they depend on each other; each part gets just what it needs.
+ * Wires the components of a shard owner that handle its workers and their tasks, in the order of their dependencies. Each component
+ * gets only the dependencies that it needs.
  */
 class ShardAgents(
     state: ShardState,
-    outcomes: OutcomeLog,
+    outcomes: OutcomeWriter,
     connections: ShardConnections,
     control: ActionControl,
-    knowledge: ClusterKnowledge,
+    clusterData: SharedClusterData,
     formerIncarnations: FormerIncarnations,
     timeouts: HeartbeatTimeouts,
 ) {
@@ -29,8 +29,8 @@
     private val client = WorkerClient(connections.http, guard, audit)
     private val planner = CommandPlanner(state, guard, loop)
 
-    /** Judges which machines may be given tasks. */
-    val health = MachineHealth(state, knowledge.failureEvidence, timeouts)
+    /** Decides on which machines tasks may be placed. */
+    val health = MachineHealth(state, clusterData.failureEvidence, timeouts)
 
     /** The state transitions of the shard's runs. */
     val lifecycle = RunLifecycle(loop, outcomes)
@@ -41,7 +41,7 @@
     /** Starts whose outcome is unknown. */
     val unresolvedStarts = UnresolvedStarts(state, guard, timeouts, loop)
 
-    /** Sends direct commands. They need the tracker for their replies, and the tracker needs commands: the lambda ties the two. */
+    /** Sends direct commands. The replies go to the tracker through a lambda, since the tracker in turn depends on the commands. */
     val commands: WorkerCommands =
         WorkerCommands(state, planner, unresolvedStarts, lifecycle, client, control.membership, loop) { machine, heartbeat, sentAt ->
             tracker.onReply(machine, heartbeat, sentAt)
@@ -49,23 +49,23 @@
 
     /** Stops runs. */
     val stopper = RunStopper(lifecycle, commands)
-    private val profileRecorder = ProfileRecorder(knowledge.profiles, loop)
-    private val exits = TaskExitHandler(state, lifecycle, outcomes, backoff, knowledge.failingJobs, profileRecorder, loop)
+    private val profileRecorder = ProfileRecorder(clusterData.profiles, loop)
+    private val exitHandler = TaskExitHandler(state, lifecycle, outcomes, backoff, clusterData.failingJobs, profileRecorder, loop)
 
-    /** Brings the runs in line with what the workers report. */
-    val observer = TaskObserver(state, lifecycle, stopper, commands, exits, knowledge.types, guard)
-    private val machineHistory = MachineHistory(knowledge.profiles, knowledge.failureEvidence)
+    /** Updates the runs from the workers' reports. */
+    val reportReconciler = TaskReportReconciler(state, lifecycle, stopper, commands, exitHandler, clusterData.types, guard)
+    private val machineHistory = MachineHistory(clusterData.profiles, clusterData.failureEvidence)
 
-    /** Tracks which machines the shard has. */
-    val tracker: MachineTracker = MachineTracker(state, lifecycle, observer, client, machineHistory, timeouts, loop)
+    /** Tracks the machines of the shard. */
+    val tracker: MachineTracker = MachineTracker(state, lifecycle, reportReconciler, client, machineHistory, timeouts, loop)
     private val responses = HeartbeatResponses(state, planner, unresolvedStarts, guard, audit, timeouts, loop)
 
     /** Decides which heartbeats are trusted and acknowledged. */
-    val heartbeats = HeartbeatHandler(state, tracker, commands, responses, timeouts, loop)
+    val heartbeatHandler = HeartbeatHandler(state, tracker, commands, responses, timeouts, loop)
 
-    /** Brings the runs in line with the records. */
+    /** Updates the runs from the records. */
     val reconciler = RunReconciler(state, stopper, backoff, audit, loop)
 
-    /** Lets missing runs start once no worker can hold them. */
-    val missingRuns = MissingRunRelease(state, stopper, guard, formerIncarnations, timeouts)
+    /** Releases missing runs once their tasks are confirmed absent from all workers. */
+    val missingRunRelease = MissingRunRelease(state, stopper, guard, formerIncarnations, timeouts)
 }
--- a/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
+++ b/src/main/kotlin/copperglade/agents/TaskExitHandler.kt
@@ -3,7 +3,7 @@
 import copperglade.protocol.ExitCause
 import copperglade.tasks.FailingJobs
 import copperglade.tasks.Machine
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.RetryBackoff
 import copperglade.tasks.Run
 import copperglade.tasks.RunLifecycle
@@ -13,21 +13,21 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 
-/** Decides what follows from the exit of a task: it is done, or is started again later, preferably on another machine. */
+/** Handles the exit of a task: the task is done, is returned to the leader, or is started again, preferably on another machine. */
 class TaskExitHandler(
     private val state: ShardState,
     private val lifecycle: RunLifecycle,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val backoff: RetryBackoff,
     private val failingJobs: FailingJobs,
-    private val profiles: ProfileRecorder,
+    private val profileRecorder: ProfileRecorder,
     private val clock: Clock,
 ) {
-    /** The worker of [machine] reports that the task of [run] has exited for [cause]. */
+    /** Handles the report of [machine]'s worker that the task of [run] has exited for [cause]. */
     fun onExit(run: Run, machine: Machine, cause: ExitCause) {
         when (cause) {
             ExitCause.DONE -> {
-                profiles.record(run, machine)
+                profileRecorder.record(run, machine)
                 failingJobs.recordCompletion(run.task.job, machine.name)
                 lifecycle.finish(run, RunState.DONE, "completed")
             }
@@ -52,7 +52,7 @@
         retryElsewhere(run, machine, backoff.delayAfterFailures(run.failures))
     }
 
-    /** Lets [run] start again after [delay], on another machine; once half of the shard's machines have been tried, on any. */
+    /** Releases [run] to be started after [delay] on another machine, or on any machine once half of the shard's have been tried. */
     private fun retryElsewhere(run: Run, machine: Machine, delay: Duration) {
         if (run.avoidedMachines.size * 2 >= state.machines.size) run.avoidedMachines.clear()
         run.avoidedMachines += machine.name
--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -92,7 +92,7 @@
     }
 
     private fun authorityContext(): String {
-        val recordsAgeMillis = loop.now().millis - replica.readTime.millis
+        val recordsAgeMillis = loop.now().millis - replica.snapshotTakenAt.millis
         return "records_age_ms=$recordsAgeMillis revision=${replica.knownRevision} " +
             "authority_ms=${membership.authorityRemainingMillis} replica=${replica.state}"
     }
@@ -100,7 +100,7 @@
     private fun jobContext(id: JobId): String {
         val job = replica.jobs[id]
         val state = when {
-            job?.live == null -> replica.endOf(id)?.status?.name ?: "UNKNOWN"
+            job?.live == null -> replica.endRecordOf(id)?.status?.name ?: "UNKNOWN"
             job.cancelled -> "CANCELLED"
             job.dependencies.isEmpty() -> "FREE"
             else -> job.dependencyState.name
--- a/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwnership.kt
@@ -14,31 +14,31 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Opens and closes shards as the shard records say, passes changes of jobs to their owners, and releases shards on request. */
+/** Opens and closes shards according to the shard records, forwards job changes to the shard owners, and releases shards on request. */
 class ShardOwnership(
     private val loop: EventLoop,
     private val replica: Replica,
     private val membership: Membership,
     private val shardMap: ShardMap,
     private val owned: OwnedShards,
-    private val owners: ShardOwnerFactory,
-    private val records: ShardRecordWriter,
+    private val ownerFactory: ShardOwnerFactory,
+    private val recordWriter: ShardRecordWriter,
     private val failureEvidence: FailureEvidence,
 ) : ReplicaListener {
     init {
-        records.onSettled = ::reconcile
+        recordWriter.onSettled = ::reconcile
     }
 
     override fun changed(changes: ReplicaChanges) {
         if (changes.clusterRecordsChanged) reconcile()
         for (id in changes.jobs) {
             val job = replica.jobs[id]
-            if (job?.live == null) failureEvidence.forgetJob(id)
+            if (job?.live == null) failureEvidence.removeJob(id)
             for (shard in owned.all) if (job == null) shard.removeJob(id) else shard.reconcile(job)
         }
     }
 
-    /** Opens and closes shards as the records say. */
+    /** Opens and closes shards according to the shard records. */
     fun reconcile() {
         val incarnation = membership.incarnation
         val ownRecord = incarnation?.let { ShardRecord(membership.self, it) }
@@ -49,22 +49,22 @@
         }
     }
 
-    /** Opens or closes the shard [name], which the records grant to this process under [grantToken], or not at all. */
+    /** Opens or closes the shard [name], which the records grant to this process under [grantToken]; null if they don't grant it. */
     private fun reconcile(name: ShardName, grantToken: FencingToken?) {
-        if (records.isInFlight(name)) return
+        if (recordWriter.isInFlight(name)) return
         val present = owned[name]
-        if (present != null && (grantToken == null || !present.holds(grantToken))) close(present)
+        if (present != null && (grantToken == null || !present.hasHeldToken(grantToken))) close(present)
         if (grantToken != null && name !in owned) open(name, grantToken)
     }
 
     private fun open(name: ShardName, grantToken: FencingToken) {
         log.info("shard_acquired shard={} fencing_token={}", name, grantToken)
-        val shard = owners.create(name, grantToken)
+        val shard = ownerFactory.create(name, grantToken)
         owned.add(shard)
         openWhenCurrent(shard)
     }
 
-    /** Outcomes that the former owner wrote must be known before anything is started. */
+    /** Opens [shard] once the replica has read the outcomes that the former owner wrote, since no task may start before. */
     private fun openWhenCurrent(shard: ShardOwner) {
         replica.catchUp { outcome ->
             if (owned[shard.name] !== shard) return@catchUp
@@ -81,16 +81,16 @@
         shard.close()
     }
 
-    /** Releases the shards [names], which the leader wants elsewhere. This process stops acting for them first. */
-    fun release(names: List<ShardName>) = closeEach(names, records::release)
+    /** Releases the shards [names], which the leader moves to other controllers. This process stops acting for the shards first. */
+    fun release(names: List<ShardName>) = closeEach(names, recordWriter::release)
 
-    /** Releases the shards [names], whose workers this process can't reach, so that it isn't granted them again at once. */
-    fun releaseUnreachable(names: List<ShardName>) = closeEach(names, records::releaseUnreachable)
+    /** Releases the shards [names], whose workers this process can't reach, and keeps the leader from granting them back at once. */
+    fun releaseUnreachable(names: List<ShardName>) = closeEach(names, recordWriter::releaseUnreachable)
 
     private fun closeEach(names: List<ShardName>, release: (ShardName, FencingToken) -> Unit) {
         for (name in names) {
             val shard = owned[name] ?: continue
-            if (!shard.isOpen || !records.begin(name)) continue
+            if (!shard.isOpen || !recordWriter.tryBeginWrite(name)) continue
             close(shard)
             release(name, shard.fencingToken)
         }
