--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -15,16 +15,16 @@
     /** Records the run time of [run], just completed on [machine]. No effect unless it is an array task that was reported as running. */
     fun record(run: Run, machine: Machine) {
         val runningSince = run.runningSince ?: return
-        val runSeconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
+        val runSeconds = (clock.now().millis - runningSince.millis) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
         run.stragglerRunSeconds?.let {
             log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, runSeconds, it)
         }
-        profiles.record(TaskProfile(machine.name, factors(run, machine), runSeconds))
+        profiles.record(TaskProfile(machine.name, taskFactors(run, machine), runSeconds))
     }
 
-    private fun factors(run: Run, machine: Machine) =
-        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+    private fun taskFactors(run: Run, machine: Machine) =
+        TaskFactors(run.task.job, run.spec.workloadClass, machine.typeName, run.spec.request, machine.runs.size)
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/copperglade/placement/Placer.kt
+++ b/src/main/kotlin/copperglade/placement/Placer.kt
@@ -143,7 +143,7 @@
             .take(MAX_PREEMPTION_PLANS)
             .mapNotNull { scored -> victims(run, scored.candidate)?.let { PreemptionPlan(scored.cost, it) } }
             .minWithOrNull(compareBy({ it.cost }, { it.victims.size })) ?: return false
-        run.preempts(plan.victims)
+        run.recordVictims(plan.victims)
         plan.victims.forEach(actions::preempt)
         return true
     }
@@ -160,7 +160,7 @@
             .sortedWith(
                 compareBy<Run> { if (it.state == RunState.STOPPING) 0 else 1 }
                     .thenByDescending { it.spec.priority }
-                    .thenByDescending { it.runningSince?.ms ?: Long.MAX_VALUE },
+                    .thenByDescending { it.runningSince?.millis ?: Long.MAX_VALUE },
             )
         for (victim in preemptible) {
             if (run.spec.request.fitsIn(free)) break
