--- a/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
+++ b/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
@@ -20,8 +20,9 @@
     private fun heartbeat(number: Int, epoch: Long) =
         Heartbeat(machine(number), Endpoint("10.0.0.1", 1), "box", "north", false, epoch, 1, FencingToken(1), null, emptyList())
 
+    /** Guards against a limit on the number of removals: late copies of heartbeats would add the evicted machines again. */
     @Test
-    fun `a fleet lost at once is remembered whole for as long as late copies may come`() {
+    fun `all removals of a large fleet are kept while late copies of heartbeats may arrive`() {
         repeat(MACHINES) { removed.recordExpired(machine(it), epoch = 3) }
         sim.run(50 * 60_000.0)
         removed.recordDeleted(machine(MACHINES))
@@ -32,7 +33,7 @@
     }
 
     @Test
-    fun `what was removed long ago takes no memory`() {
+    fun `removals older than the retention period are evicted`() {
         repeat(MACHINES) { removed.recordDeleted(machine(it)) }
         sim.run(61 * 60_000.0)
         removed.recordExpired(machine(MACHINES), epoch = 1)
--- a/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
+++ b/src/test/kotlin/copperglade/tasks/FailureEvidenceTest.kt
@@ -18,7 +18,7 @@
     private fun fail(job: Int, machine: Int) = failureEvidence.recordFailure(job(job), machine(machine), now)
 
     @Test
-    fun `one failure only keeps the job from the machine for a while`() {
+    fun `after a single failure the job avoids the machine temporarily, and neither counts as faulty`() {
         fail(1, 1)
         assertFalse(failureEvidence.isFailingJob(job(1)))
         assertFalse(failureEvidence.isFaultyMachine(machine(1)))
@@ -28,7 +28,7 @@
     }
 
     @Test
-    fun `a job that fails on several machines is blamed, and they are not`() {
+    fun `a job that fails on two machines counts as failing, and the machines don't count as faulty`() {
         fail(1, 1)
         fail(1, 2)
         assertTrue(failureEvidence.isFailingJob(job(1)))
@@ -38,14 +38,14 @@
     }
 
     @Test
-    fun `several failing jobs on one machine don't make it faulty`() {
+    fun `a machine on which only failing jobs fail does not count as faulty`() {
         (1..3).forEach { job -> (1..3).forEach { fail(job, it) } }
         (1..3).forEach { assertTrue(failureEvidence.isFailingJob(job(it))) }
         (1..3).forEach { assertFalse(failureEvidence.isFaultyMachine(machine(it))) }
     }
 
     @Test
-    fun `a machine on which several jobs fail is blamed, and a job that was on two such machines is not`() {
+    fun `a machine on which two jobs fail counts as faulty, and a job that failed on two such machines does not count as failing`() {
         fail(1, 1)
         fail(2, 1)
         fail(1, 2)
@@ -56,7 +56,7 @@
     }
 
     @Test
-    fun `a completed task clears its job and its machine, and speaks against other jobs that failed there`() {
+    fun `a completed task clears its job and machine, and is evidence against other jobs that failed on that machine`() {
         fail(1, 1)
         fail(2, 1)
         fail(2, 2)
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `what a job that is over left open is not held against its machines`() {
+    fun `failures of an ended job are not evidence against its machines`() {
         fail(1, 1)
         fail(2, 1)
         failureEvidence.removeJob(job(1))
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -14,7 +14,7 @@
 class RunTableTest {
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `the lists by state are what a recount of all runs gives`(seed: Long) {
+    fun `lists by state, job and task range match a scan of all runs`(seed: Long) {
         val random = Random(seed)
         val table = RunTable()
         val all = HashMap<TaskId, Run>()
