--- a/src/main/kotlin/copperglade/placement/ShardPlacement.kt
+++ b/src/main/kotlin/copperglade/placement/ShardPlacement.kt
@@ -16,7 +16,7 @@
 /**
  * Decides which of a shard's waiting runs may be placed now, and has a [Placer] place them.
  *
- * Invariant: no run is placed unless [Membership.mayStart], which requires newer records than keeping running tasks does. This
+ * Invariant: no run is placed unless [Membership.mayStartTasks], which requires newer records than keeping running tasks does. This
  * guards against starting tasks of a job that was cancelled in the meantime.
  */
 class ShardPlacement(
--- a/src/main/kotlin/copperglade/placement/StartEligibility.kt
+++ b/src/main/kotlin/copperglade/placement/StartEligibility.kt
@@ -22,7 +22,7 @@
     private val clock: Clock,
 ) {
     /** Whether this controller may start tasks at all now. */
-    val mayStartAny: Boolean get() = membership.mayStart
+    val mayStartAny: Boolean get() = membership.mayStartTasks
 
     /** Returns whether [run]'s job is failing. A failing job retries one task at a time, and no task is preempted for it. */
     fun isFailing(run: Run): Boolean = run.task.job in failingJobs
--- a/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentRangeBuilder.kt
@@ -20,18 +20,18 @@
         val current = job.assignmentRanges[range]?.value ?: AssignmentRange.EMPTY
         val groups = assignedGroups(job, range, current)
         val generation = current.lastGeneration + 1
-        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, current.frontier, generation)
-        val frontier = maxOf(current.frontier, choices.maxOfOrNull { it.task + 1 } ?: 0)
+        for ((shard, chosen) in choices.groupBy { it.machine.shard }) addToGroups(groups, shard, chosen, current.assignedEnd, generation)
+        val assignedEnd = maxOf(current.assignedEnd, choices.maxOfOrNull { it.task + 1 } ?: 0)
         val preemptedForGuarantee = current.preemptedForGuarantee.clone() as BitSet
         choices.forEach { preemptedForGuarantee.clear(it.task) }
         guaranteePreemptions?.let(preemptedForGuarantee::or)
-        return AssignmentRange(groups, preemptedForGuarantee, generation, frontier, current.version + 1)
+        return AssignmentRange(groups, preemptedForGuarantee, generation, assignedEnd, current.version + 1)
     }
 
     /**
      * Adds the [chosen] tasks to the [groups] of [shard].
      *
-     * Tasks with an index of [frontier] or above were never assigned, so no shard owner can have returned them. These tasks
+     * Tasks with an index of [assignedEnd] or above were never assigned, so no shard owner can have returned them. These tasks
      * may join an existing group of the shard: with a new group per round the record would outgrow a stored value. Tasks that
      * are assigned again go into a group of their own with the new [generation].
      */
@@ -39,7 +39,7 @@
         groups: MutableList<AssignmentGroup>,
         shard: ShardName,
         chosen: List<PlacementChoice>,
-        frontier: Int,
+        assignedEnd: Int,
         generation: Int,
     ) {
         val fencingToken = FencingToken(
@@ -49,7 +49,7 @@
         )
         val reassigned = BitSet()
         val neverAssigned = BitSet()
-        chosen.forEach { if (it.task < frontier) reassigned.set(it.task) else neverAssigned.set(it.task) }
+        chosen.forEach { if (it.task < assignedEnd) reassigned.set(it.task) else neverAssigned.set(it.task) }
         val joinedIndex = groups.indexOfFirst { it.shard == shard && it.fencingToken == fencingToken }
         if (!neverAssigned.isEmpty && joinedIndex >= 0) {
             val group = groups[joinedIndex]
--- a/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
+++ b/src/main/kotlin/copperglade/scheduling/AssignmentWriter.kt
@@ -58,7 +58,7 @@
         )
     }
     private val rangeBuilder = AssignmentRangeBuilder(replica)
-    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.condition }
+    private val unresolvedWrites = UnresolvedWrites(loop, store, replica, WritePriority.ASSIGNMENT) { leadership.fencingCondition }
     private val unresolvedTasks = UnresolvedTasks()
 
     /** The leadership term that [unresolvedTasks] belong to. */
@@ -81,7 +81,7 @@
     fun unresolvedTasks(job: JobId): Int = unresolvedTasks.of(job)
 
     /** Returns whether a write of task range [range] would not have to wait for a write in flight; false for a job without a spec. */
-    fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).ready(job, range) } ?: false
+    fun isReady(job: Job, range: Int): Boolean = job.spec?.let { packers.getValue(it.kind).isReady(job, range) } ?: false
 
     /**
      * Writes as much of [plan] as the write budget allows now. A later round plans the rest again: in a queue, assignments of
@@ -161,7 +161,7 @@
      */
     private fun conditionsOf(packedWrite: PackedWrite, choices: Map<TaskRange, List<PlacementChoice>>): Set<Condition> {
         val conditions = LinkedHashSet<Condition>()
-        conditions += leadership.condition
+        conditions += leadership.fencingCondition
         conditions += packedWrite.condition
         for ((range, chosen) in choices) {
             conditions += Condition(Keys.live(range.job), replica.jobs.getValue(range.job).liveRevision())
--- a/src/main/kotlin/copperglade/storage/ParsedKey.kt
+++ b/src/main/kotlin/copperglade/storage/ParsedKey.kt
@@ -4,7 +4,7 @@
 import copperglade.protocol.MemberId
 import copperglade.protocol.ShardName
 
-/** What record a key of the state service names. */
+/** The record that a key in the state service identifies. */
 internal sealed interface ParsedKey {
     data object Leader : ParsedKey
 
@@ -24,5 +24,5 @@
 
     class Images(val shard: ShardName) : ParsedKey
 
-    class MemberCapacity(val id: MemberId) : ParsedKey
+    class PeerStatus(val id: MemberId) : ParsedKey
 }
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `a capacity record holds as many machines as fit into a value`() {
+    fun `a capacity record contains as many machines as fit into a stored value`() {
         service.limits = ServiceLimits(limits.valueBytes, limits.transactionWrites, limits.writesPerSecond)
         val caller = network.callerOf("member", loop)
         PeerStatusExchange(
@@ -81,7 +81,7 @@
         ).start()
         sim.run(5000.0)
         assertEquals(0, service.limitRefusals.malformed, "${service.limitRefusals}")
-        val value = Json.read(service.text(Keys.memberCapacity(SELF))!!.toByteArray())!!
+        val value = Json.read(service.text(Keys.peerStatus(SELF))!!.toByteArray())!!
         val recorded = PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(value)!!)!!
         assertTrue(
             recorded.shards
