--- a/src/main/kotlin/copperglade/prediction/ProfileStore.kt
+++ b/src/main/kotlin/copperglade/prediction/ProfileStore.kt
@@ -45,12 +45,12 @@
     }
 
     /**
-     * Returns the finished tasks of [load] that take more than [doneSeconds] on a machine of average speed. A task that has already
+     * Returns the finished tasks of [workloadClass] that take more than [doneSeconds] on a machine of average speed. A task that has already
      * done [doneSeconds] of work resembles these. Without this condition a task that merely has much work would appear to finish
      * sooner when restarted.
      */
-    fun similarTasks(load: String, doneSeconds: Double = 0.0): List<SimilarTask> = profiles.mapNotNull { profile ->
-        if (profile.factors.load != load) return@mapNotNull null
+    fun similarTasks(workloadClass: String, doneSeconds: Double = 0.0): List<SimilarTask> = profiles.mapNotNull { profile ->
+        if (profile.factors.workloadClass != workloadClass) return@mapNotNull null
         SimilarTask(profile, profile.runSeconds * speedOf(profile.machine)).takeIf { it.secondsOnAverageMachine > doneSeconds }
     }
 
@@ -72,20 +72,20 @@
      * similar tasks.
      */
     fun predict(machine: MachineName, factors: TaskFactors, doneSeconds: Double = 0.0): RunTimePrediction? =
-        predict(machine, factors, similarTasks(factors.load, doneSeconds))
+        predict(machine, factors, similarTasks(factors.workloadClass, doneSeconds))
 
     /** Returns the measured speed of [machine], where 1 is the average. */
     fun speedOf(machine: MachineName): Double = speeds.of(machine)
 
     /** Returns the predicted average run time of a task that is not placed yet; null where too few similar tasks have finished. */
-    fun expectedRunSeconds(job: JobId, load: String, request: Resources): Double? =
-        predict(ANY_MACHINE, TaskFactors(job, load, type = "", request, tasksOnMachine = 0))?.averageSeconds
+    fun expectedRunSeconds(job: JobId, workloadClass: String, request: Resources): Double? =
+        predict(ANY_MACHINE, TaskFactors(job, workloadClass, type = "", request, tasksOnMachine = 0))?.averageSeconds
 
     /**
-     * Returns the average run time of the finished tasks of [job], or of [load] where too few tasks of the job have finished; null
-     * where too few tasks of the load have finished either.
+     * Returns the average run time of the finished tasks of [job], or of [workloadClass] where too few tasks of the job have finished; null
+     * where too few tasks of the workload class have finished either.
      */
-    fun averageRunSeconds(job: JobId, load: String): Double? = averages.ofJob(job) ?: averages.ofLoad(load)
+    fun averageRunSeconds(job: JobId, workloadClass: String): Double? = averages.ofJob(job) ?: averages.ofWorkloadClass(workloadClass)
 
     /** Drops the fitted weights of a machine that was removed. The profiles of the machine's tasks still count. */
     fun removeMachine(machine: MachineName) {
--- a/src/main/kotlin/copperglade/prediction/RunTimeAverages.kt
+++ b/src/main/kotlin/copperglade/prediction/RunTimeAverages.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.JobId
 
-/** The average run times of profiled tasks by job and by load, kept as running sums. */
+/** The average run times of profiled tasks by job and by workload class, kept as running sums. */
 internal class RunTimeAverages {
     private class RunTimeSum {
         var count = 0
@@ -24,16 +24,16 @@
     }
 
     private val byJob = HashMap<JobId, RunTimeSum>()
-    private val byLoad = HashMap<String, RunTimeSum>()
+    private val byWorkloadClass = HashMap<String, RunTimeSum>()
 
     fun add(profile: TaskProfile) {
-        byLoad.getOrPut(profile.factors.load) { RunTimeSum() }.add(profile.runSeconds)
+        byWorkloadClass.getOrPut(profile.factors.workloadClass) { RunTimeSum() }.add(profile.runSeconds)
         byJob.getOrPut(profile.factors.job) { RunTimeSum() }.add(profile.runSeconds)
     }
 
     /** Removes a [profile] that was added before. */
     fun remove(profile: TaskProfile) {
-        byLoad[profile.factors.load]?.remove(profile.runSeconds)
+        byWorkloadClass[profile.factors.workloadClass]?.remove(profile.runSeconds)
         val ofJob = byJob[profile.factors.job] ?: return
         ofJob.remove(profile.runSeconds)
         if (ofJob.count == 0) byJob.remove(profile.factors.job)
@@ -42,8 +42,8 @@
     /** Returns null where too few of the job's tasks have finished. */
     fun ofJob(job: JobId): Double? = byJob[job]?.averageSeconds
 
-    /** Returns null where too few tasks of the load have finished. */
-    fun ofLoad(load: String): Double? = byLoad[load]?.averageSeconds
+    /** Returns null where too few tasks of the workload class have finished. */
+    fun ofWorkloadClass(workloadClass: String): Double? = byWorkloadClass[workloadClass]?.averageSeconds
 
     private companion object {
         const val MIN_TASKS = 3
--- a/src/main/kotlin/copperglade/prediction/TaskFactors.kt
+++ b/src/main/kotlin/copperglade/prediction/TaskFactors.kt
@@ -8,12 +8,12 @@
 /**
  * The factors on which the run time of a task is assumed to depend (section 5.2 of the paper; the factors are those of DESIGN).
  *
- * @property load the workload class of the task's job.
+ * @property workloadClass the workload class of the task's job.
  * @property tasksOnMachine the number of tasks on the task's machine, this task included.
  */
 class TaskFactors(
     val job: JobId,
-    val load: String,
+    val workloadClass: String,
     val type: String,
     val request: Resources,
     val tasksOnMachine: Int,
@@ -23,7 +23,7 @@
      * The distance of amounts is their relative difference, so that no unit outweighs another before the weights are fitted.
      */
     fun distance(other: TaskFactors, factor: Int): Double = when (factor) {
-        LOAD -> if (load == other.load) 0.0 else 1.0
+        WORKLOAD_CLASS -> if (workloadClass == other.workloadClass) 0.0 else 1.0
         JOB -> if (job == other.job) 0.0 else 1.0
         TYPE -> if (type == other.type) 0.0 else 1.0
         PROCESSORS -> relativeDifference(request.cpus + request.gpus, other.request.cpus + other.request.gpus)
@@ -37,7 +37,7 @@
     }
 
     companion object {
-        private const val LOAD = 0
+        private const val WORKLOAD_CLASS = 0
         private const val JOB = 1
         private const val TYPE = 2
         private const val PROCESSORS = 3
@@ -46,7 +46,7 @@
         /** The number of factors; their indices start at 0. */
         const val COUNT = 6
 
-        /** The weights by factor before any task has been profiled: the load and the job predict the run time best. */
+        /** The weights by factor before any task has been profiled: the workload class and the job predict the run time best. */
         val INITIAL_WEIGHTS = doubleArrayOf(0.4, 0.2, 0.1, 0.1, 0.1, 0.1)
     }
 }
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -73,7 +73,10 @@
     /** Returns whether a job can end in time on unlimited capacity: the job's last task still needs its own run time. */
     private fun isFeasible(spec: JobSpec, dueInSeconds: Double) = dueInSeconds > spec.estimatedSeconds * FEASIBILITY_FACTOR
 
-    /** Returns the times from now at which the job is due, for each deadline multiple that the objectives of the deadline's load name. */
+    /**
+     * Returns the times from now at which the job is due: one for each deadline multiple that the objectives name for the
+     * deadline's workload class.
+     */
     private fun dueInSeconds(job: SchedulableJob): List<Double> {
         val deadline = job.deadline ?: return emptyList()
         val nowMillis = loop.wallMillis()
--- a/src/test/kotlin/copperglade/scheduling/StarvationPreventionTest.kt
+++ b/src/test/kotlin/copperglade/scheduling/StarvationPreventionTest.kt
@@ -9,13 +9,13 @@
 class StarvationPreventionTest {
     /**
      * A pool under lasting overload, in which the largest jobs starve if the deadline plan alone decides: it receives 1.5 times the
-     * work that it can do, as arrays of two load classes and three teams, one in ten of them ten times as large. Free CPUs go to the
+     * work that it can do, as arrays of two workload classes and three teams, one in ten of them ten times as large. Free CPUs go to the
      * shares of starving jobs first, then to the other waiting jobs in the plan's order.
      */
     private class OverloadedPool(private val starvationPrevention: StarvationPrevention, seed: Long) {
         class Arrival(
             val arrivedAtSeconds: Double,
-            val loadClass: Int,
+            val workloadClass: Int,
             val team: Int,
             val large: Boolean,
             val cpus: Int,
@@ -34,8 +34,16 @@
             val now = second.toDouble()
             if (random.nextDouble() < ARRIVALS_PER_SECOND) {
                 val large = random.nextInt(10) == 0
-                val loadClass = random.nextInt(2)
-                jobs += Arrival(now, loadClass, if (large) 2 else random.nextInt(3), large, if (large) 300 else 30, 10.0 + 10.0 * loadClass)
+                val workloadClass = random.nextInt(2)
+                jobs +=
+                    Arrival(
+                        now,
+                        workloadClass,
+                        if (large) 2 else random.nextInt(3),
+                        large,
+                        if (large) 300 else 30,
+                        10.0 + 10.0 * workloadClass,
+                    )
             }
             jobs.forEach { job ->
                 job.runningUntilSeconds.removeIf { it <= now }
@@ -80,13 +88,13 @@
     private fun servedAtLeastHalf(overloadedPool: OverloadedPool): Boolean {
         val counted = overloadedPool.jobs.filter { it.arrivedAtSeconds < 2000 }
         val groups =
-            counted.groupBy { "class ${it.loadClass}" } + counted.groupBy { "team ${it.team}" } +
-                counted.filter { it.large }.groupBy { "large ${it.loadClass}" }
+            counted.groupBy { "class ${it.workloadClass}" } + counted.groupBy { "team ${it.team}" } +
+                counted.filter { it.large }.groupBy { "large ${it.workloadClass}" }
         return groups.values.all { group -> group.count { it.doneAtSeconds != null } * 2 >= group.size }
     }
 
     @Test
-    fun `under lasting overload half of each class, team and size ends, and each job starts within 240 s`() {
+    fun `under lasting overload at least half of each class, team and size ends, and each job starts within 240 s`() {
         val overloadedPool = OverloadedPool(StarvationPrevention(60.0, 0.15), 3).apply { run(2600) }
         assertTrue(servedAtLeastHalf(overloadedPool))
         val late = overloadedPool.jobs.filter {
