--- a/src/main/kotlin/copperglade/prediction/MachineSpeeds.kt
+++ b/src/main/kotlin/copperglade/prediction/MachineSpeeds.kt
@@ -16,7 +16,7 @@
     private var speeds: Map<MachineName, Double> = emptyMap()
     private var recordedSinceMeasured = 0
 
-    /** Must be called after each profile that is added to the profiles. */
+    /** Must be called after each addition to the profiles. */
     fun onRecorded() {
         recordedSinceMeasured++
     }
--- a/src/main/kotlin/copperglade/prediction/ProfileStore.kt
+++ b/src/main/kotlin/copperglade/prediction/ProfileStore.kt
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Returns the finished tasks of [workloadClass] that take more than [doneSeconds] on a machine of average speed. A task that has already
-     * done [doneSeconds] of work resembles these. Without this condition a task that merely has much work would appear to finish
-     * sooner when restarted.
+     * Returns the finished tasks of [workloadClass] that take more than [doneSeconds] on a machine of average speed. A task that has
+     * already done [doneSeconds] of work resembles these. Without this condition a task that merely has much work would appear to
+     * finish sooner when restarted.
      */
     fun similarTasks(workloadClass: String, doneSeconds: Double = 0.0): List<SimilarTask> = profiles.mapNotNull { profile ->
         if (profile.factors.workloadClass != workloadClass) return@mapNotNull null
@@ -82,8 +82,8 @@
         predict(ANY_MACHINE, TaskFactors(job, workloadClass, type = "", request, tasksOnMachine = 0))?.averageSeconds
 
     /**
-     * Returns the average run time of the finished tasks of [job], or of [workloadClass] where too few tasks of the job have finished; null
-     * where too few tasks of the workload class have finished either.
+     * Returns the average run time of the finished tasks of [job], or of [workloadClass] where too few tasks of the job have
+     * finished; null where too few tasks of the workload class have finished either.
      */
     fun averageRunSeconds(job: JobId, workloadClass: String): Double? = averages.ofJob(job) ?: averages.ofWorkloadClass(workloadClass)
 
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -5,7 +5,7 @@
 import copperglade.protocol.TeamName
 import copperglade.transport.EventLoop
 
-/** A job in the queue of a scheduling round, and the limit on the number of its tasks that are assigned from this entry. */
+/** A job in the queue of a scheduling round; at most [maxTasks] of the job's tasks are assigned for this entry. */
 internal class QueuedJob(val job: SchedulableJob, val maxTasks: Int)
 
 /**
--- a/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
+++ b/src/main/kotlin/copperglade/scheduling/RoundCapacity.kt
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns whether this round has no machine for a task of [spec]: [markFullFor] was called for a spec that requests no more
-     * and may run wherever [spec] may.
+     * Returns whether this round has no machine for a task of [spec]: [markFullFor] was called for a spec that requests no more, has
+     * no lower priority and may run wherever [spec] may.
      */
     fun isFullFor(spec: JobSpec): Boolean = unplaceableSpecs.any { it.isNoHarderToPlaceThan(spec) }
 
