--- a/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
+++ b/src/test/kotlin/copperglade/agents/RemovedMachinesTest.kt
@@ -13,7 +13,7 @@
 
 class RemovedMachinesTest {
     private val sim = Simulation(1)
-    private val removed = RemovedMachines(SimLoop(sim))
+    private val removedMachines = RemovedMachines(SimLoop(sim))
 
     private fun machine(number: Int) = MachineName("i-$number")
 
@@ -23,25 +23,25 @@
     /** Guards against a limit on the number of removals: late copies of heartbeats would add the evicted machines again. */
     @Test
     fun `all removals of a large fleet are kept while late copies of heartbeats may arrive`() {
-        repeat(MACHINES) { removed.recordExpired(machine(it), epoch = 3) }
+        repeat(MACHINE_COUNT) { removedMachines.recordExpired(machine(it), epoch = 3) }
         sim.run(50 * 60_000.0)
-        removed.recordDeleted(machine(MACHINES))
-        repeat(MACHINES) { number ->
-            assertTrue(removed.predatesRemoval(heartbeat(number, epoch = 3)))
-            assertFalse(removed.predatesRemoval(heartbeat(number, epoch = 4)))
+        removedMachines.recordDeleted(machine(MACHINE_COUNT))
+        repeat(MACHINE_COUNT) { number ->
+            assertTrue(removedMachines.predatesRemoval(heartbeat(number, epoch = 3)))
+            assertFalse(removedMachines.predatesRemoval(heartbeat(number, epoch = 4)))
         }
     }
 
     @Test
     fun `removals older than the retention period are evicted`() {
-        repeat(MACHINES) { removed.recordDeleted(machine(it)) }
+        repeat(MACHINE_COUNT) { removedMachines.recordDeleted(machine(it)) }
         sim.run(61 * 60_000.0)
-        removed.recordExpired(machine(MACHINES), epoch = 1)
-        assertEquals(1, removed.size)
-        assertTrue(removed.isRemoved(machine(MACHINES)))
+        removedMachines.recordExpired(machine(MACHINE_COUNT), epoch = 1)
+        assertEquals(1, removedMachines.size)
+        assertTrue(removedMachines.isRemoved(machine(MACHINE_COUNT)))
     }
 
     private companion object {
-        const val MACHINES = 20_000
+        const val MACHINE_COUNT = 20_000
     }
 }
--- a/src/test/kotlin/copperglade/tasks/RunTableTest.kt
+++ b/src/test/kotlin/copperglade/tasks/RunTableTest.kt
@@ -17,7 +17,7 @@
     fun `lists by state, job and task range match a scan of all runs`(seed: Long) {
         val random = Random(seed)
         val table = RunTable()
-        val all = HashMap<TaskId, Run>()
+        val expectedRuns = HashMap<TaskId, Run>()
         repeat(2000) {
             val task = TaskId(JobId("job-${random.nextInt(5)}"), random.nextInt(4) * 150)
             val now = MonotonicTime(it.toLong())
@@ -25,22 +25,22 @@
                 0 -> {
                     val initialState = if (random.nextBoolean()) RunState.WAITING else RunState.MISSING
                     val run = Run(task, SimSite.job(1, tasks = 600), it, 0, initialState, now, table::onStateChanged)
-                    all[task] = run
+                    expectedRuns[task] = run
                     table.add(run)
                 }
-                1 -> all.remove(task)?.let(table::remove)
-                else -> all[task]?.transitionTo(RunState.entries[random.nextInt(RunState.entries.size)], "test", now)
+                1 -> expectedRuns.remove(task)?.let(table::remove)
+                else -> expectedRuns[task]?.transitionTo(RunState.entries[random.nextInt(RunState.entries.size)], "test", now)
             }
-            assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
-            assertEquals(all.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
-            assertEquals(all.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.ofJob(task.job).toSet())
+            assertEquals(expectedRuns.values.filterTo(HashSet()) { run -> run.state == RunState.WAITING }, table.waiting.toSet())
+            assertEquals(expectedRuns.values.filterTo(HashSet()) { run -> run.state == RunState.MISSING }, table.missing.toSet())
+            assertEquals(expectedRuns.values.filterTo(HashSet()) { run -> run.task.job == task.job }, table.ofJob(task.job).toSet())
             val range = TaskRange(task.job, task.index / Keys.TASKS_PER_RANGE)
-            val runsInRange = all.values.filterTo(HashSet()) { run ->
+            val runsInRange = expectedRuns.values.filterTo(HashSet()) { run ->
                 TaskRange(run.task.job, run.task.index / Keys.TASKS_PER_RANGE) ==
                     range
             }
             assertEquals(runsInRange, table.inRange(range).toSet())
-            assertEquals(all[task], table[task])
+            assertEquals(expectedRuns[task], table[task])
         }
     }
 }
