--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -84,7 +84,7 @@
             when (command) {
                 is Command.Start -> run?.startSentAt = now
                 is Command.Stop -> run?.stopSentAt = now
-                is Command.Remove -> machine.channel.removalSent(command.attempt, now)
+                is Command.Remove -> machine.channel.recordRemovalSent(command.attempt, now)
             }
         }
     }
--- a/src/main/kotlin/copperglade/agents/MachineTracker.kt
+++ b/src/main/kotlin/copperglade/agents/MachineTracker.kt
@@ -48,7 +48,7 @@
      * had been accepted, and the reply has no higher numbers, the worker has restarted and reset them.
      */
     override fun onReply(machine: Machine, heartbeat: Heartbeat, sentAt: MonotonicTime) {
-        if (sentAt > machine.lastUpdateAt && !machine.sequence.isNewerThanAccepted(heartbeat)) workerRestarted(machine, heartbeat)
+        if (sentAt > machine.lastUpdateAt && !machine.sequence.isNewerThanAccepted(heartbeat)) handleWorkerRestart(machine, heartbeat)
         receive(heartbeat)
     }
 
@@ -108,9 +108,9 @@
      * Handles a worker's restart, detected by its reply to a command: none of the machine's former tasks is there any more. The run of an
      * unresolved start stays bound, since a late copy of the start may take effect if the new agent epoch has the number of the old one.
      */
-    private fun workerRestarted(machine: Machine, heartbeat: Heartbeat) {
+    private fun handleWorkerRestart(machine: Machine, heartbeat: Heartbeat) {
         log.info("worker_restarted machine={} tasks_lost={}", machine.name, machine.runs.size)
-        machine.restart(heartbeat, clock.now())
+        machine.onWorkerRestarted(heartbeat, clock.now())
         for (run in machine.runs.toList()) {
             if (machine.channel.hasUnresolvedStart(run.task, run.attempt)) {
                 run.restartAttempt(clock.now())
--- a/src/main/kotlin/copperglade/agents/WorkerCommands.kt
+++ b/src/main/kotlin/copperglade/agents/WorkerCommands.kt
@@ -65,16 +65,16 @@
         val commands = client.approve(machine.name, state.fencingToken, planned)
         planner.markSent(machine, commands)
         val sentAt = clock.now()
-        machine.channel.commandSent(sentAt)
+        machine.channel.recordCommandSent(sentAt)
         val starts = unresolvedStarts.recordSent(machine, commands, expiresAt = null)
         client.send(machine.endpoint, state.fencingToken, machine.epoch, commands) { reply -> onReply(machine, reply, starts, sentAt) }
     }
 
     private fun onReply(machine: Machine, reply: CommandReply, starts: List<UnresolvedStart>, sentAt: MonotonicTime) {
         when (reply) {
-            CommandReply.TimedOut -> machine.channel.commandTimedOut(clock::now)
+            CommandReply.TimedOut -> machine.channel.recordCommandTimedOut(clock::now)
             is CommandReply.Answered -> {
-                machine.channel.commandAnswered()
+                machine.channel.recordCommandAnswered()
                 if (state.machines[machine.name] === machine) onAnswer(machine, reply, starts, sentAt)
             }
         }
--- a/src/main/kotlin/copperglade/tasks/CommandChannel.kt
+++ b/src/main/kotlin/copperglade/tasks/CommandChannel.kt
@@ -51,25 +51,25 @@
         private set
 
     /** Records that a direct command is being sent. */
-    fun commandSent(now: MonotonicTime) {
+    fun recordCommandSent(now: MonotonicTime) {
         commandInFlight = true
         commandSentAt = now
     }
 
     /** Records that the direct command in flight was answered. */
-    fun commandAnswered() {
+    fun recordCommandAnswered() {
         commandInFlight = false
         unresponsiveSince = null
     }
 
     /** Records that the direct command in flight has timed out; [now] is read only for the first timeout in a row. */
-    fun commandTimedOut(now: () -> MonotonicTime) {
+    fun recordCommandTimedOut(now: () -> MonotonicTime) {
         commandInFlight = false
         unresponsiveSince = unresponsiveSince ?: now()
     }
 
     /** Records that the removal of [attempt] is being sent. */
-    fun removalSent(attempt: Attempt, now: MonotonicTime) {
+    fun recordRemovalSent(attempt: Attempt, now: MonotonicTime) {
         removalSentAt[attempt] = now
         lastRemovalSentAt = now
     }
--- a/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
+++ b/src/main/kotlin/copperglade/tasks/HeartbeatSequence.kt
@@ -47,7 +47,7 @@
     }
 
     /** Records that the worker has restarted and reset its numbers: all heartbeats up to the newest received one become unverified. */
-    fun restart() {
+    fun onWorkerRestarted() {
         markUnverifiedUpTo(accepted.epoch, accepted.sequenceNumber)
         markUnverifiedUpTo(lastHeartbeat.epoch, lastHeartbeat.sequenceNumber)
         lastHeartbeat = START
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -116,8 +116,8 @@
     }
 
     /** Accepts [heartbeat] from a worker that has restarted and reset its agent epoch and sequence number. */
-    fun restart(heartbeat: Heartbeat, now: MonotonicTime) {
-        sequence.restart()
+    fun onWorkerRestarted(heartbeat: Heartbeat, now: MonotonicTime) {
+        sequence.onWorkerRestarted()
         fencingToken = FencingToken.NONE
         apply(heartbeat, now)
     }
