--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -98,7 +98,7 @@
     }
 }
 
-/** Returns these commands without the stops that [others] contains. Stops of the same task and attempt are the same. */
+/** Returns these commands without the stops that [others] contains. Stops of the same task and attempt count as equal. */
 internal fun List<Command>.withoutStopsIn(others: List<Command>): List<Command> = filterNot { command ->
     command is Command.Stop && others.any { it is Command.Stop && it.task == command.task && it.attempt == command.attempt }
 }
--- a/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatHandler.kt
@@ -19,7 +19,7 @@
         /** The machine was removed; the heartbeat is from before the removal, or from a restarted worker. */
         MACHINE_REMOVED,
 
-        /** The heartbeat is a late copy, or the worker has restarted with low numbers. Only its reply to a command distinguishes these. */
+        /** The heartbeat is a late copy, or the worker has restarted with low numbers. Only a reply to a command distinguishes these. */
         DUPLICATE,
 
         /** The heartbeat may be from before the worker restarted, and no reply or heartbeat of the worker was accepted recently. */
--- a/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
+++ b/src/main/kotlin/copperglade/agents/HeartbeatResponses.kt
@@ -36,8 +36,8 @@
      * Returns the commands for the response to a fenced machine's heartbeat.
      *
      * A command in a response is never executed late, so the response carries all due commands while direct commands go unanswered.
-     * Removals are always sent with responses, which saves separate messages. Stops of unknown tasks are always included: direct commands
-     * may be failing undetected, and a lease must not be renewed without stopping the tasks that have no run.
+     * Otherwise the response carries removals when they are due, which saves separate messages. Stops of unknown tasks are always included:
+     * direct commands may be failing undetected, and a lease must not be renewed without stopping the tasks that have no run.
      */
     private fun dueCommands(machine: Machine): List<Command> {
         val unknownTaskCommands = planner.unknownTaskCommands(machine, clock.now())
--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -78,7 +78,7 @@
     /** Whether the machine is being drained: no tasks are placed on it. */
     var draining = false
 
-    /** Whether the cloud has been asked to delete the machine and has not answered yet. */
+    /** Whether a request to the cloud to delete the machine is in flight. */
     var deleting = false
 
     val epoch: Long get() = sequence.epoch
