--- a/src/main/kotlin/copperglade/tasks/Machine.kt
+++ b/src/main/kotlin/copperglade/tasks/Machine.kt
@@ -78,7 +78,7 @@
     /** Whether the machine is being drained: no tasks are placed on it. */
     var draining = false
 
-    /** Whether the cloud has been asked to delete the machine and has not answered yet. */
+    /** Whether a request to the cloud to delete the machine is in flight. */
     var deleting = false
 
     val epoch: Long get() = sequence.epoch
@@ -116,8 +116,8 @@
     }
 
     /** Accepts [heartbeat] from a worker that has restarted and reset its agent epoch and sequence number. */
-    fun restart(heartbeat: Heartbeat, now: MonotonicTime) {
-        sequence.restart()
+    fun onWorkerRestarted(heartbeat: Heartbeat, now: MonotonicTime) {
+        sequence.onWorkerRestarted()
         fencingToken = FencingToken.NONE
         apply(heartbeat, now)
     }
