--- a/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/CloudApiCodec.kt
@@ -7,10 +7,10 @@
     const val MAX_MACHINES_PER_RENTAL = 50
     const val MAX_MACHINES_PER_DELETION = 100
     const val MACHINES_PER_PAGE = 500
-    private const val RESPONSE = "cloud_response"
+    private const val INPUT_KIND = "cloud_response"
 
     /** Decodes the machine types of the catalog. */
-    fun decodeMachineTypes(root: JsonNode?): List<MachineType>? = Decoding.orNull(RESPONSE) {
+    fun decodeMachineTypes(root: JsonNode?): List<MachineType>? = Decoding.orNull(INPUT_KIND) {
         root?.get("fleets")?.takeIf { it.isArray }?.mapNotNull(::decodeMachineType)
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** Decodes a page of the list of machines. */
-    fun decodeMachinePage(root: JsonNode?): MachinePage? = Decoding.orNull(RESPONSE) {
+    fun decodeMachinePage(root: JsonNode?): MachinePage? = Decoding.orNull(INPUT_KIND) {
         root?.get("trucks")?.takeIf { it.isArray }?.let { machines ->
             MachinePage(machines.mapNotNull(::decodeMachine), root.booleanOrNull("truncated") ?: false)
         }
@@ -65,7 +65,7 @@
     }
 
     /** Decodes the names of the rented machines. */
-    fun decodeRental(root: JsonNode?): List<MachineName>? = Decoding.orNull(RESPONSE) {
+    fun decodeRental(root: JsonNode?): List<MachineName>? = Decoding.orNull(INPUT_KIND) {
         root?.get("trucks")?.takeIf { it.isArray }?.map { MachineName(it.asText()) }
     }
 
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -61,7 +61,7 @@
         (types == null || type in types) && (zone == null || zone == machineZone) && (!spot || spotAllowed)
 
     /** The maximum number of tasks that may run in one zone, given [spread]. */
-    val perZoneLimit: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
     /** A copy with another priority. */
     fun withPriority(priority: Priority): JobSpec = if (priority == this.priority) this else copy(priority = priority)
--- a/src/main/kotlin/copperglade/protocol/JobSummary.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSummary.kt
@@ -11,7 +11,7 @@
 /**
  * The progress of a job, as reported to users.
  *
- * @property done the number of tasks that are done.
- * @property running the number of tasks that are assigned to machines.
+ * @property tasksDone the number of tasks that are done.
+ * @property tasksRunning the number of tasks that are assigned to machines.
  */
-class JobSummary(val id: JobId, val status: JobStatus, val done: Int, val running: Int)
+class JobSummary(val id: JobId, val status: JobStatus, val tasksDone: Int, val tasksRunning: Int)
--- a/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/UserApiCodec.kt
@@ -11,8 +11,8 @@
         writeJsonObject {
             writeStringField("nameId", summary.id.text)
             writeStringField("status", summary.status.wireName)
-            writeNumberField("done", summary.done)
-            writeNumberField("running", summary.running)
+            writeNumberField("done", summary.tasksDone)
+            writeNumberField("running", summary.tasksRunning)
         }
     }
 
--- a/src/main/kotlin/copperglade/scheduling/ZoneConstraint.kt
+++ b/src/main/kotlin/copperglade/scheduling/ZoneConstraint.kt
@@ -16,5 +16,5 @@
     }
 
     fun allows(zone: String): Boolean =
-        (!spec.oneZone || tasksByZone.keys.all { it == zone }) && (tasksByZone[zone] ?: 0) < spec.perZoneLimit
+        (!spec.oneZone || tasksByZone.keys.all { it == zone }) && (tasksByZone[zone] ?: 0) < spec.maxTasksPerZone
 }
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -108,7 +108,7 @@
         assertEquals(listOf("queued", "running", "done", "aborted"), JobStatus.entries.map { it.wireName })
         assertEquals(
             """{"nameId":"job-7","status":"running","done":2,"running":3}""",
-            UserApiCodec.encodeSummary(JobSummary(id, JobStatus.RUNNING, done = 2, running = 3)).decodeToString(),
+            UserApiCodec.encodeSummary(JobSummary(id, JobStatus.RUNNING, tasksDone = 2, tasksRunning = 3)).decodeToString(),
         )
         assertEquals("""{"nameId":"job-7","status":"aborted"}""", UserApiCodec.encodeStatus(id, JobStatus.CANCELLED).decodeToString())
         assertEquals("""{"error":"no such job"}""", UserApiCodec.encodeError("no such job").decodeToString())
--- a/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/WorkerMessageCodecTest.kt
@@ -14,7 +14,7 @@
         val root = Json.read(bytes)?.takeIf { it.isObject } ?: return null
         val reportedTasks = root.fieldOrNull("boxes")
         if (reportedTasks != null && !reportedTasks.isArray) return null
-        val read = reportedTasks?.map { node ->
+        val decodedTasks = reportedTasks?.map { node ->
             val task = node.stringOrNull("box")?.let { TaskId.parse(it) } ?: return null
             val state = ReportedTaskState.entries.firstOrNull { it.wireName == node.stringOrNull("status") } ?: return null
             val cause = node.stringOrNull("cause")?.let { word -> ExitCause.entries.firstOrNull { it.wireName == word } ?: ExitCause.OTHER }
@@ -30,7 +30,7 @@
             root.longOrNull("tally") ?: return null,
             root.longOrNull("baton") ?: 0L,
             root.doubleOrNull("recallS"),
-            read.orEmpty(),
+            decodedTasks.orEmpty(),
         ).toString()
     }
 
@@ -44,21 +44,21 @@
         val random = Random(seed)
         val replacements =
             listOf("null", "7", "-1", "1.5", "\"x\"", "true", "[]", "[1,{}]", "{}", "{\"a\":[2]}", "\"job-1/0\"", "\"ended\"", "1e3")
-        val complete = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
+        val validBody = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
             "baton":4,"recallS":null,"boxes":[{"box":"job-1/3","trip":2,"status":"running"},
             {"box":"job-2/0","trip":1,"status":"ended","cause":"done"}],"more":{"boxes":[1]}}"""
-        val values = Regex(":(\"[^\"]*\"|[0-9]+|true|null)").findAll(complete).map { it.groups[1]!!.range }.toList()
+        val valueRanges = Regex(":(\"[^\"]*\"|[0-9]+|true|null)").findAll(validBody).map { it.groups[1]!!.range }.toList()
         var validCount = 0
         repeat(500) {
-            var text = complete
-            values.filter { random.nextInt(8) == 0 }.reversed().forEach {
+            var text = validBody
+            valueRanges.filter { random.nextInt(8) == 0 }.reversed().forEach {
                 text =
                     text.replaceRange(it, replacements[random.nextInt(replacements.size)])
             }
             if (random.nextInt(10) == 0) text = text.take(random.nextInt(text.length))
-            val read = WorkerMessageCodec.decodeHeartbeat(text.toByteArray())
-            assertEquals(decodeFromTree(text.toByteArray()), read?.let(::fieldsAsText), text)
-            if (read != null) validCount++
+            val decoded = WorkerMessageCodec.decodeHeartbeat(text.toByteArray())
+            assertEquals(decodeFromTree(text.toByteArray()), decoded?.let(::fieldsAsText), text)
+            if (decoded != null) validCount++
         }
         assertTrue(validCount in 20..480, "$validCount valid heartbeats")
     }
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -89,7 +89,7 @@
     private fun checkZones(user: SimUser, task: TaskId, worker: StandInWorker) {
         val zones = zonesOf.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
         if (user.spec.oneZone && zones.distinct().size > 1) breach("wrong_place", "$task not in one zone")
-        if (zones.count { it == worker.zone } > user.spec.perZoneLimit) breach("wrong_place", "$task not spread")
+        if (zones.count { it == worker.zone } > user.spec.maxTasksPerZone) breach("wrong_place", "$task not spread")
     }
 
     private fun limitOf(team: TeamName): Double = otherTeam?.takeIf { it.name == team }?.cpusMax ?: scale.teamCpus
@@ -196,7 +196,7 @@
             val zones = running.values
             worker.alive && !worker.hanging && worker.freeCpus() >= spec.request.cpus &&
                 spec.allows(worker.type, worker.zone, worker.spot) && (!spec.oneZone || zones.all { it == worker.zone }) &&
-                zones.count { it == worker.zone } < spec.perZoneLimit
+                zones.count { it == worker.zone } < spec.maxTasksPerZone
         }
     }
 
