--- a/src/main/kotlin/copperglade/fleet/FleetInventory.kt
+++ b/src/main/kotlin/copperglade/fleet/FleetInventory.kt
@@ -1,6 +1,6 @@
 package copperglade.fleet
 
-/** The machines that are expected to run tasks, whether listed, rented or requested, and their CPUs. */
+/** The number and the CPUs of the machines that are expected to run tasks, whether listed, rented or requested. */
 internal class FleetInventory(private val types: MachineTypeCatalog) {
     private val countByKind = HashMap<MachineKind, Int>()
     var onDemandCpus = 0.0
--- a/src/main/kotlin/copperglade/fleet/MachineLiveness.kt
+++ b/src/main/kotlin/copperglade/fleet/MachineLiveness.kt
@@ -8,7 +8,7 @@
 
 /** Detects machines that will never run tasks again, from the cloud's list and the reports of the shard owners. */
 internal class MachineLiveness(private val types: MachineTypeCatalog, private val reports: MachineReports) {
-    /** When a machine was last reported, or last could not be reported because its shard had no reachable owner. */
+    /** When each machine was last reported, or was last found missing while no reachable owner reported on the machine's shard. */
     private val lastReportedAt = HashMap<MachineName, MonotonicTime>()
 
     fun recordReported(machines: Set<MachineName>, now: MonotonicTime) = machines.forEach { lastReportedAt[it] = now }
--- a/src/main/kotlin/copperglade/protocol/Command.kt
+++ b/src/main/kotlin/copperglade/protocol/Command.kt
@@ -8,7 +8,7 @@
     /** Starts the attempt. */
     data class Start(override val task: TaskId, override val attempt: Attempt) : Command
 
-    /** Stops the attempt, after a checkpoint where that takes no more than [graceSeconds]. */
+    /** Stops the attempt, after a checkpoint where the checkpoint takes no more than [graceSeconds]. */
     data class Stop(override val task: TaskId, override val attempt: Attempt, val graceSeconds: Double) : Command
 
     /** Removes the worker's record of an attempt that has ended. */
--- a/src/main/kotlin/copperglade/protocol/Decoding.kt
+++ b/src/main/kotlin/copperglade/protocol/Decoding.kt
@@ -11,7 +11,7 @@
     private val malformedCounts = ConcurrentHashMap<String, Long>()
     private val log = LoggerFactory.getLogger("malformed")
 
-    /** Returns the result of [decode], or null where it throws because the input of this [kind] is malformed. */
+    /** Returns the result of [decode], or null where [decode] throws because the input of this [kind] is malformed. */
     fun <T : Any> orNull(kind: String, decode: () -> T?): T? = try {
         decode()
     } catch (fault: Exception) {
--- a/src/main/kotlin/copperglade/protocol/JobSpec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpec.kt
@@ -8,7 +8,7 @@
     /** Tasks that run until they are cancelled. */
     SERVICE("daemon"),
 
-    /** All tasks run at once or none does; submissions of this kind are not accepted yet. */
+    /** All tasks run at once or none does; the current protocol accepts no submissions of this kind. */
     GANG("ensemble"),
 }
 
--- a/src/main/kotlin/copperglade/protocol/Json.kt
+++ b/src/main/kotlin/copperglade/protocol/Json.kt
@@ -13,7 +13,10 @@
 import java.nio.ByteBuffer
 import java.nio.charset.CharacterCodingException
 
-/** The shared Jackson setup. Heartbeats are read as a stream and everything else as a tree; bodies are written as a stream. */
+/**
+ * Reads and writes JSON with the one Jackson configuration of the program. Heartbeats are read as a stream and everything else as a
+ * tree; bodies are written as a stream.
+ */
 object Json {
     private const val MAX_NESTING_DEPTH = 32
     private const val INITIAL_BYTES = 256
@@ -81,17 +84,17 @@
     writeEndArray()
 }
 
-/** The field [name], or null where it is omitted or null. */
+/** The field [name], or null where the field is omitted or null. */
 fun JsonNode.fieldOrNull(name: String): JsonNode? = get(name)?.takeUnless { it.isNull }
 
-/** The field [name], or null where it isn't a string. */
+/** The field [name], or null where the value isn't a string. */
 fun JsonNode.stringOrNull(name: String): String? = fieldOrNull(name)?.takeIf { it.isTextual }?.textValue()
 
-/** The field [name], or null where it isn't an integer in the range of [Long]. */
+/** The field [name], or null where the value isn't an integer in the range of [Long]. */
 fun JsonNode.longOrNull(name: String): Long? = fieldOrNull(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()
 
-/** The field [name], or null where it isn't a number. */
+/** The field [name], or null where the value isn't a number. */
 fun JsonNode.doubleOrNull(name: String): Double? = fieldOrNull(name)?.takeIf { it.isNumber }?.doubleValue()
 
-/** The field [name], or null where it is neither true nor false. */
+/** The field [name], or null where the value is neither true nor false. */
 fun JsonNode.booleanOrNull(name: String): Boolean? = fieldOrNull(name)?.takeIf { it.isBoolean }?.booleanValue()
--- a/src/main/kotlin/copperglade/protocol/MonotonicTime.kt
+++ b/src/main/kotlin/copperglade/protocol/MonotonicTime.kt
@@ -12,7 +12,7 @@
     operator fun minus(duration: Duration) = MonotonicTime(millis - duration.inWholeMilliseconds)
 
     companion object {
-        /** Earlier than every reading, by more than any duration that is added to it. */
+        /** A time earlier than every reading, by more than any duration that is added to a reading. */
         val NEVER = MonotonicTime(Long.MIN_VALUE / 4)
     }
 }
--- a/src/main/kotlin/copperglade/protocol/PeerStatus.kt
+++ b/src/main/kotlin/copperglade/protocol/PeerStatus.kt
@@ -29,11 +29,11 @@
 
 /**
  * The status that a controller sends to the others several times a second. A status is a hint: a controller that acts on a status
- * checks it against the state service, and no decision relies on receiving one.
+ * verifies the hint against the state service, and no decision relies on receiving a status.
  *
  * @property knownRevision the revision of the state service up to which the status includes all changes.
  * @property stateServiceAnswerAgeMillis the time since the state service last answered this controller.
- * @property shardsToRelease from the leader: shards that their owners should release to another owner.
+ * @property shardsToRelease from the leader: shards that the current owners should release, so that another controller takes over.
  * @property machinesToRetire from the leader: machines that are no longer needed.
  * @property desiredWritesPerSecond the rate at which this controller would write to the state service without a limit.
  */
