--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -51,10 +51,10 @@
         measure("in:${firstSegment(request)}") { handler.handle(request, responder) }
     }
 
-    /** Wraps [caller] so that the time of its callbacks counts under `out:` and the first segment of the request's path. */
-    fun measured(caller: HttpClient) = HttpClient { to: Endpoint, request: Request, timeout: Duration, done: (Reply?) -> Unit ->
+    /** Wraps [client] so that the time of its callbacks counts under `out:` and the first segment of the request's path. */
+    fun measured(client: HttpClient) = HttpClient { endpoint: Endpoint, request: Request, timeout: Duration, onReply: (Reply?) -> Unit ->
         val kind = "out:${firstSegment(request)}"
-        caller.call(to, request, timeout) { reply -> measure(kind) { done(reply) } }
+        client.call(endpoint, request, timeout) { reply -> measure(kind) { onReply(reply) } }
     }
 
     private fun firstSegment(request: Request) = request.path
--- a/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
+++ b/src/main/kotlin/copperglade/protocol/JobSpecCodec.kt
@@ -8,7 +8,7 @@
     /** The field that lists the jobs to be done before this one; the stored record of a job uses the same name. */
     const val DEPENDENCIES = "awaits"
     private const val MAX_TASKS = 100_000
-    private const val MAX_AMOUNT = 1e9
+    private const val MAX_NUMBER = 1e9
     private const val MAX_TEXT_LENGTH = 200
 
     /** Aborts the decoding of a submission; always caught within this codec. */
@@ -90,7 +90,7 @@
 
     private fun readNumber(root: JsonNode, name: String): Double {
         val value = root.doubleOrNull(name) ?: reject(name, "missing or not a number")
-        if (!value.isFinite() || value < 0.0 || value > MAX_AMOUNT) reject(name, "out of range")
+        if (!value.isFinite() || value < 0.0 || value > MAX_NUMBER) reject(name, "out of range")
         return value
     }
 
