--- a/src/main/kotlin/copperglade/observability/ActionAudit.kt
+++ b/src/main/kotlin/copperglade/observability/ActionAudit.kt
@@ -102,7 +102,7 @@
         val state = when {
             job?.live == null -> replica.endRecordOf(id)?.status?.name ?: "UNKNOWN"
             job.cancelled -> "CANCELLED"
-            job.dependencies.isEmpty() -> "FREE"
+            job.dependencies.isEmpty() -> "NO_DEPENDENCIES"
             else -> job.dependencyState.name
         }
         return "job_state=$state job_revision=${job?.liveRevision()} ${authorityContext()}"
--- a/src/main/kotlin/copperglade/protocol/ClusterNames.kt
+++ b/src/main/kotlin/copperglade/protocol/ClusterNames.kt
@@ -18,7 +18,7 @@
     override fun toString() = text
 }
 
-/** The name of a team that submits jobs and has a guaranteed share and a limit. */
+/** The name of a team that submits jobs and has guaranteed capacity and a capacity limit. */
 @JvmInline
 value class TeamName(val text: String) {
     override fun toString() = text
