--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -13,13 +13,13 @@
 import copperglade.sim.SimSite
 import copperglade.sim.Simulation
 import copperglade.sim.SiteScale
-import copperglade.sim.arrays
 import copperglade.sim.crash
 import copperglade.sim.cutController
 import copperglade.sim.cutPeers
 import copperglade.sim.heal
 import copperglade.sim.killMachine
-import copperglade.sim.services
+import copperglade.sim.submitArrays
+import copperglade.sim.submitServices
 import copperglade.storage.Keys
 import copperglade.transport.Request
 import java.io.File
@@ -46,8 +46,8 @@
 private fun mixedDay(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 71), scale = SiteScale(machinesPerZone = 2, valueKb = 2.0), slowMachine = "i-000002")
     recorder.listenTo(site)
-    site.services(jobs = 2, tasks = 3)
-    site.arrays(jobs = 12, tasks = 6)
+    site.submitServices(jobs = 2, tasks = 3)
+    site.submitArrays(jobs = 12, tasks = 6)
     site.submit(SimSite.job(601, tasks = 3, oneZone = true)) { 30.0 }
     site.submit(SimSite.job(602, tasks = 4, spread = true)) { 30.0 }
     site.submit(SimSite.job(603, tasks = 2, zone = "south", spot = false)) { 20.0 }
@@ -56,7 +56,7 @@
     step(site, 20.0, recorder)
     listOf("job-602", "job-501", "job-605").forEach { site.cancel(JobId(it)) }
     step(site, 5.0, recorder)
-    site.arrays(jobs = 8, tasks = 12, first = 20)
+    site.submitArrays(jobs = 8, tasks = 12, first = 20)
     site.killMachine(0)
     step(site, 15.0, recorder)
     site.cutPeers()
@@ -96,7 +96,9 @@
     val site = SimSite(Simulation(seed = 5), nodes = 1, scale = SiteScale(machinesPerZone = 12, teamCpus = 400.0), slowMachine = "i-000002")
     recorder.listenTo(site)
     repeat(60) { number ->
-        site.sim.after(number * 4000.0) { site.submit(SimSite.job(801 + number, tasks = 16, etaS = 15.0)) { task -> 12.0 + task } }
+        site.sim.after(
+            number * 4000.0,
+        ) { site.submit(SimSite.job(801 + number, tasks = 16, estimatedSeconds = 15.0)) { task -> 12.0 + task } }
     }
     site.run(300.0)
     check(site.breaches.isEmpty()) { site.breaches.toString() }
@@ -106,9 +108,9 @@
 private fun longAbsenceDay(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), scale = SiteScale(machinesPerZone = 3))
     recorder.listenTo(site)
-    site.arrays(jobs = 20)
+    site.submitArrays(jobs = 20)
     site.run(20.0)
-    site.crash(1, backAfterMs = 20_000.0)
+    site.crash(1, restartAfterMillis = 20_000.0)
     site.run(60.0)
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
--- a/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
@@ -36,7 +36,7 @@
         val limits = StateLimits(requestsPerSecond = 200.0, writesPerSecond = 50.0, valueKb = 4.0, transactionWrites = 12)
         val replica = Replica(loop, StateClient(loop, network.callerOf("lorry-0", loop), endpoint, limits))
         replica.start()
-        simulation.run(forMs = 5_000.0)
+        simulation.run(forMillis = 5_000.0)
         return replica
     }
 
--- a/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
+++ b/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
@@ -19,12 +19,12 @@
         assertEquals(600, site.users.values.count { it.accepted })
         (0 until nodes).forEach { site.crash(it, 3000.0) }
         site.run(3.0)
-        val began = site.sim.nowMs
+        val began = site.sim.nowMillis
         site.run(15.0)
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.lastAnswerAtMs < began }
+                .filter { it.lastAnswerAtMillis < began }
                 .map { it.spec.id },
         )
         assertEquals(emptyList<String>(), site.breaches)
@@ -51,9 +51,9 @@
     @Test
     fun `the referee sees a single job that gets no answer among many that do`() {
         val site = SimSite(Simulation(32))
-        site.arrays(8)
+        site.submitArrays(8)
         site.run(40.0)
-        site.network.drops = { it.path == "/submissions/job-3" }
+        site.network.dropsRequest = { it.path == "/submissions/job-3" }
         site.run(90.0)
         site.checkAnswered()
         assertEquals(listOf("job-3 gets no answer"), site.breaches.map { it.substringAfter(": ") })
--- a/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
+++ b/src/test/kotlin/copperglade/sim/BehaviourDigest.kt
@@ -46,7 +46,7 @@
 private fun digestLine(scenario: DigestScenario, seed: Long, trace: File?): String {
     val stream = trace?.outputStream()?.buffered()
     val digest = WireDigest(stream)
-    stream.use { scenario.play(seed, digest) }
+    stream.use { scenario.simulate(seed, digest) }
     return "scenario=${scenario.name} seed=$seed messages=${digest.messages} digest=${digest.hex()}"
 }
 
--- a/src/test/kotlin/copperglade/sim/BlockedJobTest.kt
+++ b/src/test/kotlin/copperglade/sim/BlockedJobTest.kt
@@ -12,24 +12,27 @@
     /** When the first of a chain begins, in seconds after its submission, while there is more normal work than room. */
     private fun chainBeginsAfterS(seed: Long, lastPriority: String): Double {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
-        repeat(12) { site.submit(SimSite.job(100 + it, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 } }
+        repeat(12) { site.submit(SimSite.job(100 + it, tasks = 32, estimatedSeconds = 10.0, deadlineSeconds = 600.0)) { 10.0 } }
         site.await(40.0) { site.runningTasks().size >= 16 }
-        site.submit(SimSite.job(1, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 }
-        site.submit(SimSite.job(2, tasks = 2, etaS = 5.0, dueS = 600.0, priority = lastPriority), listOf(id(1))) { 5.0 }
+        site.submit(SimSite.job(1, tasks = 32, estimatedSeconds = 10.0, deadlineSeconds = 600.0)) { 10.0 }
+        site.submit(
+            SimSite.job(2, tasks = 2, estimatedSeconds = 5.0, deadlineSeconds = 600.0, priority = lastPriority),
+            listOf(id(1)),
+        ) { 5.0 }
         site.assertRulesHold(300.0)
         val first = site.user(1)
-        return (first.firstStartAtMs!! - first.requestedAtMs) / 1000
+        return (first.firstStartAtMillis!! - first.requestedAtMillis) / 1000
     }
 
     @ParameterizedTest
     @ValueSource(longs = [621, 622])
     fun `no machines are launched for a blocked job`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
+        site.submit(SimSite.job(1, tasks = 1, estimatedSeconds = 90.0)) { 90.0 }
         site.awaitRunning(1)
         site.run(10.0)
         val rented = site.machinesLaunched
-        site.submit(SimSite.job(2, tasks = 6, cpus = 8.0, etaS = 40.0), listOf(id(1))) { 40.0 }
+        site.submit(SimSite.job(2, tasks = 6, cpus = 8.0, estimatedSeconds = 40.0), listOf(id(1))) { 40.0 }
         site.run(45.0)
         assertTrue(site.isRunning(1) && site.user(2).accepted)
         site.assertStatus("queued", listOf(2))
@@ -42,12 +45,12 @@
     @ValueSource(longs = [626, 627])
     fun `a blocked job takes nothing of its team's limit`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
+        site.submit(SimSite.job(1, tasks = 1, estimatedSeconds = 90.0)) { 90.0 }
         site.awaitRunning(1)
         // Older, urgent, and as large as the team's limit.
-        site.submit(SimSite.job(2, tasks = 30, priority = "urgent", etaS = 5.0), listOf(id(1))) { 5.0 }
+        site.submit(SimSite.job(2, tasks = 30, priority = "urgent", estimatedSeconds = 5.0), listOf(id(1))) { 5.0 }
         site.run(2.0)
-        site.submit(SimSite.job(3, tasks = 29, etaS = 40.0)) { 40.0 }
+        site.submit(SimSite.job(3, tasks = 29, estimatedSeconds = 40.0)) { 40.0 }
         site.await(40.0) { site.runningTasks().keys.count { it.job == id(3) } == 29 }
         assertTrue(site.isRunning(1))
         site.assertStatus("queued", listOf(2))
@@ -59,18 +62,18 @@
     fun `a blocked job preempts nothing that another team has borrowed`(seed: Long) {
         val other = Team(TeamName("others"), 0.0, 200.0, 0.0, 0.0)
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, guaranteedCpus = 16.0), otherTeam = other)
-        site.submit(SimSite.job(1, tasks = 1, etaS = 150.0)) { 150.0 }
+        site.submit(SimSite.job(1, tasks = 1, estimatedSeconds = 150.0)) { 150.0 }
         site.awaitRunning(1)
-        site.submit(SimSite.job(3, tasks = 60, etaS = 110.0, team = other.name)) { 110.0 }
+        site.submit(SimSite.job(3, tasks = 60, estimatedSeconds = 110.0, team = other.name)) { 110.0 }
         // All machines that there are, each with room for eight tasks.
         site.await(60.0) { site.runningTasks().size == 4 * 8 }
-        site.submit(SimSite.job(2, tasks = 6, etaS = 5.0), listOf(id(1))) { 5.0 }
+        site.submit(SimSite.job(2, tasks = 6, estimatedSeconds = 5.0), listOf(id(1))) { 5.0 }
         val borrowed = site.runningTasks().filterKeys { it.job == id(3) }
         site.run(45.0)
         assertTrue(site.isRunning(1) && site.user(2).accepted)
         assertEquals(borrowed, site.runningTasks().filterKeys { it in borrowed.keys }, "some were recalled")
         // The same work without anything before it does have some recalled.
-        site.submit(SimSite.job(4, tasks = 6, etaS = 5.0)) { 5.0 }
+        site.submit(SimSite.job(4, tasks = 6, estimatedSeconds = 5.0)) { 5.0 }
         site.await(15.0) { site.isRunning(4) }
         assertTrue(borrowed.keys.any { it !in site.runningTasks() && it.index !in site.user(3).doneTasks }, "there was room for it")
         site.assertRulesHold(300.0)
--- a/src/test/kotlin/copperglade/sim/CatchUpTest.kt
+++ b/src/test/kotlin/copperglade/sim/CatchUpTest.kt
@@ -13,7 +13,7 @@
  */
 class CatchUpTest {
     private fun SimSite.awayForLong(node: Int) {
-        repeat(30) { number -> sim.after(number * 1_500.0) { submit(SimSite.job(number, tasks = 6, etaS = 10.0)) { 10.0 } } }
+        repeat(30) { number -> sim.after(number * 1_500.0) { submit(SimSite.job(number, tasks = 6, estimatedSeconds = 10.0)) { 10.0 } } }
         run(15.0)
         cutController(node)
         run(35.0)
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -13,19 +13,23 @@
     /** All machines are full of tasks that take a while to checkpoint, then services need their capacity. */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
-        site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_S)) { 300.0 }
+        site.submit(
+            SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, estimatedSeconds = 300.0, checkpointSeconds = CHECKPOINT_DURATION_S),
+        ) {
+            300.0
+        }
         site.await(60.0) { site.runningTasks().size == 16 }
         site.submit(SimSite.job(2, tasks = 3, cpus = 8.0, service = true, spot = false)) { null }
         site.await(30.0) { site.checkpointingTasks().size > 1 }
         return site
     }
 
-    private fun cancelAndAwaitEnd(site: SimSite, withinS: Double) {
+    private fun cancelAndAwaitEnd(site: SimSite, withinSeconds: Double) {
         assertTrue(site.checkpointingTasks().isNotEmpty(), "nothing saves any more")
         site.cancel(checkpointing)
         site.await(10.0) { site.users.getValue(checkpointing).status == "aborted" }
         assertTrue(site.checkpointingTasks().isNotEmpty(), "all was saved before the cancellation")
-        site.await(withinS) { site.runningTasks().keys.none { it.job == checkpointing } }
+        site.await(withinSeconds) { site.runningTasks().keys.none { it.job == checkpointing } }
         site.assertRulesHold()
     }
 
@@ -33,8 +37,8 @@
     @ValueSource(longs = [2301, 2302, 2303])
     fun `a cancellation ends checkpointing at once`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
-        site.cancellationsKnownImmediately = true
-        cancelAndAwaitEnd(site, withinS = 3.0)
+        site.cancellationsReplicatedAtOnce = true
+        cancelAndAwaitEnd(site, withinSeconds = 3.0)
     }
 
     @ParameterizedTest
@@ -42,7 +46,7 @@
     fun `a cancellation ends checkpointing in time where the leader crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(site.leader()!!)
-        cancelAndAwaitEnd(site, withinS = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, withinSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
@@ -58,7 +62,7 @@
                     .name,
             ),
         )
-        cancelAndAwaitEnd(site, withinS = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, withinSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
@@ -15,26 +15,26 @@
 internal fun id(number: Int) = JobId("job-$number")
 
 /** Long arrays from `job-1` on, all at once. */
-internal fun longArrays(site: SimSite, jobs: Int = 8, tasks: Int = 4, workS: Double = 90.0) =
-    repeat(jobs) { site.submit(SimSite.job(it + 1, tasks = tasks, cpus = 8.0, etaS = workS)) { workS } }
+internal fun submitLongArrays(site: SimSite, jobs: Int = 8, tasks: Int = 4, workSeconds: Double = 90.0) =
+    repeat(jobs) { site.submit(SimSite.job(it + 1, tasks = tasks, cpus = 8.0, estimatedSeconds = workSeconds)) { workSeconds } }
 
 /** A site for sixteen machines, so that every controller owns some. */
-internal fun wide(seed: Long, teamCpus: Double = 250.0, nodes: Int = 3) =
+internal fun siteWithSixteenMachines(seed: Long, teamCpus: Double = 250.0, nodes: Int = 3) =
     SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = teamCpus), nodes = nodes)
 
 internal fun runningOf(site: SimSite, jobs: Collection<JobId>) = site.runningTasks().keys.count { it.job in jobs }
 
-/** Cancels [jobs], asserts that at least one cancellation is confirmed within [withinS], and returns the confirmed ones. */
-internal fun cancelAndConfirm(site: SimSite, jobs: List<JobId>, withinS: Double): List<JobId> {
+/** Cancels [jobs], asserts that at least one cancellation is confirmed within [withinSeconds], and returns the confirmed ones. */
+internal fun cancelAndConfirm(site: SimSite, jobs: List<JobId>, withinSeconds: Double): List<JobId> {
     val before = site.confirmedCancellations
     jobs.forEach(site::cancel)
-    site.run(withinS)
+    site.run(withinSeconds)
     assertTrue(site.confirmedCancellations > before, "no cancellation was confirmed")
-    return jobs.filter { site.users.getValue(it).cancelledAtMs != null }
+    return jobs.filter { site.users.getValue(it).cancelledAtMillis != null }
 }
 
 /** Jobs that have tasks on machines whose workers report to [node]. */
-internal fun onMachinesOf(site: SimSite, node: Int): List<JobId> = site
+internal fun jobsOnMachinesOf(site: SimSite, node: Int): List<JobId> = site
     .runningTasks()
     .filterValues { site.ownerOf(it.name) == node }
     .keys
--- a/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
@@ -19,20 +19,20 @@
      * cancellation may take, while workers send their heartbeats to the old leader.
      */
     private fun refuseLeaderThenEverybody(site: SimSite, peersInformed: Boolean, leader: Int) {
-        val cancelled = onMachinesOf(site, leader)
+        val cancelled = jobsOnMachinesOf(site, leader)
         assertTrue(cancelled.size > 1, "it has no such tasks")
         val refusals = site.network.refusals
         site.refuseController(leader)
         if (!peersInformed) site.cutPeers()
         site.run(0.6)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 1.4)
+        val confirmed = cancelAndConfirm(site, cancelled, withinSeconds = 1.4)
         assertTrue(site.network.refusals > refusals, "the leader was not refused")
         val outage = site.state.refusedInOutage
         site.state.outage = true
         site.run(3.0)
         if (!peersInformed) assertTrue(runningOf(site, confirmed) > 0, "the old leader's workers had heard of it")
         site.sim.after(12_000.0) { site.serveController(leader) }
-        site.run(SimSite.CANCEL_S + 6.0)
+        site.run(SimSite.CANCEL_SECONDS + 6.0)
         assertTrue(site.state.refusedInOutage > outage, "nobody met the outage")
         assertEquals(0, runningOf(site, confirmed))
         site.state.outage = false
@@ -42,14 +42,14 @@
     @ParameterizedTest
     @CsvSource("201,true", "202,true", "203,false", "204,false", "205,false", "206,false")
     fun `cancelled tasks end in time when the state service refuses the leader, then everybody`(seed: Long, peersInformed: Boolean) {
-        val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
-        longArrays(site, jobs = 14, tasks = 2)
+        val site = siteWithSixteenMachines(seed, nodes = if (seed % 2 == 0L) 5 else 3)
+        submitLongArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
         refuseLeaderThenEverybody(site, peersInformed, site.leader()!!)
 
         // Once more, as soon as somebody leads again: what is known may be only partly caught up.
-        fun busiest() = (0 until site.nodes).maxBy { onMachinesOf(site, it).size }
-        site.await(60.0) { site.leader() != null && onMachinesOf(site, busiest()).size > 1 }
+        fun busiest() = (0 until site.nodes).maxBy { jobsOnMachinesOf(site, it).size }
+        site.await(60.0) { site.leader() != null && jobsOnMachinesOf(site, busiest()).size > 1 }
         refuseLeaderThenEverybody(site, peersInformed, busiest())
         site.assertRulesHold()
     }
@@ -57,15 +57,15 @@
     @ParameterizedTest
     @ValueSource(longs = [208, 209, 210])
     fun `a new shard owner that can't read the shard's records still ends cancelled tasks`(seed: Long) {
-        val site = wide(seed)
-        longArrays(site, jobs = 14, tasks = 2)
+        val site = siteWithSixteenMachines(seed)
+        submitLongArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
-        val owner = (0 until site.nodes).filter { it != site.leader() }.maxBy { onMachinesOf(site, it).size }
-        val cancelled = onMachinesOf(site, owner)
+        val owner = (0 until site.nodes).filter { it != site.leader() }.maxBy { jobsOnMachinesOf(site, it).size }
+        val cancelled = jobsOnMachinesOf(site, owner)
         assertTrue(cancelled.isNotEmpty())
         // It ends before it hears of the cancellations, and is back in time to endorse the others' shards.
         site.crash(owner, 8_000.0)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.4)
+        val confirmed = cancelAndConfirm(site, cancelled, withinSeconds = 2.4)
         var granted = false
         // The grant of its shards is the last that anybody hears from the state service.
         site.network.tamperAnswer = { passage, _, reply ->
@@ -77,7 +77,7 @@
         }
         site.await(12.0) { granted }
         assertTrue(runningOf(site, confirmed) > 0, "they were gone already")
-        site.run(SimSite.CANCEL_S + 6.0)
+        site.run(SimSite.CANCEL_SECONDS + 6.0)
         assertEquals(0, runningOf(site, confirmed))
         site.assertRulesHold(200.0)
     }
@@ -86,30 +86,30 @@
     fun `the referee sees an owner that acts on stale state for too long`() {
         // Told that cancellations have twice the time, owners keep their workers' leases going for longer.
         val scale = SiteScale(machinesPerZone = 4, teamCpus = 250.0)
-        val site = SimSite(Simulation(207), scale = scale, configuredCancelS = 2 * SimSite.CANCEL_S)
-        longArrays(site, tasks = 2, workS = 300.0)
+        val site = SimSite(Simulation(207), scale = scale, configuredCancelSeconds = 2 * SimSite.CANCEL_SECONDS)
+        submitLongArrays(site, tasks = 2, workSeconds = 300.0)
         site.run(30.0)
         val leader = site.leader()!!
-        val cancelled = onMachinesOf(site, leader)
+        val cancelled = jobsOnMachinesOf(site, leader)
         site.refuseController(leader)
         site.cutPeers()
         site.run(0.6)
-        cancelAndConfirm(site, cancelled, withinS = 2.4)
+        cancelAndConfirm(site, cancelled, withinSeconds = 2.4)
         site.state.outage = true
-        site.run(2 * SimSite.CANCEL_S)
-        site.assertSees("ran_cancelled")
+        site.run(2 * SimSite.CANCEL_SECONDS)
+        site.assertBreachRecorded("ran_cancelled")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [211, 212, 213])
     fun `all controllers are down for longer than the workers' leases`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.services(4)
-        site.arrays(10)
+        site.submitServices(4)
+        site.submitArrays(10)
         site.run(30.0)
         val running = site.runningTasks().keys.filter { it.job.text.length == 7 }
-        (0 until site.nodes).forEach { site.crash(it, SimSite.LEASE_S * 1000 + 2000.0 + site.sim.random.nextInt(4000)) }
-        site.run(SimSite.LEASE_S + 1.0)
+        (0 until site.nodes).forEach { site.crash(it, SimSite.LEASE_SECONDS * 1000 + 2000.0 + site.sim.random.nextInt(4000)) }
+        site.run(SimSite.LEASE_SECONDS + 1.0)
         assertEquals(0, site.runningTasks().size, "leases were to run out")
         site.run(40.0)
         assertEquals(
@@ -145,13 +145,13 @@
     @ParameterizedTest
     @ValueSource(longs = [231, 232, 233, 234])
     fun `the state service is slow, refuses the leader, then everybody, while users cancel and poll`(seed: Long) {
-        val site = wide(seed)
-        longArrays(site, jobs = 12, tasks = 2)
-        site.arrays(8, first = 50)
+        val site = siteWithSixteenMachines(seed)
+        submitLongArrays(site, jobs = 12, tasks = 2)
+        site.submitArrays(8, first = 50)
         site.run(30.0)
-        site.network.delayMs = { if (it.from == "state") 150.0 + site.sim.random.nextInt(700) else 0.0 }
+        site.network.delayMillis = { if (it.from == "state") 150.0 + site.sim.random.nextInt(700) else 0.0 }
         site.run(8.0)
-        assertTrue(site.network.delayed > 0)
+        assertTrue(site.network.delayedMessages > 0)
         val leader = site.leader()
         leader?.let(site::refuseController)
         val before = site.confirmedCancellations
@@ -159,9 +159,9 @@
         site.run(5.0)
         assertTrue(site.confirmedCancellations > before, "no cancellation was confirmed")
         site.state.outage = true
-        repeat(20) { site.sim.after(it * 700.0) { site.oddRequest() } }
+        repeat(20) { site.sim.after(it * 700.0) { site.sendOddRequest() } }
         (7..9).forEach { site.cancel(id(it)) }
-        site.run(SimSite.CANCEL_S + 5.0)
+        site.run(SimSite.CANCEL_SECONDS + 5.0)
         site.assertRulesHold()
     }
 
@@ -192,7 +192,7 @@
                     .values
                     .filter { it.zone == zone }
                     .randomOrNull(site)
-                busy?.let { site.killWorker(it.name) }
+                busy?.let { site.killMachineNamed(it.name) }
             }
         }
         site.run(14.0)
@@ -212,7 +212,7 @@
                 site.submit(SimSite.job(number + 1, tasks = 3 + number % 9)) { task -> 3.0 + task * 2.5 }
             }
         }
-        site.services(3)
+        site.submitServices(3)
         site.run(15.0)
         site.network.lateWriteOneIn = 4
         repeat(4) { site.sim.after(8_000.0 + it * 9_000.0) { site.cancel(id(3 + it * 4)) } }
@@ -231,8 +231,8 @@
     @ValueSource(longs = [261, 262, 263])
     fun `the leader changes ten times in two minutes, also during an outage`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3)
-        site.services(4)
-        site.arrays(20)
+        site.submitServices(4)
+        site.submitArrays(20)
         site.run(20.0)
         val leaders = LinkedHashSet<String>()
         repeat(14) { turn ->
--- a/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -14,12 +14,12 @@
     private fun site(seed: Long) =
         SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
 
-    /** Submits one job a second, each with the one that [dependencyOf] names as its dependency and a run time of [workS] a task. */
-    private fun SimSite.submitPipelines(maxTasks: Int, dependencyOf: (Int) -> Int?, workS: (Int) -> Double) = repeat(JOBS) { number ->
+    /** Submits one job a second, each with the one that [dependencyOf] names as its dependency and a run time of [workSeconds] a task. */
+    private fun SimSite.submitPipelines(maxTasks: Int, dependencyOf: (Int) -> Int?, workSeconds: (Int) -> Double) = repeat(JOBS) { number ->
         sim.after(number * 1_000.0) {
             val dependencies = listOfNotNull(dependencyOf(number)).map { JobId("job-$it") }
-            val taskS = workS(number)
-            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), etaS = 10.0), dependencies) { taskS }
+            val taskS = workSeconds(number)
+            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), estimatedSeconds = 10.0), dependencies) { taskS }
         }
     }
 
@@ -31,9 +31,9 @@
         repeat(JOBS) { number ->
             site.sim.after(number * 2_000.0) {
                 val before = if (number % 3 == 0) emptyList() else listOf(JobId("job-$number"))
-                val spec = SimSite.job(number + 1, tasks = 1 + random.nextInt(8), etaS = 12.0)
-                val workS = 3.0 + random.nextDouble() * 20
-                site.submit(spec, before) { workS }
+                val spec = SimSite.job(number + 1, tasks = 1 + random.nextInt(8), estimatedSeconds = 12.0)
+                val workSeconds = 3.0 + random.nextDouble() * 20
+                site.submit(spec, before) { workSeconds }
             }
             site.sim.after(number * 2_000.0 + 1_000 + random.nextInt(25_000)) {
                 if (number % 3 == 0) site.cancel(JobId("job-${number + 1}"))
@@ -71,12 +71,12 @@
         site.submitPipelines(
             maxTasks = 6,
             dependencyOf = { number -> (number - 1).takeUnless { number % 4 == 0 || JobId("job-$number").isFailing() } },
-            workS = { 4.0 + random.nextDouble() * 20 },
+            workSeconds = { 4.0 + random.nextDouble() * 20 },
         )
         // Many cancellations come at the moment at which another job ends, so that one reading tells of both.
         site.onJobComplete = { ended ->
             val next = cancelled.firstOrNull {
-                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMs == null }
+                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMillis == null }
                     ?: false
             }
             if (next != null) site.sim.after(random.nextInt(600).toDouble()) { site.cancel(JobId("job-$next")) }
@@ -106,7 +106,7 @@
         site.submitPipelines(
             maxTasks = 3,
             dependencyOf = { number -> (number - 2).takeUnless { number % 4 < 2 } },
-            workS = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
+            workSeconds = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
         )
         // Each fourth job is cancelled at about the moment at which the end of the one before it is written down.
         site.onJobComplete = { ended ->
@@ -135,7 +135,7 @@
         }
         repeat(JOBS) { number ->
             val tasks = if (JobId("job-$number").isFailing()) 1 else 6
-            site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, etaS = 10.0)) { 10.0 } }
+            site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, estimatedSeconds = 10.0)) { 10.0 } }
         }
         site.run(45.0)
         // So that owners learn of cancellations by their readings alone.
--- a/src/test/kotlin/copperglade/sim/DigestScenarios.kt
+++ b/src/test/kotlin/copperglade/sim/DigestScenarios.kt
@@ -6,12 +6,12 @@
 import copperglade.settings.Team
 
 /** A run of a simulated site that depends on the seed alone. Nothing is asserted: only the messages count. */
-class DigestScenario(val name: String, val play: (seed: Long, observer: WireObserver) -> Unit)
+class DigestScenario(val name: String, val simulate: (seed: Long, observer: WireObserver) -> Unit)
 
 /** The scenarios in the order in which they are printed. */
 val digestScenarios = listOf(
-    DigestScenario("print-shop", ::printShop),
-    DigestScenario("parcel-hub", ::parcelHub),
+    DigestScenario("print-shop", ::twoTeamsWithoutFaults),
+    DigestScenario("parcel-hub", ::zoneCutAndKilledMachines),
     DigestScenario("controller-faults", ::controllerFaults),
     DigestScenario("state-faults", ::stateFaults),
     DigestScenario("network-faults", ::networkFaults),
@@ -26,20 +26,20 @@
 // ---- scenarios ----
 
 /** Three controllers, two guaranteed teams, arrays and services, no faults. */
-private fun printShop(seed: Long, observer: WireObserver) {
+private fun twoTeamsWithoutFaults(seed: Long, observer: WireObserver) {
     val lender = TeamName("lender")
     val scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 32.0)
     val site = SimSite(Simulation(seed), scale = scale, otherTeam = Team(lender, 32.0, 100.0, 0.0, 0.0), wireObserver = observer)
-    site.services(3)
-    site.variedArrays(jobs = 16)
+    site.submitServices(3)
+    site.submitVariedArrays(jobs = 16)
     site.after(30.0) { site.submit(SimSite.job(201, tasks = 16, team = lender)) { 20.0 } }
-    repeat(20) { number -> site.after(number * 3.0) { site.oddRequest() } }
+    repeat(20) { number -> site.after(number * 3.0) { site.sendOddRequest() } }
     site.run(60.0)
     site.recover(60.0)
 }
 
 /** Five controllers, pipelines, a zone that is cut off, and spot machines that are taken away. */
-private fun parcelHub(seed: Long, observer: WireObserver) {
+private fun zoneCutAndKilledMachines(seed: Long, observer: WireObserver) {
     val scale =
         SiteScale(
             machinesPerZone = 6,
@@ -50,9 +50,9 @@
             teamCpus = 180.0,
         )
     val site = SimSite(Simulation(seed), scale = scale, nodes = 5, wireObserver = observer)
-    site.services(5)
-    site.variedArrays(jobs = 16)
-    site.pipelines(jobs = 8)
+    site.submitServices(5)
+    site.submitVariedArrays(jobs = 16)
+    site.submitPipelines(jobs = 8)
     site.run(25.0)
     SiteFault.ZONE_CUT.begin(site, 12.0)
     repeat(3) { number -> site.after(number * 8.0) { SiteFault.MACHINE_KILLED.begin(site, 0.0) } }
@@ -86,7 +86,7 @@
         SiteFault.PEERS_CUT,
         SiteFault.CONTROLLER_CUT_FROM_WORKERS,
         SiteFault.COMMANDS_LOST,
-        SiteFault.MACHINES_MUTED,
+        SiteFault.MACHINE_REQUESTS_LOST,
         SiteFault.HEARTBEATS_HELD_BACK,
         SiteFault.LATE_HEARTBEAT_COPIES,
     ),
@@ -96,7 +96,7 @@
 private fun machineFaults(seed: Long, observer: WireObserver) = faultyScenario(
     seed,
     observer,
-    faults = listOf(SiteFault.MACHINE_KILLED, SiteFault.MACHINES_HANG, SiteFault.MACHINE_REBOOTED, SiteFault.MACHINES_MUTED),
+    faults = listOf(SiteFault.MACHINE_KILLED, SiteFault.MACHINES_HANG, SiteFault.MACHINE_REBOOTED, SiteFault.MACHINE_REQUESTS_LOST),
     prepare = { bootTimeFactor = ::bootFactorOf },
 )
 
@@ -110,7 +110,7 @@
         val site = SimSite(Simulation(seed + shape.ordinal * SEEDS_APART), endedBefore = 2, wireObserver = observer)
         shape.jobs.forEach { number ->
             val dependencies = shape.dependencies[number].orEmpty().map(::id) + JobId("job-${SimSite.FIRST_ENDED_JOB}")
-            site.submit(SimSite.job(number, tasks = 2, etaS = 8.0), dependencies) { 8.0 }
+            site.submit(SimSite.job(number, tasks = 2, estimatedSeconds = 8.0), dependencies) { 8.0 }
         }
         site.after(12.0 + site.sim.random.nextDouble() * 20) {
             site.cancel(
@@ -132,8 +132,8 @@
     val scale = SiteScale(machinesPerZone = 4, teamCpus = 400.0, guaranteedCpus = 200.0)
     val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
     site.fails = { task, machine -> task.job in failing || machine == FAULTY_MACHINE }
-    site.services(2)
-    site.arrays(8)
+    site.submitServices(2)
+    site.submitArrays(8)
     failing.indices.forEach { number ->
         site.after(6.0 + number * 2.5) { site.submit(SimSite.job(301 + number, tasks = 6)) { 8.0 } }
     }
@@ -151,8 +151,8 @@
             number + 1,
             tasks = 16,
             cpus = 4.0,
-            etaS = 120.0,
-            saveS = 4.0 + number * 8.0,
+            estimatedSeconds = 120.0,
+            checkpointSeconds = 4.0 + number * 8.0,
             priority = "best_effort",
         )
         site.submit(spec) { 120.0 }
@@ -171,9 +171,11 @@
     val operatorSettings = OperatorSettings(shardsPerZone = 1)
     val site = SimSite(Simulation(seed), operatorSettings, scale, slowMachine = SLOW_MACHINE, wireObserver = observer)
     repeat(12) { number ->
-        val workS = if (number < 8) 4.0 else 30.0
+        val workSeconds = if (number < 8) 4.0 else 30.0
         site.after(number * 20.0) {
-            site.submit(SimSite.job(number + 1, tasks = 50, zone = SimSite.ZONES[0], spot = false, etaS = workS)) { workS }
+            site.submit(
+                SimSite.job(number + 1, tasks = 50, zone = SimSite.ZONES[0], spot = false, estimatedSeconds = workSeconds),
+            ) { workSeconds }
         }
     }
     site.run(280.0)
@@ -195,9 +197,9 @@
     val site = SimSite(Simulation(seed), scale = scale, nodes = nodes, wireObserver = observer)
     val random = site.sim.random
     site.prepare()
-    site.services(4)
-    site.variedArrays(jobs = 20)
-    site.pipelines(jobs = 8)
+    site.submitServices(4)
+    site.submitVariedArrays(jobs = 20)
+    site.submitPipelines(jobs = 8)
     site.run(20.0)
     for (chosen in faults.shuffled(random).chunked(atOnce)) {
         chosen.forEach { it.begin(site, 2.0 + random.nextDouble() * 12.0) }
@@ -209,7 +211,7 @@
 }
 
 /** Arrays from `job-1` on with various sizes, places and run times. */
-private fun SimSite.variedArrays(jobs: Int) = repeat(jobs) { number ->
+private fun SimSite.submitVariedArrays(jobs: Int) = repeat(jobs) { number ->
     after(number * 4.0) {
         val spec = SimSite.job(
             number + 1,
@@ -220,15 +222,15 @@
             spot = number % 5 != 0,
             image = 1 + number % 3,
             zone = SimSite.ZONES[number % 2].takeIf { number % 6 == 3 },
-            etaS = 12.0,
+            estimatedSeconds = 12.0,
         )
-        val work = HashMap<Int, Double>()
-        submit(spec) { work.getOrPut(it) { 3.0 + sim.random.nextDouble() * 20 } }
+        val workSecondsByTask = HashMap<Int, Double>()
+        submit(spec) { workSecondsByTask.getOrPut(it) { 3.0 + sim.random.nextDouble() * 20 } }
     }
 }
 
 /** Jobs from `job-101` on that await one or two of `job-1` to `job-8`, and mostly the one of their own kind before them. */
-private fun SimSite.pipelines(jobs: Int) = repeat(jobs) { number ->
+private fun SimSite.submitPipelines(jobs: Int) = repeat(jobs) { number ->
     after(number * 6.0 + 30.0) {
         val earlier = (1..8).shuffled(sim.random).take(1 + sim.random.nextInt(2)).map(::id)
         val previous = if (number % 3 > 0) listOf(id(100 + number)) else emptyList()
--- a/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
+++ b/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
@@ -12,8 +12,8 @@
     fun `late duplicates of heartbeats change nothing`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.network.duplicateOneIn = 3
-        site.services(4)
-        site.arrays(14)
+        site.submitServices(4)
+        site.submitArrays(14)
         repeat(6) {
             site.sim.after(15_000.0 + site.sim.random.nextInt(60_000)) {
                 when (site.sim.random.nextInt(5)) {
@@ -34,15 +34,15 @@
         val sites = (57L..60L).map { seed ->
             val site = SimSite(Simulation(seed))
             site.network.duplicateOneIn = 2
-            site.network.forge = { body ->
+            site.network.tamperDuplicate = { body ->
                 body
                     .decodeToString()
                     .replace(Regex("\"tally\":[0-9]+"), "\"tally\":999999")
                     .replace("\"status\":\"running\"", "\"status\":\"ended\",\"cause\":\"done\"")
                     .encodeToByteArray()
             }
-            site.services(4)
-            site.arrays(14)
+            site.submitServices(4)
+            site.submitArrays(14)
             site.run(120.0)
             site
         }
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
@@ -53,12 +53,12 @@
     @Test
     fun `a task that was assigned too early is not started before its job's dependencies are done`() {
         val site = SimSite(Simulation(71))
-        site.submit(SimSite.job(1, tasks = 8, cpus = 1.0, etaS = 30.0)) { 30.0 }
+        site.submit(SimSite.job(1, tasks = 8, cpus = 1.0, estimatedSeconds = 30.0)) { 30.0 }
         site.submit(SimSite.job(2, tasks = 6, cpus = 1.0), listOf(JobId("job-1"))) { 3.0 }
         site.await(40.0) { site.runningTasks().keys.any { it.job == JobId("job-1") } }
         site.assignEverywhere(JobId("job-2"))
         site.run(15.0)
-        assertTrue(site.users.getValue(JobId("job-1")).completedAtMs == null, "the first job was over too soon for this test")
+        assertTrue(site.users.getValue(JobId("job-1")).completedAtMillis == null, "the first job was over too soon for this test")
         site.assertRulesHold()
     }
 }
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -18,8 +18,8 @@
     private fun siteWithFailingJobs(seed: Long, operatorSettings: OperatorSettings = OperatorSettings()): SimSite {
         val site = SimSite(Simulation(seed), operatorSettings = operatorSettings, scale = scale)
         site.fails = { task, _ -> task.job in failing }
-        site.services(4)
-        site.arrays(16)
+        site.submitServices(4)
+        site.submitArrays(16)
         repeat(FAILING) { number ->
             site.sim.after(6_000.0 + number * 2_500.0) { site.submit(SimSite.job(301 + number, tasks = 12)) { 8.0 } }
         }
@@ -28,7 +28,7 @@
 
     private fun SimSite.cancelFailing() = failing.forEach(::cancel)
 
-    private fun SimSite.soundJobsDone() = users.values.count { it.work(0) != null && it.spec.id !in failing && it.status == "done" }
+    private fun SimSite.soundJobsDone() = users.values.count { it.workSeconds(0) != null && it.spec.id !in failing && it.status == "done" }
 
     private fun failingStarts(site: SimSite) = failing.maxOf { site.startsOf[it] ?: 0 }
 
@@ -86,7 +86,7 @@
         val partly = JobId("job-301")
         site.fails = { task, _ -> task.job == partly && task.index % 3 == 0 }
         site.submit(SimSite.job(301, tasks = 60)) { 6.0 }
-        site.arrays(6)
+        site.submitArrays(6)
         site.run(100.0)
         assertEquals(
             40,
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -21,19 +21,19 @@
         teamCpus = 24_000.0,
     )
 
-    private fun services(site: SimSite, jobs: Int, cpus: Double = 8.0) = repeat(jobs) { number ->
+    private fun submitServices(site: SimSite, jobs: Int, cpus: Double = 8.0) = repeat(jobs) { number ->
         site.submit(SimSite.job(10_000 + number, tasks = 1, cpus = cpus, service = true, spot = false, image = number % 16)) { null }
     }
 
-    private fun arrays(site: SimSite, jobs: Int, tasks: Int, workS: Double) = repeat(jobs) { number ->
-        site.sim.after(number * 100.0) { site.submit(SimSite.job(number + 1, tasks = tasks, image = 20 + number % 9)) { workS } }
+    private fun submitArrays(site: SimSite, jobs: Int, tasks: Int, workSeconds: Double) = repeat(jobs) { number ->
+        site.sim.after(number * 100.0) { site.submit(SimSite.job(number + 1, tasks = tasks, image = 20 + number % 9)) { workSeconds } }
     }
 
     @Test
     fun `nearly fifteen hundred machines, thousands of jobs and a restart of all controllers`() {
         val site = SimSite(Simulation(1), scale = fleet, nodes = 5)
-        services(site, 1300)
-        arrays(site, 300, tasks = 60, workS = 15.0)
+        submitServices(site, 1300)
+        submitArrays(site, 300, tasks = 60, workSeconds = 15.0)
         site.run(70.0)
         assertTrue(site.workerCount() >= 1000, "${site.workerCount()} machines")
         val running = site.runningTasks().keys.filter { it.job.text.length == "job-10000".length }
@@ -41,18 +41,18 @@
         val places = site.runningTasks().filterKeys { it in running }.mapValues { it.value.name }
         (0 until site.nodes).forEach { site.crash(it, 3000.0) }
         site.run(5.0)
-        val calls = site.network.calls
+        val calls = site.network.requestsSent
         site.run(30.0)
         // Every worker is fenced and every poll answered within a lease, and no service was moved.
         val after = site.runningTasks().filterKeys { it in running }.mapValues { it.value.name }
         assertEquals(places, after)
         // A minute's messages stay in proportion: heartbeats, their commands, users' polls, and little else.
-        val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
+        val perMachine = (site.network.requestsSent - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 120.0, "$perMachine messages a machine in 30 s")
         site.run(60.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        val unfinished = site.users.values.count { it.work(0) != null && !it.finished }
+        val unfinished = site.users.values.count { it.workSeconds(0) != null && !it.finished }
         assertEquals(0, unfinished, "arrays that never ended")
     }
 
@@ -76,17 +76,19 @@
             teamCpus = 80_000.0,
         )
         val site = SimSite(Simulation(4), scale = huge, nodes = 5)
-        services(site, 1500, cpus = 8.0)
-        repeat(110) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, etaS = 60.0)) { 60.0 } }
+        submitServices(site, 1500, cpus = 8.0)
+        repeat(
+            110,
+        ) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, estimatedSeconds = 60.0)) { 60.0 } }
         site.await(120.0) { site.workerCount() >= 3600 }
         assertEquals(0, site.cloudRefusals, "requests to the cloud beyond its budget")
         site.run(20.0)
         site.crash(site.leader()!!, 3000.0)
         site.run(10.0)
-        val calls = site.network.calls
+        val calls = site.network.requestsSent
         site.run(20.0)
         // Heartbeats, the commands that follow, polls, and little else: nothing grows faster than the fleet.
-        val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
+        val perMachine = (site.network.requestsSent - calls).toDouble() / site.workerCount()
         assertTrue(perMachine < 60.0, "$perMachine messages a machine in 20 s")
         site.network.duplicateOneIn = 4
         site.run(10.0)
@@ -98,7 +100,7 @@
         site.run(200.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        assertEquals(0, site.users.values.count { it.work(0) != null && !it.finished }, "arrays that never ended")
+        assertEquals(0, site.users.values.count { it.workSeconds(0) != null && !it.finished }, "arrays that never ended")
         assertEquals(1500, site.runningTasks().keys.count { it.job.text.length == "job-10000".length })
     }
 
@@ -107,8 +109,8 @@
     fun `dozens of machines hang, die or lose the network at once`(seed: Long) {
         val site =
             SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 60, teamCpus = 5000.0, stateWritesPerSecond = 100.0), nodes = 3)
-        services(site, 80)
-        arrays(site, 60, tasks = 30, workS = 8.0)
+        submitServices(site, 80)
+        submitArrays(site, 60, tasks = 30, workSeconds = 8.0)
         site.run(40.0)
         val random = site.sim.random
         val hanging = (0 until site.workerCount()).shuffled(random).take(25).mapNotNull { site.hang(it) }
@@ -123,7 +125,7 @@
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.work(0) != null && !it.finished }
+                .filter { it.workSeconds(0) != null && !it.finished }
                 .map { it.spec.id },
         )
         assertEquals(80, site.runningTasks().keys.count { it.job.text.length == "job-10000".length })
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -30,7 +30,7 @@
 
     private fun SimSite.replaceUninformed(node: Int) {
         uninformed -= node
-        crash(node, backAfterMs = 1500.0)
+        crash(node, restartAfterMillis = 1500.0)
     }
 
     private fun SimSite.largestPackedRecord(): Int = JobKind.entries
--- a/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
@@ -16,16 +16,16 @@
     fun `commands and their answers are delayed for seconds, and machines hang and resume`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
-        site.services(3)
-        site.arrays(16)
+        site.submitServices(3)
+        site.submitArrays(16)
         site.run(18.0)
-        site.network.delayMs = { if (it.path == "/do" && random.nextInt(4) == 0) 1500.0 + random.nextInt(9000) else 0.0 }
+        site.network.delayMillis = { if (it.path == "/do" && random.nextInt(4) == 0) 1500.0 + random.nextInt(9000) else 0.0 }
         repeat(8) { turn ->
             site.hang(random.nextInt(4))?.let { worker -> site.sim.after(2000.0 + random.nextInt(9000)) { worker.resume() } }
             site.cancel(id(2 + turn * 2))
             site.run(6.0)
         }
-        assertTrue(site.network.delayed > 20, "${site.network.delayed} held up")
+        assertTrue(site.network.delayedMessages > 20, "${site.network.delayedMessages} held up")
         assertTrue(site.confirmedCancellations > 0)
         site.assertRulesHold()
     }
@@ -33,14 +33,14 @@
     @ParameterizedTest
     @ValueSource(longs = [281, 282, 283, 284])
     fun `an isolated leader keeps workers and users while jobs are cancelled through its successor`(seed: Long) {
-        val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
-        longArrays(site, jobs = 10, tasks = 3)
+        val site = siteWithSixteenMachines(seed, nodes = if (seed % 2 == 0L) 5 else 3)
+        submitLongArrays(site, jobs = 10, tasks = 3)
         site.run(30.0)
         val former = site.leader()!!
         site.isolateController(former)
         site.await(20.0) { site.leader().let { it != null && it != former } }
-        val confirmed = cancelAndConfirm(site, (1..5).map(::id), withinS = 4.0)
-        site.run(SimSite.CANCEL_S + 5.0)
+        val confirmed = cancelAndConfirm(site, (1..5).map(::id), withinSeconds = 4.0)
+        site.run(SimSite.CANCEL_SECONDS + 5.0)
         assertTrue(site.leader() != former)
         assertEquals(0, runningOf(site, confirmed))
         site.assertRulesHold(200.0)
@@ -49,16 +49,16 @@
     @ParameterizedTest
     @ValueSource(longs = [291, 292, 293, 294])
     fun `a team is at its limit when the leader changes, a machine is unreachable, and a job is cancelled`(seed: Long) {
-        val site = wide(seed, teamCpus = 100.0)
-        longArrays(site, jobs = 10, tasks = 4, workS = 40.0)
+        val site = siteWithSixteenMachines(seed, teamCpus = 100.0)
+        submitLongArrays(site, jobs = 10, tasks = 4, workSeconds = 40.0)
         site.run(25.0)
         assertEquals(12, site.runningTasks().size, "the team is to be at its limit")
         val busy = site.runningTasks().entries.first()
         site.cutMachine(site.workerNames().indexOf(busy.value.name))
         site.crash(site.leader()!!, 2500.0)
         site.run(0.5)
-        cancelAndConfirm(site, listOf(busy.key.job), withinS = 9.0)
-        site.run(SimSite.LEASE_S + 8.0)
+        cancelAndConfirm(site, listOf(busy.key.job), withinSeconds = 9.0)
+        site.run(SimSite.LEASE_SECONDS + 8.0)
         site.assertRulesHold(240.0)
     }
 
@@ -67,14 +67,14 @@
     fun `old heartbeats arrive after newer ones, also of earlier epochs and attempts`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.network.duplicateOneIn = 2
-        site.network.maxDuplicateDelayMs = (SimSite.LEASE_S * 2500).toInt()
-        site.services(4)
-        site.arrays(14)
+        site.network.maxDuplicateDelayMillis = (SimSite.LEASE_SECONDS * 2500).toInt()
+        site.submitServices(4)
+        site.submitArrays(14)
         site.run(20.0)
         repeat(4) { turn ->
             // Its lease expires: heartbeats of the epoch before are still in flight.
             site.cutMachine(turn % 3)
-            site.run(SimSite.LEASE_S + 3.0)
+            site.run(SimSite.LEASE_SECONDS + 3.0)
             site.heal()
             if (turn == 1) site.leader()?.let { site.crash(it, 200.0) }
             site.run(5.0)
@@ -88,7 +88,7 @@
     @ValueSource(longs = [311, 312, 313, 314, 315, 316])
     fun `cancellations, polls and repeated submissions race with the end of a job's last task`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.cancellationsKnownImmediately = true
+        site.cancellationsReplicatedAtOnce = true
         val random = site.sim.random
         var raced = 0
         site.onJobComplete = { user ->
@@ -106,8 +106,8 @@
         repeat(40) { number -> site.sim.after(number * 1100.0) { site.submit(SimSite.job(number + 1, tasks = 1 + number % 4)) { 3.0 } } }
         site.run(80.0)
         assertTrue(raced >= 100, "$raced met an end")
-        assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "done" })
-        assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "aborted" })
+        assertTrue(site.users.values.any { it.cancelRequestedAtMillis != null && it.status == "done" })
+        assertTrue(site.users.values.any { it.cancelRequestedAtMillis != null && it.status == "aborted" })
         site.assertRulesHold()
     }
 
@@ -115,15 +115,15 @@
     @ValueSource(longs = [321, 322, 323, 324])
     fun `workers reach no controller while direct commands reach them`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 200.0))
-        site.services(6)
-        site.arrays(16)
+        site.submitServices(6)
+        site.submitArrays(16)
         site.run(30.0)
         val muted = site.workerNames().filterIndexed { index, _ -> index % 3 == 0 }
         site.loseRequestsFrom(muted)
         site.run(4.0)
         (1..4).forEach { site.cancel(id(it * 3)) }
-        site.run(SimSite.LEASE_S + 8.0)
-        assertTrue(site.network.lost > 3)
+        site.run(SimSite.LEASE_SECONDS + 8.0)
+        assertTrue(site.network.lostMessages > 3)
         assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
         site.run(15.0)
         site.assertRulesHold()
@@ -132,17 +132,17 @@
     @ParameterizedTest
     @ValueSource(longs = [331, 332, 333, 334])
     fun `answers and commands to machines are lost while their heartbeats arrive, and jobs are cancelled`(seed: Long) {
-        val site = wide(seed)
-        site.services(6)
-        longArrays(site, jobs = 8, tasks = 3)
+        val site = siteWithSixteenMachines(seed)
+        site.submitServices(6)
+        submitLongArrays(site, jobs = 8, tasks = 3)
         site.run(30.0)
         val cancelled = (1..5).map(::id)
         val unresponsive = machinesOf(site, cancelled).map { it.name }
         assertTrue(unresponsive.isNotEmpty())
         site.loseCommandsTo(unresponsive)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 4.0)
-        site.run(SimSite.CANCEL_S)
-        assertTrue(site.network.lost > 10)
+        val confirmed = cancelAndConfirm(site, cancelled, withinSeconds = 4.0)
+        site.run(SimSite.CANCEL_SECONDS)
+        assertTrue(site.network.lostMessages > 10)
         assertEquals(0, runningOf(site, confirmed))
         site.assertRulesHold()
     }
@@ -151,8 +151,8 @@
     @ValueSource(longs = [341, 342, 343, 344])
     fun `a heartbeat is held back until a new leader has acted, and then arrives there`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.services(4)
-        site.arrays(14)
+        site.submitServices(4)
+        site.submitArrays(14)
         site.run(24.0)
         val before = site.state.text(Keys.LEADER)
         // Only what workers send is held back; it is delivered to whoever has the address by then.
@@ -171,8 +171,8 @@
     fun `leadership passes back and forth, all controllers crash, and one restarts within a second`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
-        site.services(4)
-        site.arrays(16)
+        site.submitServices(4)
+        site.submitArrays(16)
         site.run(20.0)
         repeat(4) {
             val leader = site.leader() ?: 0
@@ -190,7 +190,7 @@
     @ValueSource(longs = [361, 362])
     fun `demand of urgent and normal work exceeds capacity over slow links`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 500.0))
-        site.network.delayMs = { 40.0 + site.sim.random.nextInt(260) }
+        site.network.delayMillis = { 40.0 + site.sim.random.nextInt(260) }
         repeat(50) { number ->
             site.sim.after(number * 1500.0) {
                 site.submit(SimSite.job(number + 1, tasks = if (number % 10 == 9) 60 else 8)) { 6.0 }
@@ -203,7 +203,7 @@
             }
         }
         site.run(90.0)
-        assertTrue(site.network.delayed > 1000)
+        assertTrue(site.network.delayedMessages > 1000)
         val waiting = site.users.values.sumOf { it.spec.tasks } - site.completions - site.runningTasks().size
         assertTrue(waiting > 100, "$waiting tasks wait")
         site.assertRulesHold(260.0)
@@ -212,8 +212,8 @@
     @ParameterizedTest
     @ValueSource(longs = [371, 372, 373, 374])
     fun `a leader crashes while machines with long tasks are unreachable or lose its successor's answers`(seed: Long) {
-        val site = wide(seed)
-        longArrays(site, jobs = 10, tasks = 4, workS = 60.0)
+        val site = siteWithSixteenMachines(seed)
+        submitLongArrays(site, jobs = 10, tasks = 4, workSeconds = 60.0)
         site.run(25.0)
         val busy = site
             .runningTasks()
@@ -226,8 +226,8 @@
         site.crash(site.leader()!!, 2000.0)
         site.run(0.5)
         site.cancel(id(2))
-        site.run(SimSite.LEASE_S + 12.0)
-        assertTrue(site.network.lost > 0)
+        site.run(SimSite.LEASE_SECONDS + 12.0)
+        assertTrue(site.network.lostMessages > 0)
         assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
         site.assertRulesHold(200.0)
     }
@@ -235,17 +235,17 @@
     @ParameterizedTest
     @ValueSource(longs = [381, 382, 383, 384])
     fun `jobs are cancelled together while their machines hang`(seed: Long) {
-        val site = wide(seed)
-        longArrays(site, jobs = 10, tasks = 3)
+        val site = siteWithSixteenMachines(seed)
+        submitLongArrays(site, jobs = 10, tasks = 3)
         site.run(28.0)
         val cancelled = (1..6).map(::id)
         val machines = machinesOf(site, cancelled)
         machines.forEach { it.hanging = true }
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.0)
+        val confirmed = cancelAndConfirm(site, cancelled, withinSeconds = 2.0)
         // Within the lease for some seeds, beyond it for others.
         site.run(3.0 + 4.0 * (seed % 4))
         machines.forEach { it.resume() }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         assertEquals(0, runningOf(site, confirmed))
         site.assertRulesHold()
     }
@@ -254,10 +254,10 @@
     @ValueSource(longs = [391, 392])
     fun `users send odd requests while controllers learn of cancellations immediately`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.cancellationsKnownImmediately = true
-        site.arrays(20, tasks = 4)
+        site.cancellationsReplicatedAtOnce = true
+        site.submitArrays(20, tasks = 4)
         site.run(10.0)
-        repeat(150) { site.sim.after(it * 400.0) { site.oddRequest() } }
+        repeat(150) { site.sim.after(it * 400.0) { site.sendOddRequest() } }
         repeat(8) { site.sim.after(5000.0 + it * 5000.0) { site.cancel(id(2 + it * 2)) } }
         site.run(70.0)
         assertTrue(site.confirmedCancellations > 0)
--- a/src/test/kotlin/copperglade/sim/NetworkFaults.kt
+++ b/src/test/kotlin/copperglade/sim/NetworkFaults.kt
@@ -3,7 +3,7 @@
 import copperglade.transport.Request
 
 /** One way of a message: a request to a host, or the answer that comes back from it. */
-class Passage(val from: String, val to: String, val path: String, val answer: Boolean)
+class Transmission(val from: String, val to: String, val path: String, val isAnswer: Boolean)
 
 /**
  * What is wrong with the links of a simulated network: cuts that hold messages back and deliver them late, messages that are lost or late,
@@ -17,7 +17,7 @@
     // ---- cuts ----
 
     private val cuts = HashSet<Pair<String, String>>()
-    private val held = ArrayList<HeldMessage>()
+    private val heldMessages = ArrayList<HeldMessage>()
 
     fun cut(one: String, other: String) {
         cutOneWay(one, other)
@@ -32,77 +32,77 @@
     /** Ends all cuts; what was held back is delivered now, however late. */
     fun heal() {
         cuts.clear()
-        val late = held.toList()
-        held.clear()
-        late.forEach { travel(it.from, it.to, 0.0, it.deliver) }
+        val late = heldMessages.toList()
+        heldMessages.clear()
+        late.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
     }
 
     // ---- lost and delayed messages ----
 
     /** Requests that vanish as soon as they are sent. */
-    var drops: (Request) -> Boolean = { false }
+    var dropsRequest: (Request) -> Boolean = { false }
 
     /** Messages that are lost on the way. */
-    var loses: (Passage) -> Boolean = { false }
-    var lost = 0
+    var losesMessage: (Transmission) -> Boolean = { false }
+    var lostMessages = 0
         private set
 
     /** The additional latency of a message, in milliseconds. */
-    var delayMs: (Passage) -> Double = { 0.0 }
-    var delayed = 0
+    var delayMillis: (Transmission) -> Double = { 0.0 }
+    var delayedMessages = 0
         private set
 
-    protected fun travel(passage: Passage, deliver: () -> Unit) {
-        if (loses(passage)) {
-            lost++
+    protected fun transmit(transmission: Transmission, deliver: () -> Unit) {
+        if (losesMessage(transmission)) {
+            lostMessages++
         } else {
-            travel(passage.from, passage.to, delayMs(passage), deliver)
+            transmit(transmission.from, transmission.to, delayMillis(transmission), deliver)
         }
     }
 
-    private fun travel(from: String, to: String, extraMs: Double, deliver: () -> Unit) {
-        if (extraMs > 0.0) delayed++
-        sim.after(1.0 + sim.random.nextDouble() * 4.0 + extraMs) {
-            if (from to to in cuts) held += HeldMessage(from, to, deliver) else deliver()
+    private fun transmit(from: String, to: String, additionalMillis: Double, deliver: () -> Unit) {
+        if (additionalMillis > 0.0) delayedMessages++
+        sim.after(1.0 + sim.random.nextDouble() * 4.0 + additionalMillis) {
+            if (from to to in cuts) heldMessages += HeldMessage(from, to, deliver) else deliver()
         }
     }
 
     // ---- refused callers of the state service ----
 
     /** Callers that the state service refuses while it serves the others; their open watches wait meanwhile. */
-    private val refused = HashSet<String>()
-    private val withheld = ArrayList<WithheldAnswer>()
+    private val refusedCallers = HashSet<String>()
+    private val withheldAnswers = ArrayList<WithheldAnswer>()
     var refusals = 0
         protected set
 
-    fun refuse(name: String) {
-        refused += name
+    fun refuseCaller(name: String) {
+        refusedCallers += name
     }
 
-    fun serveAgain(name: String) {
-        refused -= name
-        val (now, later) = withheld.partition { it.caller == name }
-        withheld.clear()
-        withheld += later
+    fun serveCaller(name: String) {
+        refusedCallers -= name
+        val (now, later) = withheldAnswers.partition { it.caller == name }
+        withheldAnswers.clear()
+        withheldAnswers += later
         now.forEach { it.send() }
     }
 
-    protected fun isRefused(name: String) = name in refused
+    protected fun isRefused(name: String) = name in refusedCallers
 
-    protected fun withhold(caller: String, send: () -> Unit) {
-        withheld += WithheldAnswer(caller, send)
+    protected fun withholdAnswer(caller: String, send: () -> Unit) {
+        withheldAnswers += WithheldAnswer(caller, send)
     }
 
     // ---- duplicates and late writes ----
 
-    /** One in this many heartbeats arrives a second time, up to [maxDuplicateDelayMs] later; 0: none. */
+    /** One in this many heartbeats arrives a second time, up to [maxDuplicateDelayMillis] later; 0: none. */
     var duplicateOneIn = 0
-    var maxDuplicateDelayMs = 60_000
+    var maxDuplicateDelayMillis = 60_000
     var duplicatesDelivered = 0
         protected set
 
     /** What becomes of a heartbeat before its duplicate arrives; other than itself only to see the referee at work. */
-    var forge: (ByteArray) -> ByteArray = { it }
+    var tamperDuplicate: (ByteArray) -> ByteArray = { it }
 
     /** One in this many transactions gets no answer and is applied 2 to 12 s later, after newer ones; 0: none. */
     var lateWriteOneIn = 0
--- a/src/test/kotlin/copperglade/sim/OverloadTest.kt
+++ b/src/test/kotlin/copperglade/sim/OverloadTest.kt
@@ -24,21 +24,36 @@
     @ValueSource(longs = [2601, 2602, 2603])
     fun `a best-effort team's huge array and burst of tiny jobs are served without delaying guaranteed work`(seed: Long) {
         val site = site(seed)
-        site.services(6)
+        site.submitServices(6)
         val hugeArray =
-            SimSite.job(900, tasks = 5000, cpus = 0.25, team = bestEffortTeam, priority = "best_effort", dueS = null, etaS = 3.0)
+            SimSite.job(
+                900,
+                tasks = 5000,
+                cpus = 0.25,
+                team = bestEffortTeam,
+                priority = "best_effort",
+                deadlineSeconds = null,
+                estimatedSeconds = 3.0,
+            )
         site.submit(hugeArray) { 3.0 }
         site.run(10.0)
-        site.arrays(20)
+        site.submitArrays(20)
         repeat(300) { number ->
             site.sim.after(number * 100.0) {
                 val tinyJob =
-                    SimSite.job(1000 + number, tasks = 1, cpus = 1.0, team = bestEffortTeam, priority = "best_effort", dueS = null)
+                    SimSite.job(
+                        1000 + number,
+                        tasks = 1,
+                        cpus = 1.0,
+                        team = bestEffortTeam,
+                        priority = "best_effort",
+                        deadlineSeconds = null,
+                    )
                 site.submit(tinyJob) { 2.0 }
             }
         }
         val ended = HashMap<JobId, Double>()
-        site.onJobComplete = { ended[it.spec.id] = (site.sim.nowMs - it.requestedAtMs) / 1000 }
+        site.onJobComplete = { ended[it.spec.id] = (site.sim.nowMillis - it.requestedAtMillis) / 1000 }
         if (seed % 2 == 0L) site.sim.after(20_000.0) { site.leader()?.let { site.crash(it, 1500.0) } }
         site.run(110.0)
         val late = (1..20).map { JobId("job-$it") }.filter { (ended[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_S }
@@ -52,7 +67,7 @@
     @ValueSource(longs = [2611, 2612])
     fun `users who poll far more often are answered, and heartbeats and submissions are not delayed`(seed: Long) {
         val site = site(seed)
-        site.services(6)
+        site.submitServices(6)
         site.run(25.0)
         val running = site.runningTasks().mapValues { it.value.name }
         repeat(40) { number -> site.submit(SimSite.job(1 + number, tasks = 2)) { 5.0 } }
@@ -95,8 +110,8 @@
                 null
             }
         }
-        site.services(4)
-        site.arrays(6)
+        site.submitServices(4)
+        site.submitArrays(6)
         // Without the write-off, only machines that the cloud reports as dead are replaced, after 38 s.
         site.await(30.0) { site.runningTasks().keys.count { it.job.text >= "job-500" } >= 16 }
         assertTrue(site.machinesLaunched <= 16, "${site.machinesLaunched} machines rented")
--- a/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
@@ -12,12 +12,12 @@
     @ValueSource(longs = [41, 42, 43, 44])
     fun `a machine that receives nothing loses its tasks and is replaced once`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 6))
-        site.services(6)
-        site.arrays(10)
+        site.submitServices(6)
+        site.submitArrays(10)
         site.run(30.0)
         val before = site.machinesLaunched
         val unresponsive = site.cutTrafficToMachine(seed.toInt() % 3)!!
-        site.run(SimSite.LEASE_S + 12.0)
+        site.run(SimSite.LEASE_SECONDS + 12.0)
         // Its tasks run elsewhere by now, and nothing new was put there.
         assertEquals(
             emptyList<Any>(),
@@ -36,21 +36,21 @@
 
     @Test
     fun `the referee sees tasks moved off an unresponsive machine before its lease expires`() {
-        val site = SimSite(Simulation(45), configuredLeaseS = 3.0)
-        site.services(3)
+        val site = SimSite(Simulation(45), configuredLeaseSeconds = 3.0)
+        site.submitServices(3)
         site.run(25.0)
         // Only its heartbeats to the owner get through at first, then nothing: the computed end of its lease is all there is.
         site.cutTrafficToMachine(0)
         site.cutMachine(0)
         site.run(9.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
     fun `a controller that reaches only its workers redirects them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5)
-        site.services(5)
+        site.submitServices(5)
         site.run(30.0)
         val running = site.runningTasks().mapValues { it.value.name }
         assertEquals(20, running.size)
@@ -66,7 +66,7 @@
     fun `the referee sees an isolated controller whose clock lets it act for too long`() {
         // Far beyond the drift that the protocol allows, so that the controller believes in its session lease for too long.
         val site = SimSite(Simulation(64))
-        site.services(5)
+        site.submitServices(5)
         site.run(40.0)
         val node = site.ownerOf(
             site
@@ -75,7 +75,7 @@
                 .first()
                 .name,
         )
-        site.slowClock(node, 0.1)
+        site.setClockRate(node, 0.1)
         site
             .workerNames()
             .indices
@@ -83,7 +83,7 @@
             .forEach { site.cutMachineFromOthers(it, node) }
         site.isolateController(node)
         site.run(60.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 
     @Test
@@ -91,7 +91,7 @@
         val site = SimSite(Simulation(81), nodes = 5)
         site.run(20.0)
         site.cutPeers()
-        site.arrays(6)
+        site.submitArrays(6)
         site.run(60.0)
         assertTrue(site.completions >= 30, "${site.completions} tasks done without the peer link")
         site.assertRulesHoldOnceHealed()
@@ -101,7 +101,7 @@
     @ValueSource(longs = [91, 92, 93])
     fun `a controller that hears none of its workers releases them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         val running = site.runningTasks().mapValues { it.value.name }
         assertEquals(48, running.size)
--- a/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
@@ -24,12 +24,12 @@
     )
     fun `cancelling a running job cancels all its dependents`(shape: PipelineShape, level: Int, seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 8.0)
+        site.submitAll(shape, workSeconds = 8.0)
         val cancelled = shape.levels[level].last()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        site.run(SimSite.CANCEL_S)
-        site.assertStatus("aborted", shape.after(cancelled) + cancelled)
+        site.run(SimSite.CANCEL_SECONDS)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled) + cancelled)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -38,13 +38,13 @@
     @CsvSource("CHAIN,1,531", "CHAIN,3,532", "DIAMOND,1,533", "DIAMOND,2,534", "FAN,1,535", "FAN,2,536")
     fun `cancelling a waiting job cancels all its dependents`(shape: PipelineShape, level: Int, seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 8.0)
+        site.submitAll(shape, workSeconds = 8.0)
         site.awaitRunning(1)
         val cancelled = shape.levels[level].last()
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         site.cancelAndConfirm(cancelled)
-        site.run(SimSite.CANCEL_S)
-        site.assertStatus("aborted", shape.after(cancelled) + cancelled)
+        site.run(SimSite.CANCEL_SECONDS)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled) + cancelled)
         site.assertNeverStarted(listOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -85,16 +85,16 @@
     @EnumSource(PipelineShape::class)
     fun `polls of all controllers right after a cancellation never go back`(shape: PipelineShape) {
         val site = SimSite(Simulation(591L + shape.ordinal))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val asked = site.network.calls
+        val asked = site.network.requestsSent
         repeat(100) { turn ->
-            shape.after(cancelled).forEach { follower -> repeat(site.nodes) { site.poll(id(follower), it) } }
+            shape.dependentsOf(cancelled).forEach { follower -> repeat(site.nodes) { site.poll(id(follower), it) } }
             if (turn == 20) site.cancel(id(cancelled))
             site.run(0.05)
         }
-        assertTrue(site.network.calls - asked >= 300)
+        assertTrue(site.network.requestsSent - asked >= 300)
         site.assertStatus("aborted", listOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -117,7 +117,7 @@
         site.run(15.0)
         site.submit(SimSite.job(5, tasks = 2), listOf(id(1))) { 4.0 }
         site.submit(SimSite.job(6, tasks = 2), listOf(id(4), id(2))) { 4.0 }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         assertEquals(listOf(201, 201, 201, 201), (3..6).map { site.user(it).acceptedStatus })
         site.assertStatus("aborted", listOf(1, 3, 4, 5, 6))
         site.assertNeverStarted(listOf(3, 4, 5, 6))
--- a/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -11,7 +11,7 @@
     @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
     fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, before: Boolean) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         val former = site.leader()!!
@@ -19,7 +19,7 @@
         site.cancelAndConfirm(cancelled)
         if (!before) site.crash(former, 4000.0)
         site.await(10.0) { site.leader().let { it != null && it != former } }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -28,7 +28,7 @@
     @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
     fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageS: Double) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
@@ -37,7 +37,7 @@
         assertTrue(site.state.refusedInOutage > 0)
         site.state.outage = false
         site.run(20.0)
-        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -46,7 +46,7 @@
     @CsvSource("CHAIN,566", "DIAMOND,567")
     fun `a job is cancelled while the state service is out, and its dependency ends meanwhile`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         site.awaitRunning(1)
         val cancelled = shape.levels[1].first()
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
@@ -54,10 +54,10 @@
         site.run(1.0)
         site.cancel(id(cancelled))
         site.run(14.0)
-        assertTrue(site.user(cancelled).cancelledAtMs == null && site.user(1).completedAtMs != null, "the outage was too short")
+        assertTrue(site.user(cancelled).cancelledAtMillis == null && site.user(1).completedAtMillis != null, "the outage was too short")
         site.state.outage = false
         site.await(15.0) { site.user(cancelled).finished }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         if (site.user(cancelled).status == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertStatus("done", shape.jobs)
     }
@@ -66,15 +66,15 @@
     @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
     fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downS: Double) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        val beforeThat = shape.after(cancelled).filter { site.user(it).status == "aborted" }
+        val beforeThat = shape.dependentsOf(cancelled).filter { site.user(it).status == "aborted" }
         (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
-        assertTrue(beforeThat.size < shape.after(cancelled).size, "all were told before")
-        site.run(downS + SimSite.CANCEL_S)
-        site.assertStatus("aborted", shape.after(cancelled))
+        assertTrue(beforeThat.size < shape.dependentsOf(cancelled).size, "all were told before")
+        site.run(downS + SimSite.CANCEL_SECONDS)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -87,7 +87,7 @@
     ) {
         val site = SimSite(Simulation(seed))
         // The whole pipeline waits, so that all of it can be closed as soon as it is cancelled.
-        site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
+        site.submit(SimSite.job(90, tasks = 1, estimatedSeconds = 20.0)) { 20.0 }
         site.awaitRunning(90)
         shape.jobs.forEach { number ->
             site.submit(SimSite.job(number, tasks = 1), (shape.dependencies[number] ?: listOf(90)).map(::id)) { 5.0 }
@@ -109,8 +109,8 @@
         assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
         site.run(8.0)
         site.state.outage = false
-        site.await(15.0) { site.user(1).cancelledAtMs != null }
-        site.run(SimSite.CANCEL_S)
+        site.await(15.0) { site.user(1).cancelledAtMillis != null }
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, 1)
     }
@@ -126,7 +126,7 @@
                 (0 until site.nodes).forEach { site.crash(it, 4000.0) }
             }
         }
-        site.submitAll(shape, workS = 6.0)
+        site.submitAll(shape, workSeconds = 6.0)
         site.run(60.0)
         assertTrue(down > 0, "no last task ended")
         site.assertRulesHold()
@@ -137,7 +137,7 @@
     @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
     fun `the leader alone is refused by the state service while a job is cancelled`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         val refused = site.leader()!!
@@ -154,8 +154,8 @@
         assertTrue(site.network.refusals > refusals, "it was not refused")
         site.serveController(refused)
         site.heal()
-        site.run(SimSite.CANCEL_S - 25.0)
-        site.assertStatus("aborted", shape.after(cancelled))
+        site.run(SimSite.CANCEL_SECONDS - 25.0)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
--- a/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
@@ -12,7 +12,7 @@
     @CsvSource("CHAIN,501", "CHAIN,502", "DIAMOND,503", "DIAMOND,504", "FAN,505", "FAN,506")
     fun `each job starts when all its dependencies are done, and all jobs are done`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 5.0)
+        site.submitAll(shape, workSeconds = 5.0)
         val last = shape.levels.last().single()
         // A service may come after arrays.
         site.submit(SimSite.job(500, tasks = 2, service = true, spot = false), listOf(id(last))) { null }
@@ -21,8 +21,8 @@
         site.assertStatus("done", shape.jobs)
         assertEquals(2, site.runningTasks().keys.count { it.job == id(500) }, "the service does not run")
         for ((job, needed) in shape.dependencies) {
-            val releasedAtMs = needed.maxOf { site.user(it).completedAtMs!! }
-            val waitedMs = site.user(job).firstStartAtMs!! - releasedAtMs
+            val releasedAtMillis = needed.maxOf { site.user(it).completedAtMillis!! }
+            val waitedMs = site.user(job).firstStartAtMillis!! - releasedAtMillis
             assertTrue(waitedMs in 0.0..MAX_RELEASE_DELAY_MS, "job-$job began $waitedMs ms after its release")
         }
     }
@@ -47,7 +47,7 @@
     @ValueSource(longs = [516, 517])
     fun `a dependent job is added late, while its dependency runs`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submit(SimSite.job(1, tasks = 2, etaS = 30.0)) { 30.0 }
+        site.submit(SimSite.job(1, tasks = 2, estimatedSeconds = 30.0)) { 30.0 }
         site.awaitRunning(1)
         (0 until site.nodes).forEach { site.crash(it, 1500.0) }
         site.run(6.0)
--- a/src/test/kotlin/copperglade/sim/PipelineReferee.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineReferee.kt
@@ -21,11 +21,11 @@
 class PipelineReferee(
     private val users: Map<JobId, SimUser>,
     private val now: () -> Double,
-    private val cancelMs: Double,
+    private val cancelMillis: Double,
     private val breach: (String, String) -> Unit,
 ) {
     private val predecessors = HashMap<JobId, Set<SimUser>>()
-    private val askedWhenOverdue = HashSet<JobId>()
+    private val returnedAsOverdue = HashSet<JobId>()
 
     /** All jobs that [user]'s depends on, directly or through others. They were submitted before it, so the set is final. */
     private fun predecessorsOf(user: SimUser): Set<SimUser> = predecessors[user.spec.id] ?: run {
@@ -35,28 +35,29 @@
     }
 
     /** When the last dependency of [user]'s job was done, or the time of submission if that is later; null while the job is blocked. */
-    fun releasedAtMs(user: SimUser): Double? =
-        predecessorsOf(user).maxOfOrNull { it.completedAtMs ?: return null }?.let { maxOf(it, user.requestedAtMs) } ?: user.requestedAtMs
+    fun releasedAtMillis(user: SimUser): Double? =
+        predecessorsOf(user).maxOfOrNull { it.completedAtMillis ?: return null }?.let { maxOf(it, user.requestedAtMillis) }
+            ?: user.requestedAtMillis
 
     /**
      * When the cancellation of the job or of one that it depends on was confirmed; the acceptance of the job if that was later. Null if
      * none was.
      */
-    fun cancelledAtMs(user: SimUser): Double? = listOfNotNull(user.cancelledAtMs, inheritedCancellationAtMs(user)).minOrNull()
+    fun cancelledAtMillis(user: SimUser): Double? = listOfNotNull(user.cancelledAtMillis, inheritedCancellationAtMillis(user)).minOrNull()
 
-    private fun inheritedCancellationAtMs(user: SimUser): Double? {
-        val acceptedAtMs = user.acceptedAtMs ?: return null
-        val confirmedAt = predecessorsOf(user).mapNotNull { it.cancelledAtMs }.minOrNull() ?: return null
-        return maxOf(acceptedAtMs, confirmedAt)
+    private fun inheritedCancellationAtMillis(user: SimUser): Double? {
+        val acceptedAtMillis = user.acceptedAtMillis ?: return null
+        val confirmedAt = predecessorsOf(user).mapNotNull { it.cancelledAtMillis }.minOrNull() ?: return null
+        return maxOf(acceptedAtMillis, confirmedAt)
     }
 
     /** Whether somebody has requested to cancel a dependency of [user]'s job that was not reported done. */
     fun dependencyCancelRequested(user: SimUser): Boolean =
-        predecessorsOf(user).any { it.cancelRequestedAtMs != null && it.status != "done" }
+        predecessorsOf(user).any { it.cancelRequestedAtMillis != null && it.status != "done" }
 
     /** A task of [user]'s job starts. */
     fun checkStart(user: SimUser, task: TaskId) {
-        val pending = predecessorsOf(user).firstOrNull { it.completedAtMs == null } ?: return
+        val pending = predecessorsOf(user).firstOrNull { it.completedAtMillis == null } ?: return
         breach("too_early", "$task before ${pending.spec.id} is done")
     }
 
@@ -76,7 +77,7 @@
     private fun successorsOf(user: SimUser) = users.values.filter { user in predecessorsOf(it) }
 
     private fun checkReason(user: SimUser) {
-        if (user.cancelRequestedAtMs == null && !dependencyCancelRequested(user)) breach("went_back", "${user.spec.id} cancelled by nobody")
+        if (user.cancelRequestedAtMillis == null && !dependencyCancelRequested(user)) breach("went_back", "${user.spec.id} without request")
     }
 
     private fun checkNotAfterCancelled(user: SimUser) {
@@ -84,11 +85,11 @@
         if (user.status == "done") breach("orphaned", "${user.spec.id} is called done after ${cancelled.spec.id} was cancelled")
     }
 
-    private fun isOverdue(user: SimUser) = inheritedCancellationAtMs(user)?.let { now() - it > cancelMs } ?: false
+    private fun isOverdue(user: SimUser) = inheritedCancellationAtMillis(user)?.let { now() - it > cancelMillis } ?: false
 
     /** Jobs that must be reported cancelled from now on and have not been; each is returned once. */
     fun overdue(): List<SimUser> =
-        users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && askedWhenOverdue.add(it.spec.id) }
+        users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && returnedAsOverdue.add(it.spec.id) }
 
     /** All dependents of cancelled jobs must have been reported cancelled by now. */
     fun checkEnd() = users.values
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -21,8 +21,8 @@
         }
     }
 
-    private fun SimSite.twoInLine(workS: Double) {
-        submit(SimSite.job(1, tasks = 2, etaS = workS)) { workS }
+    private fun SimSite.twoInLine(workSeconds: Double) {
+        submit(SimSite.job(1, tasks = 2, estimatedSeconds = workSeconds)) { workSeconds }
         submit(SimSite.job(2, tasks = 2), listOf(id(1))) { 5.0 }
     }
 
@@ -40,55 +40,55 @@
                 request
             }
         }
-        site.twoInLine(workS = 60.0)
+        site.twoInLine(workSeconds = 60.0)
         site.run(40.0)
         assertTrue(stripped > 0, "nothing was awaited")
-        site.assertSees("too_early")
+        site.assertBreachRecorded("too_early")
     }
 
     @Test
     fun `a job that is reported queued long after its dependency was cancelled`() {
         val site = SimSite(Simulation(422))
         site.forgeAnswers(id(2), "queued")
-        site.twoInLine(workS = 200.0)
+        site.twoInLine(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(5.0)
         assertEquals("aborted", site.users.getValue(id(1)).status)
         assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "too soon: ${site.breaches}")
-        site.run(SimSite.CANCEL_S + 1.0)
-        site.assertSees("orphaned")
+        site.run(SimSite.CANCEL_SECONDS + 1.0)
+        site.assertBreachRecorded("orphaned")
     }
 
     @Test
     fun `a job that is reported done although its dependency was cancelled`() {
         val site = SimSite(Simulation(423))
         site.forgeAnswers(id(2), "done")
-        site.twoInLine(workS = 200.0)
+        site.twoInLine(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(10.0)
-        site.assertSees("orphaned")
+        site.assertBreachRecorded("orphaned")
     }
 
     @Test
     fun `a job that is reported cancelled although nobody cancelled its dependency`() {
         val site = SimSite(Simulation(424))
         site.forgeAnswers(id(2), "aborted")
-        site.twoInLine(workS = 200.0)
+        site.twoInLine(workSeconds = 200.0)
         // Another job's cancellation is no reason.
         site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
         site.sim.after(12_000.0) { site.cancel(id(3)) }
         site.run(30.0)
         assertEquals("aborted", site.users.getValue(id(3)).status)
-        site.assertSees("went_back")
+        site.assertBreachRecorded("went_back")
     }
 
     @Test
     fun `a job that is reported cancelled although its dependency was done when it was cancelled`() {
         val site = SimSite(Simulation(425))
         site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
-        site.await(40.0) { site.users.getValue(id(1)).completedAtMs != null }
+        site.await(40.0) { site.users.getValue(id(1)).completedAtMillis != null }
         site.run(1.0)
         site.cancel(id(1))
         site.run(10.0)
@@ -96,7 +96,7 @@
         site.forgeAnswers(id(2), "aborted")
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 50.0 }
         site.run(15.0)
-        site.assertSees("went_back")
+        site.assertBreachRecorded("went_back")
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/PipelineSteps.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineSteps.kt
@@ -14,14 +14,17 @@
     val jobs: List<Int> get() = levels.flatten()
 
     /** All that depend on [job], directly or through others. */
-    fun after(job: Int): Set<Int> =
-        dependencies.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { after(it) } }
+    fun dependentsOf(job: Int): Set<Int> =
+        dependencies.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { dependentsOf(it) } }
 }
 
 internal fun SimSite.user(number: Int) = users.getValue(id(number))
 
-internal fun SimSite.submitAll(shape: PipelineShape, workS: Double, tasks: Int = 2) = shape.jobs.forEach { number ->
-    submit(SimSite.job(number, tasks = tasks, etaS = workS), shape.dependencies[number].orEmpty().map(::id)) { workS }
+internal fun SimSite.submitAll(shape: PipelineShape, workSeconds: Double, tasks: Int = 2) = shape.jobs.forEach { number ->
+    submit(
+        SimSite.job(number, tasks = tasks, estimatedSeconds = workSeconds),
+        shape.dependencies[number].orEmpty().map(::id),
+    ) { workSeconds }
 }
 
 internal fun SimSite.isRunning(number: Int) = runningTasks().keys.any { it.job == id(number) }
@@ -29,20 +32,20 @@
 internal fun SimSite.awaitRunning(number: Int) = await(150.0) { isRunning(number) }
 
 /** Cancels a job that is not done, and waits until the cancellation is confirmed to its user. */
-internal fun SimSite.cancelAndConfirm(number: Int, timeoutS: Double = 5.0) {
+internal fun SimSite.cancelAndConfirm(number: Int, timeoutSeconds: Double = 5.0) {
     cancel(id(number))
-    await(timeoutS) { user(number).cancelledAtMs != null }
+    await(timeoutSeconds) { user(number).cancelledAtMillis != null }
 }
 
 internal fun SimSite.assertStatus(status: String, jobs: Collection<Int>) =
     assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).status })
 
 internal fun SimSite.assertNeverStarted(jobs: Collection<Int>) =
-    assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMs != null }, "these started")
+    assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMillis != null }, "these started")
 
 /** Of a whole pipeline, [cancelled] and its dependents ended cancelled, all else was done. */
 internal fun SimSite.assertCancelledFrom(shape: PipelineShape, cancelled: Int) {
-    val followers = shape.after(cancelled)
+    val followers = shape.dependentsOf(cancelled)
     assertStatus("aborted", followers + cancelled)
     assertNeverStarted(followers)
     assertStatus("done", shape.jobs - followers - cancelled)
--- a/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
@@ -14,8 +14,8 @@
     fun `processes and machines that restart at once break no rule`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3)
         val random = site.sim.random
-        site.services(4)
-        site.arrays(14)
+        site.submitServices(4)
+        site.submitArrays(14)
         repeat(5) {
             site.sim.after(12_000.0 + random.nextInt(60_000)) {
                 when (random.nextInt(4)) {
@@ -44,7 +44,7 @@
     @ValueSource(longs = [78, 79])
     fun `a machine whose sequence numbers start again is given work soon`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
-        site.services(4, tasks = 8)
+        site.submitServices(4, tasks = 8)
         // Long enough that its new sequence numbers stay below its old ones for minutes.
         site.run(150.0)
         val rebooted = site
@@ -64,8 +64,8 @@
 
     @Test
     fun `the referee sees a machine that was written off although it was back at once`() {
-        val site = SimSite(Simulation(77), configuredLeaseS = 2.0)
-        site.services(4)
+        val site = SimSite(Simulation(77), configuredLeaseSeconds = 2.0)
+        site.submitServices(4)
         site.run(30.0)
         val busy = site.workerNames().indexOf(
             site
@@ -77,7 +77,7 @@
         (0 until site.nodes).forEach { site.crash(it, 100.0) }
         site.cutMachine(busy)
         site.run(9.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 
     @ParameterizedTest
@@ -85,8 +85,8 @@
     fun `a controller that is paused while its clock runs on breaks no rule when it resumes`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3, scale = SiteScale(machinesPerZone = 6))
         val random = site.sim.random
-        site.services(6)
-        site.arrays(16)
+        site.submitServices(6)
+        site.submitArrays(16)
         repeat(3) { number ->
             site.sim.after(14_000.0 + number * 22_000 + random.nextInt(9_000)) {
                 // Whoever it is: leader, owner, amid a transaction or with an endorsement given.
--- a/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
@@ -17,8 +17,8 @@
             val earlier = (1..number * 2 + 1).shuffled(random).take(1 + random.nextInt(2)).map { JobId("job-$it") }
             val previous = if (number % 3 > 0) listOf(follower(number - 1)) else emptyList()
             val spec = SimSite.job(100 + number, tasks = 1 + random.nextInt(4), priority = if (number % 4 == 0) "urgent" else "normal")
-            val workS = 3.0 + random.nextDouble() * 10
-            site.submit(spec, earlier + previous) { workS }
+            val workSeconds = 3.0 + random.nextDouble() * 10
+            site.submit(spec, earlier + previous) { workSeconds }
         }
     }
 
@@ -27,7 +27,7 @@
     fun `no rule is broken by random compound faults`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 3 == 0L) 5 else 3, scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0))
         val random = site.sim.random
-        site.services(5)
+        site.submitServices(5)
         repeat(24) { number ->
             site.after(number * 4.0) {
                 val spec = SimSite.job(
@@ -38,7 +38,7 @@
                     spread = number % 6 == 2,
                     spot = number % 5 != 0,
                     zone = SimSite.ZONES[number % 2].takeIf { number % 6 == 3 },
-                    etaS = 12.0,
+                    estimatedSeconds = 12.0,
                 )
                 val work = HashMap<Int, Double>()
                 site.submit(spec) { work.getOrPut(it) { 3.0 + random.nextDouble() * 25 } }
--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -34,9 +34,9 @@
                 )
             }
         }
-        repeat(4) { site.submit(SimSite.job(1 + it, tasks = 8, cpus = 8.0, zone = "south", etaS = 30.0)) { 30.0 } }
+        repeat(4) { site.submit(SimSite.job(1 + it, tasks = 8, cpus = 8.0, zone = "south", estimatedSeconds = 30.0)) { 30.0 } }
         site.run(60.0)
-        site.assertSees("wrong_place")
+        site.assertBreachRecorded("wrong_place")
     }
 
     @Test
@@ -51,9 +51,9 @@
                 reply
             }
         }
-        repeat(20) { site.sim.after(10_000.0 + it * 100.0) { site.oddRequest() } }
+        repeat(20) { site.sim.after(10_000.0 + it * 100.0) { site.sendOddRequest() } }
         site.run(20.0)
-        site.assertSees("invented")
+        site.assertBreachRecorded("invented")
     }
 
     @Test
@@ -71,7 +71,7 @@
             )
         }
         site.run(40.0)
-        site.assertSees("went_back")
+        site.assertBreachRecorded("went_back")
     }
 
     @Test
@@ -82,7 +82,7 @@
         site.answersTo("/submissions") { _, _ -> Reply(422) }
         site.repeatSubmission(site.users.getValue(JobId("job-1")))
         site.run(5.0)
-        site.assertSees("forgotten")
+        site.assertBreachRecorded("forgotten")
     }
 
     @Test
@@ -91,10 +91,10 @@
         site.submit(SimSite.job(1, tasks = 40)) { 6.0 }
         site.run(15.0)
         // The user is told so, though nothing was written.
-        site.network.drops = { it.path.endsWith("/cancel") }
-        site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
+        site.network.dropsRequest = { it.path.endsWith("/cancel") }
+        site.users.getValue(JobId("job-1")).cancelledAtMillis = site.sim.nowMillis
         site.run(20.0)
-        site.assertSees("started_cancelled")
+        site.assertBreachRecorded("started_cancelled")
     }
 
     @Test
@@ -103,9 +103,9 @@
         val site = SimSite(Simulation(406), configuredCpusMax = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         site.submit(SimSite.job(2, tasks = 4)) { 5.0 }
-        site.faultFreeSinceMs = site.sim.nowMs
+        site.faultFreeSinceMillis = site.sim.nowMillis
         site.run(130.0)
-        site.assertSees("left_waiting")
+        site.assertBreachRecorded("left_waiting")
     }
 
     @Test
@@ -115,7 +115,7 @@
         repeat(4) { number -> site.submit(SimSite.job(2 + number, tasks = 4)) { 5.0 } }
         site.run(100.0)
         site.checkStartDelays()
-        site.assertSees("unserved")
+        site.assertBreachRecorded("unserved")
     }
 
     @Test
@@ -134,8 +134,8 @@
                 request
             }
         }
-        repeat(20) { site.sim.after(10_000.0 + it * 100.0) { site.oddRequest() } }
+        repeat(20) { site.sim.after(10_000.0 + it * 100.0) { site.sendOddRequest() } }
         site.run(20.0)
-        site.assertSees("accepted_bad")
+        site.assertBreachRecorded("accepted_bad")
     }
 }
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -12,7 +12,7 @@
 
     private fun siteWithServices(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = fleet)
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         assertEquals(48, site.runningTasks().size)
         return site
@@ -30,13 +30,13 @@
     fun `tasks lost in a shard takeover restart in time although a controller returns meanwhile`(seed: Long) {
         val site = siteWithServices(seed)
         val down = site.leader()!!
-        site.crash(down, backAfterMs = 55_000.0 + RETURN_MS)
+        site.crash(down, restartAfterMillis = 55_000.0 + RETURN_MS)
         site.run(55.0)
         assertEquals(48, site.runningTasks().size)
         val cut = site.anyOther(down)
         site.loseRequestsFrom(site.workerNames().filter { site.ownerOf(it) == cut })
         site.cutController(cut, "workers")
-        site.sim.after(RETURN_MS - 500.0) { site.loseNothing() }
+        site.sim.after(RETURN_MS - 500.0) { site.stopLosingMessages() }
         var lostReplicaS = 0.0
         repeat(80) {
             site.run(0.5)
@@ -54,7 +54,7 @@
     fun `a controller that was unreachable for a minute breaks no rule and regains its shards`(seed: Long) {
         val site = siteWithServices(seed)
         val silent = site.leader()!!
-        site.arrays(20)
+        site.submitArrays(20)
         site.freezeController(silent, 60_000.0 + site.sim.random.nextInt(20_000))
         site.run(20.0)
         val before: Set<TaskId> = site
@@ -75,10 +75,10 @@
     @ValueSource(longs = [2521, 2522, 2523, 2524])
     fun `controllers that become unreachable in turn break no rule`(seed: Long) {
         val site = siteWithServices(seed)
-        site.arrays(20)
+        site.submitArrays(20)
         repeat(3) { number ->
-            val backAfterMs = 62_000.0 + site.sim.random.nextInt(4_000)
-            if (number % 2 == 0) site.crash(number, backAfterMs) else site.freezeController(number, backAfterMs)
+            val restartAfterMillis = 62_000.0 + site.sim.random.nextInt(4_000)
+            if (number % 2 == 0) site.crash(number, restartAfterMillis) else site.freezeController(number, restartAfterMillis)
             site.run(61.0 + site.sim.random.nextInt(4))
         }
         site.run(10.0)
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/RulesTest.kt
@@ -44,7 +44,7 @@
         assertEquals(emptyList<String>(), site.breaches)
         assertTrue(site.starts > 0, "nothing ran")
         val unfinished = site.users.values
-            .filter { it.work(0) != null && !it.finished }
+            .filter { it.workSeconds(0) != null && !it.finished }
             .map { it.spec.id }
         assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
     }
@@ -56,12 +56,12 @@
         site.run(120.0)
         settle(site)
         val live = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
-        assertTrue(live.all { site.users.getValue(it).work(0) == null }, "finished jobs still live: $live")
+        assertTrue(live.all { site.users.getValue(it).workSeconds(0) == null }, "finished jobs still live: $live")
     }
 
     @Test
     fun `the referee sees tasks that run twice when controllers do not wait for the lease`() {
-        val site = SimSite(Simulation(3), configuredLeaseS = 2.0)
+        val site = SimSite(Simulation(3), configuredLeaseSeconds = 2.0)
         // What may be stopped for the service leaves room for it at once.
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
@@ -91,8 +91,8 @@
         site.submit(SimSite.job(1, tasks = 4)) { 300.0 }
         site.run(25.0)
         // The user believes it is cancelled, though nobody was asked.
-        site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
-        site.run(SimSite.CANCEL_S + 5.0)
+        site.users.getValue(JobId("job-1")).cancelledAtMillis = site.sim.nowMillis
+        site.run(SimSite.CANCEL_SECONDS + 5.0)
         assertTrue(site.breaches.any { it.startsWith("ran_cancelled") }, "${site.breaches}")
     }
 
--- a/src/test/kotlin/copperglade/sim/Scenarios.kt
+++ b/src/test/kotlin/copperglade/sim/Scenarios.kt
@@ -5,36 +5,36 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 
 /** Arrays of [tasks] tasks each, one every three seconds. */
-fun SimSite.arrays(jobs: Int, tasks: Int = 6, workS: Double = 8.0, first: Int = 1) = repeat(jobs) { number ->
-    sim.after(number * 3000.0) { submit(SimSite.job(first + number, tasks = tasks)) { workS } }
+fun SimSite.submitArrays(jobs: Int, tasks: Int = 6, workSeconds: Double = 8.0, first: Int = 1) = repeat(jobs) { number ->
+    sim.after(number * 3000.0) { submit(SimSite.job(first + number, tasks = tasks)) { workSeconds } }
 }
 
 /** Services from `job-500` on, all at once. */
-fun SimSite.services(jobs: Int, tasks: Int = 4) = repeat(jobs) { number ->
+fun SimSite.submitServices(jobs: Int, tasks: Int = 4) = repeat(jobs) { number ->
     submit(SimSite.job(500 + number, tasks = tasks, service = true, spot = false)) { null }
 }
 
-/** Ends all faults of the network, the state service and the controllers' access to it, and lets [forS] seconds pass. */
-fun SimSite.recover(forS: Double) {
+/** Ends all faults of the network, the state service and the controllers' access to it, and lets [forSeconds] seconds pass. */
+fun SimSite.recover(forSeconds: Double) {
     heal()
-    loseNothing()
-    network.delayMs = { 0.0 }
+    stopLosingMessages()
+    network.delayMillis = { 0.0 }
     network.lateWriteOneIn = 0
     state.outage = false
     (0 until nodes).forEach(::serveController)
-    faultFreeSinceMs = sim.nowMs
-    run(forS)
+    faultFreeSinceMillis = sim.nowMillis
+    run(forSeconds)
 }
 
-/** Ends all faults; by the end of [forS] seconds nothing may be left undone, unanswered, waiting or broken. */
-fun SimSite.assertRulesHold(forS: Double = 120.0) {
-    recover(forS)
+/** Ends all faults; by the end of [forSeconds] seconds nothing may be left undone, unanswered, waiting or broken. */
+fun SimSite.assertRulesHold(forSeconds: Double = 120.0) {
+    recover(forSeconds)
     checkAnswered()
     checkStartDelays()
     checkCancelledDependents()
     assertEquals(emptyList<String>(), breaches)
     assertTrue(starts > 0, "nothing ran")
-    val unfinished = users.values.filter { it.work(0) != null && !it.finished }.map { it.spec.id }
+    val unfinished = users.values.filter { it.workSeconds(0) != null && !it.finished }.map { it.spec.id }
     assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
 }
 
@@ -44,16 +44,16 @@
     run(120.0)
     checkAnswered()
     assertEquals(emptyList<String>(), breaches)
-    val unfinished = users.values.filter { it.work(0) != null && !it.finished }.map { it.spec.id }
+    val unfinished = users.values.filter { it.workSeconds(0) != null && !it.finished }.map { it.spec.id }
     assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
 }
 
 /** The referee has recorded a breach of [rule]. */
-fun SimSite.assertSees(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "not seen: $breaches")
+fun SimSite.assertBreachRecorded(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "not seen: $breaches")
 
-/** Lets time pass until [holds], and fails after [timeoutS] seconds. */
-fun SimSite.await(timeoutS: Double, holds: () -> Boolean) {
-    val end = sim.nowMs + timeoutS * 1000
-    while (!holds() && sim.nowMs < end) run(0.2)
-    assertTrue(holds(), "did not come about within $timeoutS s")
+/** Lets time pass until [holds], and fails after [timeoutSeconds] seconds. */
+fun SimSite.await(timeoutSeconds: Double, holds: () -> Boolean) {
+    val end = sim.nowMillis + timeoutSeconds * 1000
+    while (!holds() && sim.nowMillis < end) run(0.2)
+    assertTrue(holds(), "did not come about within $timeoutSeconds s")
 }
--- a/src/test/kotlin/copperglade/sim/SimControllers.kt
+++ b/src/test/kotlin/copperglade/sim/SimControllers.kt
@@ -27,7 +27,7 @@
     fun start(node: Int) {
         if (processes[node]?.loop?.alive == true) return
         val loop = SimLoop(sim, drift = node * CLOCK_DRIFT_PER_NODE)
-        if (faultsEndProcess) loop.guard = FaultBarrier { crash(node, RESTART_AFTER_MS) }::run
+        if (faultsEndProcess) loop.guard = FaultBarrier { crash(node, RESTART_AFTER_MILLIS) }::run
         val name = SimAddresses.controllerName(node)
         val caller = network.callerOf(name, loop)
         val controller =
@@ -38,16 +38,16 @@
         controller.start()
     }
 
-    /** Ends the process now, and starts it again after [restartAfterMs]. */
-    fun crash(node: Int, restartAfterMs: Double) {
+    /** Ends the process now, and starts it again after [restartAfterMillis]. */
+    fun crash(node: Int, restartAfterMillis: Double) {
         processes[node]?.loop?.alive = false
-        sim.after(restartAfterMs) { start(node) }
+        sim.after(restartAfterMillis) { start(node) }
     }
 
     fun loopOf(node: Int): SimLoop = processes.getValue(node).loop
 
     companion object {
-        const val RESTART_AFTER_MS = 3000.0
+        const val RESTART_AFTER_MILLIS = 3000.0
         private const val CLOCK_DRIFT_PER_NODE = 0.0001
     }
 }
--- a/src/test/kotlin/copperglade/sim/SimNetwork.kt
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -14,15 +14,15 @@
     private val hosts = HashMap<Endpoint, Host>()
 
     /** The number of requests that were sent. */
-    var calls = 0
+    var requestsSent = 0
         private set
 
     /** What becomes of requests and answers; other than themselves only to see the referee at work. */
     var tamperRequest: (String, Request) -> Request = { _, request -> request }
-    var tamperAnswer: (Passage, Request, Reply) -> Reply = { _, _, reply -> reply }
+    var tamperAnswer: (Transmission, Request, Reply) -> Reply = { _, _, reply -> reply }
 
     /** Gets the body of every message with commands when it is sent. */
-    var commandsSent: (ByteArray) -> Unit = {}
+    var onCommandsSent: (ByteArray) -> Unit = {}
 
     fun listen(at: Endpoint, name: String, loop: SimLoop, handler: RequestHandler) {
         hosts[at] = Host(name, loop, handler)
@@ -31,7 +31,7 @@
     /** The connections of the host [name], whose timers and answers run on [loop]. */
     fun callerOf(name: String, loop: SimLoop) = HttpClient { to, original, timeout, done ->
         val call = Call(name, loop, to, original, done)
-        calls++
+        requestsSent++
         loop.after(timeout) { call.finish(null) }
         call.send(tamperRequest(name, original))
     }
@@ -39,7 +39,7 @@
     private fun hostName(at: Endpoint) = hosts[at]?.name ?: "$at"
 
     private fun observe(step: WireStep, from: String, to: String, request: Request, reply: Reply? = null) =
-        observer.observe(WireEvent(step, sim.nowMs, from, to, request, reply))
+        observer.observe(WireEvent(step, sim.nowMillis, from, to, request, reply))
 
     /** One request of the host [from], up to its answer or its timeout. */
     private inner class Call(
@@ -61,15 +61,15 @@
         fun send(request: Request) {
             observe(WireStep.REQUEST_SENT, from, hostName(to), request)
             if (duplicateOneIn > 0 && request.path == HEARTBEAT && sim.random.nextInt(duplicateOneIn) == 0) duplicate(request)
-            if (request.path == COMMAND) commandsSent(request.body)
+            if (request.path == COMMAND) onCommandsSent(request.body)
             val host = hosts[to]
-            if (drops(request)) return
+            if (dropsRequest(request)) return
             if (host == null || !host.loop.alive) {
                 loop.after(2.milliseconds) { finish(null) }
                 return
             }
             val path = request.path.substringBefore('?')
-            travel(Passage(from, host.name, path, answer = false)) { arrive(host, path, request) }
+            transmit(Transmission(from, host.name, path, isAnswer = false)) { arrive(host, path, request) }
         }
 
         private fun arrive(host: Host, path: String, request: Request) {
@@ -80,7 +80,7 @@
             val late = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
             if (late) return applyLate(request)
             // Another process may listen there by now.
-            hosts[to]?.let { present -> present.loop.whenAwake { handle(host, present, path, request) } }
+            hosts[to]?.let { present -> present.loop.whenNotFrozen { handle(host, present, path, request) } }
         }
 
         private fun handle(host: Host, present: Host, path: String, request: Request) {
@@ -89,7 +89,7 @@
             present.loop.guard {
                 present.handler.handle(Request(request.method, request.path, request.body)) { reply ->
                     if (host.name == STATE && isRefused(from)) {
-                        withhold(from) { answer(host, path, request, reply) }
+                        withholdAnswer(from) { answer(host, path, request, reply) }
                     } else {
                         answer(host, path, request, reply)
                     }
@@ -98,19 +98,19 @@
         }
 
         private fun answer(host: Host, path: String, request: Request, reply: Reply) {
-            val back = Passage(host.name, from, path, answer = true)
+            val back = Transmission(host.name, from, path, isAnswer = true)
             val sent = tamperAnswer(back, request, reply)
             observe(WireStep.ANSWER_SENT, host.name, from, request, sent)
-            if (path == HEARTBEAT && sent.status == OK) commandsSent(sent.body)
-            travel(back) { loop.whenAwake { finish(sent) } }
+            if (path == HEARTBEAT && sent.status == OK) onCommandsSent(sent.body)
+            transmit(back) { loop.whenNotFrozen { finish(sent) } }
         }
 
         private fun duplicate(request: Request) {
-            sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMs)) {
+            sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMillis)) {
                 val present = hosts[to]
                 if (present != null && present.loop.alive) {
                     duplicatesDelivered++
-                    val copy = Request(request.method, request.path, forge(request.body))
+                    val copy = Request(request.method, request.path, tamperDuplicate(request.body))
                     observe(WireStep.COPY_DELIVERED, from, present.name, copy)
                     present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
                 }
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -35,13 +35,13 @@
     private val scale: SiteScale = SiteScale(),
     slowMachine: String? = null,
     /** The lease that is configured at the controllers; other than the workers' own only to see the referee at work. */
-    private val configuredLeaseS: Double = scale.leaseSeconds,
+    private val configuredLeaseSeconds: Double = scale.leaseSeconds,
     private val configuredCpusMax: Double = scale.teamCpus,
-    private val configuredCancelS: Double = scale.cancelSeconds,
+    private val configuredCancelSeconds: Double = scale.cancelSeconds,
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
     /** Another staleness limit for the controllers of the first zone, only to see the referee at work. */
-    private val stalenessLimitOverrideS: Double? = null,
+    private val stalenessLimitOverrideSeconds: Double? = null,
     /** The state service's limits as they are configured at each controller when it starts. */
     private val limitsOf: (node: Int) -> StateLimits = { scale.stateLimits },
     /** The number of jobs that were over before the scenario began. */
@@ -62,7 +62,7 @@
     }
 
     init {
-        network.commandsSent = referee::checkCommands
+        network.onCommandsSent = referee::checkCommands
         network.listen(SimAddresses.STATE, "state", externalLoop, state)
         network.listen(SimAddresses.CLOUD, "cloud", externalLoop, machines.cloud)
         repeat(endedBefore) {
@@ -83,8 +83,8 @@
         teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
         heartbeatIntervalSeconds = scale.heartbeatIntervalSeconds,
-        leaseSeconds = configuredLeaseS,
-        cancelSeconds = configuredCancelS,
+        leaseSeconds = configuredLeaseSeconds,
+        cancelSeconds = configuredCancelSeconds,
         stateRequestsPerSecond = limitsOf(node).requestsPerSecond,
         stateWritesPerSecond = limitsOf(node).writesPerSecond,
         valueKb = limitsOf(node).valueKb,
@@ -97,8 +97,8 @@
     private fun peer(node: Int) = Peer(MemberId(SimAddresses.controllerName(node)), zoneOfController(node), SimAddresses.cluster(node))
 
     private fun operatorSettingsOf(node: Int): OperatorSettings =
-        if (stalenessLimitOverrideS != null && node % 2 == 0) {
-            OperatorSettings(stalenessLimit = stalenessLimitOverrideS.seconds)
+        if (stalenessLimitOverrideSeconds != null && node % 2 == 0) {
+            OperatorSettings(stalenessLimit = stalenessLimitOverrideSeconds.seconds)
         } else {
             operatorSettings
         }
@@ -142,11 +142,11 @@
     val users: HashMap<JobId, SimUser> get() = referee.users
 
     /** Jobs whose cancellation was confirmed to their users. */
-    val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMs != null }
+    val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMillis != null }
 
-    /** Submits a job that depends on [dependencies], which were submitted before; [work] is as in [SimUser]. */
-    fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), work: (Int) -> Double?) =
-        userAgents.submit(spec, dependencies, work)
+    /** Submits a job that depends on [dependencies], which were submitted before; [workSeconds] is as in [SimUser]. */
+    fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), workSeconds: (Int) -> Double?) =
+        userAgents.submit(spec, dependencies, workSeconds)
 
     fun cancel(id: JobId) = userAgents.cancel(id)
 
@@ -157,7 +157,7 @@
 
     fun poll(id: JobId, node: Int) = userAgents.poll(id, node)
 
-    fun oddRequest() = userAgents.oddRequest()
+    fun sendOddRequest() = userAgents.sendOddRequest()
 
     /** Sends one request through a random controller, as the load balancer would. */
     fun request(request: Request, done: (Reply?) -> Unit) = userAgents.request(request, done)
@@ -171,8 +171,8 @@
     val completions: Int get() = referee.completions
     val startsOf: Map<JobId, Int> get() = referee.startsOf
     val startsOn: Map<String, Int> get() = referee.startsOn
-    var cancellationsKnownImmediately: Boolean by referee::cancellationsKnownImmediately
-    var faultFreeSinceMs: Double? by referee::faultFreeSinceMs
+    var cancellationsReplicatedAtOnce: Boolean by referee::cancellationsReplicatedAtOnce
+    var faultFreeSinceMillis: Double? by referee::faultFreeSinceMillis
     var onJobComplete: (SimUser) -> Unit by referee::onJobComplete
     var fails: (task: TaskId, machine: String) -> Boolean by referee::fails
 
@@ -186,10 +186,10 @@
 
     /** Lets simulated time pass, and checks periodically what only time can break. */
     fun run(seconds: Double) {
-        var nextCheckMs = 0.0
+        var nextCheckMillis = 0.0
         sim.run(seconds * 1000) {
-            if (sim.nowMs >= nextCheckMs) {
-                nextCheckMs = sim.nowMs + CHECK_INTERVAL_MS
+            if (sim.nowMillis >= nextCheckMillis) {
+                nextCheckMillis = sim.nowMillis + CHECK_INTERVAL_MILLIS
                 referee.checkCancelled()
                 referee.checkWaiting()
                 referee.overdue().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
@@ -198,15 +198,15 @@
     }
 
     companion object {
-        const val LEASE_S = 10.0
-        const val CANCEL_S = 30.0
+        const val LEASE_SECONDS = 10.0
+        const val CANCEL_SECONDS = 30.0
 
         /** The number of the first of the jobs that were over before the scenario began. */
         const val FIRST_ENDED_JOB = 100_000
         val ZONES = listOf("north", "south")
         val TEAM = TeamName("team")
-        private const val CHECK_INTERVAL_MS = 500
-        private const val CHECKPOINT_INTERVAL_S = 20.0
+        private const val CHECK_INTERVAL_MILLIS = 500
+        private const val CHECKPOINT_INTERVAL_SECONDS = 20.0
 
         /** The spec of `job-[number]`; an array without limits of placement unless said otherwise. */
         fun job(
@@ -220,18 +220,20 @@
             image: Int = 1,
             team: TeamName = TEAM,
             zone: String? = null,
-            etaS: Double = 8.0,
+            estimatedSeconds: Double = 8.0,
             priority: String = if (service) "urgent" else "normal",
-            dueS: Double? = if (service) null else 60.0,
-            saveS: Double = 0.0,
+            deadlineSeconds: Double? = if (service) null else 60.0,
+            checkpointSeconds: Double = 0.0,
         ): JobSpec {
             val text = """{"nameId":"job-$number","load":"${if (service) "web" else "batch"}","crew":"$team",
                 "haul":"${if (service) "daemon" else "array"}","urgency":"$priority",
                 "boxes":$tasks,"vcpus":$cpus,"gpus":0.0,"memoryGb":1.0,"manifest":"img-$image","pullGb":1.5,"fleets":null,
                 "depot":${zone?.let {
                 "\"$it\""
-            }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else etaS},
-                "waypointS":${if (saveS > 0.0) CHECKPOINT_INTERVAL_S else 0.0},"unloadS":$saveS,"dueS":$dueS}"""
+            }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else estimatedSeconds},
+                "waypointS":${if (checkpointSeconds > 0.0) CHECKPOINT_INTERVAL_SECONDS else 0.0},"unloadS":$checkpointSeconds,"dueS":${
+                deadlineSeconds
+            }}"""
             return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedSubmission.Valid).spec
         }
     }
--- a/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
+++ b/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
@@ -2,31 +2,31 @@
 
 import copperglade.standin.StandInWorker
 
-// Faults of a simulated site. Cuts last until [heal], lost messages until [loseNothing].
+// Faults of a simulated site. Cuts last until [heal], lost messages until [stopLosingMessages].
 
 // ---- processes ----
 
 /** One of the next decisions of the controller ends in a fault, after [afterReadings] further readings of its clock. */
 fun SimSite.injectFault(node: Int, afterReadings: Int) {
-    controllers.loopOf(node).faultIn = afterReadings
+    controllers.loopOf(node).readingsUntilFault = afterReadings
 }
 
 /** The controller's next decision that reads the time of day ends in a fault: so does each that releases a waiting job. */
 fun SimSite.injectFaultAtRelease(node: Int) {
-    controllers.loopOf(node).faultAtWallClock = true
+    controllers.loopOf(node).faultAtWallClockReading = true
 }
 
 /** Starts the controller unless it runs. */
 fun SimSite.startController(node: Int) = controllers.start(node)
 
-/** Ends the controller's process now, and starts it again after [backAfterMs]. */
-fun SimSite.crash(node: Int, backAfterMs: Double = SimControllers.RESTART_AFTER_MS) = controllers.crash(node, backAfterMs)
+/** Ends the controller's process now, and starts it again after [restartAfterMillis]. */
+fun SimSite.crash(node: Int, restartAfterMillis: Double = SimControllers.RESTART_AFTER_MILLIS) = controllers.crash(node, restartAfterMillis)
 
 /** Lets a controller's monotonic clock go [rate] times as fast, far beyond the protocol's bound. */
-fun SimSite.slowClock(node: Int, rate: Double) = controllers.loopOf(node).slowDown(rate)
+fun SimSite.setClockRate(node: Int, rate: Double) = controllers.loopOf(node).setClockRate(rate)
 
-/** Pauses the controller's process for [ms] while its clock runs on. */
-fun SimSite.freezeController(node: Int, ms: Double) = controllers.loopOf(node).freeze(ms)
+/** Pauses the controller's process for [durationMillis] while its clock runs on. */
+fun SimSite.freezeController(node: Int, durationMillis: Double) = controllers.loopOf(node).freeze(durationMillis)
 
 // ---- machines ----
 
@@ -36,7 +36,7 @@
 /** The cloud takes the machine at [index] among those that are up. */
 fun SimSite.killMachine(index: Int) = machines.kill(index)
 
-fun SimSite.killWorker(name: String) = machines.kill(name)
+fun SimSite.killMachineNamed(name: String) = machines.kill(name)
 
 /** The machine loses power and is back at once; its worker's sequence numbers start again. */
 fun SimSite.rebootMachine(index: Int) = machines.reboot(index)
@@ -110,20 +110,20 @@
 // ---- refused and lost messages ----
 
 /** The state service refuses this controller alone, until [serveController]. */
-fun SimSite.refuseController(node: Int) = network.refuse(SimAddresses.controllerName(node))
+fun SimSite.refuseController(node: Int) = network.refuseCaller(SimAddresses.controllerName(node))
 
-fun SimSite.serveController(node: Int) = network.serveAgain(SimAddresses.controllerName(node))
+fun SimSite.serveController(node: Int) = network.serveCaller(SimAddresses.controllerName(node))
 
 /** Loses answers and direct commands to these machines, while their heartbeats arrive. */
 fun SimSite.loseCommandsTo(workers: Collection<String>) {
-    network.loses = { it.to in workers && (if (it.answer) it.path == "/checkin" else it.path == "/do") }
+    network.losesMessage = { it.to in workers && (if (it.isAnswer) it.path == "/checkin" else it.path == "/do") }
 }
 
 /** Loses all requests of these machines, while direct commands reach them and are answered. */
 fun SimSite.loseRequestsFrom(workers: Collection<String>) {
-    network.loses = { it.from in workers && !it.answer }
+    network.losesMessage = { it.from in workers && !it.isAnswer }
 }
 
-fun SimSite.loseNothing() {
-    network.loses = { false }
+fun SimSite.stopLosingMessages() {
+    network.losesMessage = { false }
 }
--- a/src/test/kotlin/copperglade/sim/SimUser.kt
+++ b/src/test/kotlin/copperglade/sim/SimUser.kt
@@ -6,32 +6,32 @@
 /**
  * The user of one job: what was submitted, what the controllers have answered, and when. All times are simulated.
  *
- * @param requestedAtMs when the user first wanted the job.
- * @param work the run time in seconds of the task with the given index; null for one that runs until it is stopped.
+ * @param requestedAtMillis when the user first wanted the job.
+ * @param workSeconds the run time in seconds of the task with the given index; null for one that runs until it is stopped.
  */
-class SimUser(val spec: JobSpec, val dependencies: List<JobId>, val requestedAtMs: Double, val work: (Int) -> Double?) {
+class SimUser(val spec: JobSpec, val dependencies: List<JobId>, val requestedAtMillis: Double, val workSeconds: (Int) -> Double?) {
     /** When the acceptance was confirmed to the user, and with which HTTP status. */
-    var acceptedAtMs: Double? = null
+    var acceptedAtMillis: Double? = null
     var acceptedStatus = 0
-    val accepted get() = acceptedAtMs != null
+    val accepted get() = acceptedAtMillis != null
 
     /** The status in the latest answer. */
     var status = "unknown"
-    var cancelRequestedAtMs: Double? = null
+    var cancelRequestedAtMillis: Double? = null
 
     /** When the cancellation was confirmed to the user. */
-    var cancelledAtMs: Double? = null
-    var lastAnswerAtMs = 0.0
+    var cancelledAtMillis: Double? = null
+    var lastAnswerAtMillis = 0.0
     val doneTasks = HashSet<Int>()
     val finished get() = status == "done" || status == "aborted"
 
     /** When the last of the job's tasks ended. */
-    var completedAtMs: Double? = null
-    var firstStartAtMs: Double? = null
+    var completedAtMillis: Double? = null
+    var firstStartAtMillis: Double? = null
 
     /** When the final answer came; before that, when the latest one did. */
-    var finishedAtMs = 0.0
+    var finishedAtMillis = 0.0
 
     /** Since when some of the job has waited without a start although a machine has capacity within the team's limit. */
-    var waitingSinceMs: Double? = null
+    var waitingSinceMillis: Double? = null
 }
--- a/src/test/kotlin/copperglade/sim/SimUsers.kt
+++ b/src/test/kotlin/copperglade/sim/SimUsers.kt
@@ -24,8 +24,8 @@
     private val users get() = referee.users
 
     /** Submits a job that depends on [dependencies], which were submitted before; it is sent once they are known to be accepted. */
-    fun submit(spec: JobSpec, dependencies: List<JobId>, work: (Int) -> Double?) {
-        val user = SimUser(spec, dependencies, sim.nowMs, work)
+    fun submit(spec: JobSpec, dependencies: List<JobId>, workSeconds: (Int) -> Double?) {
+        val user = SimUser(spec, dependencies, sim.nowMillis, workSeconds)
         users[spec.id] = user
         submitUntilAccepted(user)
     }
@@ -36,9 +36,9 @@
         request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
             when (reply?.status) {
                 200, 201 -> {
-                    user.acceptedAtMs = sim.nowMs
+                    user.acceptedAtMillis = sim.nowMillis
                     user.acceptedStatus = reply.status
-                    user.lastAnswerAtMs = sim.nowMs
+                    user.lastAnswerAtMillis = sim.nowMillis
                     later(5.0) { pollToEnd(user) }
                 }
                 // Nothing that a user submits is invalid, and a known job is answered with its status.
@@ -50,53 +50,53 @@
 
     /** Submits an accepted job once more; the answer is checked like that to a poll. */
     fun repeatSubmission(user: SimUser) {
-        val requestedAtMs = sim.nowMs
+        val requestedAtMillis = sim.nowMillis
         request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
             if (reply?.status in REFUSAL_STATUSES) referee.breach("forgotten", "repeat of ${user.spec.id}: ${reply?.status}")
             if (reply?.status == 201) referee.breach("forgotten", "${user.spec.id} accepted once more")
-            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMillis)
         }
     }
 
     /** One poll in addition to the periodic ones. */
     fun poll(id: JobId, node: Int = anyNode()) {
         val user = users.getValue(id)
-        val requestedAtMs = sim.nowMs
+        val requestedAtMillis = sim.nowMillis
         requestAt(node, Request(Method.GET, "/submissions/$id")) { reply ->
             if (reply?.status == 404) referee.breach("forgotten", "$id is unknown")
-            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMillis)
         }
     }
 
     private fun pollToEnd(user: SimUser) {
-        val requestedAtMs = sim.nowMs
+        val requestedAtMillis = sim.nowMillis
         request(Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
             if (reply?.status == 404) referee.breach("forgotten", "${user.spec.id} is unknown")
             if (reply?.status == 200) {
-                user.lastAnswerAtMs = sim.nowMs
-                recordStatus(user, reply, requestedAtMs)
+                user.lastAnswerAtMillis = sim.nowMillis
+                recordStatus(user, reply, requestedAtMillis)
             }
             // A finished job has to stay known.
             later(if (user.finished) 15.0 else 5.0) { pollToEnd(user) }
         }
     }
 
-    private fun recordStatus(user: SimUser, reply: Reply, requestedAtMs: Double) =
-        referee.recordStatus(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMs)
+    private fun recordStatus(user: SimUser, reply: Reply, requestedAtMillis: Double) =
+        referee.recordStatus(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMillis)
 
     /** Cancels a job that is accepted and not finished, and retries until there is an answer. */
     fun cancel(id: JobId) {
         val user = users[id] ?: return
         if (!user.accepted || user.finished) return
-        if (user.cancelRequestedAtMs == null) user.cancelRequestedAtMs = sim.nowMs
-        val requestedAtMs = sim.nowMs
+        if (user.cancelRequestedAtMillis == null) user.cancelRequestedAtMillis = sim.nowMillis
+        val requestedAtMillis = sim.nowMillis
         request(Request(Method.POST, "/submissions/$id/cancel")) { reply ->
-            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs) else later(1.0) { cancel(id) }
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMillis) else later(1.0) { cancel(id) }
         }
     }
 
     /** A repeated submission, a late cancellation, a poll of a job that nobody submitted, or an invalid submission, at random. */
-    fun oddRequest() {
+    fun sendOddRequest() {
         val known = users.values.filter { it.accepted }
         val number = FIRST_ODD_JOB + sim.random.nextInt(10_000)
         when (sim.random.nextInt(5)) {
@@ -111,16 +111,16 @@
     }
 
     private fun cancelDone(user: SimUser) {
-        val requestedAtMs = sim.nowMs
+        val requestedAtMillis = sim.nowMillis
         request(Request(Method.POST, "/submissions/${user.spec.id}/cancel")) { reply ->
             if (reply?.status == 404) referee.breach("forgotten", "cancel of ${user.spec.id}")
-            if (reply?.status == 200) recordStatus(user, reply, requestedAtMs)
+            if (reply?.status == 200) recordStatus(user, reply, requestedAtMillis)
         }
     }
 
-    private fun submitInvalid(number: Int, spoil: (String) -> String) {
+    private fun submitInvalid(number: Int, corrupt: (String) -> String) {
         val good = Json.write { JobSpecCodec.write(this, SimSite.job(number, tasks = 1)) }.decodeToString()
-        val bad = spoil(good)
+        val bad = corrupt(good)
         check(bad != good)
         request(Request(Method.POST, "/submissions", bad.encodeToByteArray())) { reply ->
             if (reply?.status == 200 || reply?.status == 201) referee.breach("accepted_bad", "job-$number")
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -8,27 +8,27 @@
 
 /** Simulated time: a queue of events whose order depends on the seed alone. */
 class Simulation(seed: Long) {
-    private class Event(val at: Double, val order: Long, val action: () -> Unit)
+    private class Event(val atMillis: Double, val order: Long, val action: () -> Unit)
 
-    private val queue = PriorityQueue(compareBy<Event>({ it.at }, { it.order }))
+    private val queue = PriorityQueue(compareBy<Event>({ it.atMillis }, { it.order }))
     private var order = 0L
     val random = Random(seed)
-    var nowMs = 1_000_000.0
+    var nowMillis = 1_000_000.0
         private set
 
-    fun after(ms: Double, action: () -> Unit) {
-        queue += Event(nowMs + ms.coerceAtLeast(0.0), order++, action)
+    fun after(delayMillis: Double, action: () -> Unit) {
+        queue += Event(nowMillis + delayMillis.coerceAtLeast(0.0), order++, action)
     }
 
-    fun run(forMs: Double, each: () -> Unit = {}) {
-        val end = nowMs + forMs
-        while (queue.isNotEmpty() && queue.peek().at <= end) {
+    fun run(forMillis: Double, afterEachEvent: () -> Unit = {}) {
+        val endMillis = nowMillis + forMillis
+        while (queue.isNotEmpty() && queue.peek().atMillis <= endMillis) {
             val event = queue.remove()
-            nowMs = event.at
+            nowMillis = event.atMillis
             event.action()
-            each()
+            afterEachEvent()
         }
-        nowMs = end
+        nowMillis = endMillis
     }
 }
 
@@ -36,56 +36,56 @@
 class SimLoop(private val sim: Simulation, drift: Double = 0.0) : EventLoop {
     var alive = true
     private var rate = 1.0 + drift
-    private var baseMs = 0.0
-    private var clockAtBase = 0.0
+    private var baseMillis = 0.0
+    private var clockAtBaseMillis = 0.0
 
     /** From now on the clock goes [factor] times as fast as it should. */
-    fun slowDown(factor: Double) {
-        clockAtBase = clockMs()
-        baseMs = sim.nowMs
+    fun setClockRate(factor: Double) {
+        clockAtBaseMillis = clockMillis()
+        baseMillis = sim.nowMillis
         rate = factor
     }
 
-    private fun clockMs() = clockAtBase + (sim.nowMs - baseMs) * rate
+    private fun clockMillis() = clockAtBaseMillis + (sim.nowMillis - baseMillis) * rate
 
     /** The number of clock readings before one throws an out-of-memory error; negative: none does. */
-    var faultIn = -1
+    var readingsUntilFault = -1
 
-    private fun mayFail() {
-        if (faultIn >= 0 && faultIn-- == 0) throw OutOfMemoryError("injected")
+    private fun failIfDue() {
+        if (readingsUntilFault >= 0 && readingsUntilFault-- == 0) throw OutOfMemoryError("injected")
     }
 
     override fun now(): MonotonicTime {
-        mayFail()
-        return MonotonicTime(clockMs().toLong())
+        failIfDue()
+        return MonotonicTime(clockMillis().toLong())
     }
 
     /** Runs each decision of the process; by default a fault propagates and the test fails. */
     var guard: (action: () -> Unit) -> Unit = { it() }
 
     /** Whether the next reading of the time of day throws such an error. */
-    var faultAtWallClock = false
+    var faultAtWallClockReading = false
 
     override fun wallMillis(): Long {
-        mayFail()
-        if (faultAtWallClock) {
-            faultAtWallClock = false
+        failIfDue()
+        if (faultAtWallClockReading) {
+            faultAtWallClockReading = false
             throw OutOfMemoryError("injected")
         }
-        return sim.nowMs.toLong()
+        return sim.nowMillis.toLong()
     }
 
-    private var frozenUntilMs = 0.0
+    private var frozenUntilMillis = 0.0
 
-    /** Pauses the process for [ms] while its clock runs on. Events that come meanwhile wait for it. */
-    fun freeze(ms: Double) {
-        frozenUntilMs = sim.nowMs + ms
+    /** Pauses the process for [durationMillis] while its clock runs on. Events that come meanwhile wait for it. */
+    fun freeze(durationMillis: Double) {
+        frozenUntilMillis = sim.nowMillis + durationMillis
     }
 
-    fun whenAwake(action: () -> Unit) {
-        if (sim.nowMs >= frozenUntilMs) action() else sim.after(frozenUntilMs - sim.nowMs) { whenAwake(action) }
+    fun whenNotFrozen(action: () -> Unit) {
+        if (sim.nowMillis >= frozenUntilMillis) action() else sim.after(frozenUntilMillis - sim.nowMillis) { whenNotFrozen(action) }
     }
 
     override fun after(delay: Duration, action: () -> Unit) =
-        sim.after(delay.inWholeMicroseconds / 1000.0 / rate) { whenAwake { if (alive) guard(action) } }
+        sim.after(delay.inWholeMicroseconds / 1000.0 / rate) { whenNotFrozen { if (alive) guard(action) } }
 }
--- a/src/test/kotlin/copperglade/sim/SiteFault.kt
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -17,8 +17,8 @@
     LEADER_CRASH({ _ -> crash(leader() ?: 0, 150.0 + sim.random.nextInt(5000)) }),
     ALL_CONTROLLERS_CRASH({ _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } }),
     CONTROLLER_FROZEN({ seconds -> freezeController(anyNode(), seconds * 1000) }),
-    COMMANDS_LOST({ seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { loseNothing() } } }),
-    MACHINES_MUTED({ seconds -> loseRequestsFrom(someWorkers()).also { after(seconds) { loseNothing() } } }),
+    COMMANDS_LOST({ seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { stopLosingMessages() } } }),
+    MACHINE_REQUESTS_LOST({ seconds -> loseRequestsFrom(someWorkers()).also { after(seconds) { stopLosingMessages() } } }),
     HEARTBEATS_HELD_BACK({ seconds -> holdHeartbeats(someWorkers()).also { after(seconds) { heal() } } }),
     MACHINES_HANG({ seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } }),
     MACHINE_KILLED({ _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) }),
@@ -32,10 +32,10 @@
         after(seconds) { network.duplicateOneIn = 0 }
     }),
     MESSAGES_DELAYED({ seconds ->
-        network.delayMs = { if (it.path == "/do" || it.from == "state") sim.random.nextInt(900).toDouble() else 0.0 }
-        after(seconds) { network.delayMs = { 0.0 } }
+        network.delayMillis = { if (it.path == "/do" || it.from == "state") sim.random.nextInt(900).toDouble() else 0.0 }
+        after(seconds) { network.delayMillis = { 0.0 } }
     }),
-    ODD_REQUESTS({ seconds -> repeat(20) { after(it * seconds / 20) { oddRequest() } } }),
+    ODD_REQUESTS({ seconds -> repeat(20) { after(it * seconds / 20) { sendOddRequest() } } }),
     ;
 
     /** Begins the fault at [site], to last about [seconds] seconds. */
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -24,7 +24,7 @@
     /** Every broken rule: its name, the time in seconds, and what was seen. */
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, SimUser>()
-    private val pipelines = PipelineReferee(users, { sim.nowMs }, scale.cancelSeconds * 1000, ::breach)
+    private val pipelines = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
     private val runningOn = HashMap<TaskId, StandInWorker>()
 
     /** The zones of each job's running tasks, and the CPUs that each team's use. */
@@ -44,10 +44,10 @@
     val runningTasks: Map<TaskId, StandInWorker> get() = runningOn
 
     /** Whether all controllers reach each other, so that each knows of a cancellation before its user does. */
-    var cancellationsKnownImmediately = false
+    var cancellationsReplicatedAtOnce = false
 
     /** Since when there have been no faults, so that nothing may be left waiting; null while there are some. */
-    var faultFreeSinceMs: Double? = null
+    var faultFreeSinceMillis: Double? = null
 
     /** What users do when the last task of a job ends. */
     var onJobComplete: (SimUser) -> Unit = {}
@@ -55,17 +55,17 @@
     /** Whether a task fails on a machine some time after it has started there. */
     var fails: (task: TaskId, machine: String) -> Boolean = { _, _ -> false }
 
-    fun breach(rule: String, what: String) {
-        breaches += "$rule at ${"%.1f".format(sim.nowMs / 1000)}: $what"
+    fun breach(rule: String, detail: String) {
+        breaches += "$rule at ${"%.1f".format(sim.nowMillis / 1000)}: $detail"
     }
 
     // ---- tasks on machines ----
 
     override fun spec(task: TaskId) = users[task.job]?.spec?.takeIf { task.index < it.tasks }
 
-    override fun workS(task: TaskId) = users[task.job]?.work?.invoke(task.index)
+    override fun workS(task: TaskId) = users[task.job]?.workSeconds?.invoke(task.index)
 
-    override fun failsAfterS(worker: StandInWorker, task: TaskId): Double? = FAILS_AFTER_S.takeIf { fails(task, worker.name) }
+    override fun failsAfterS(worker: StandInWorker, task: TaskId): Double? = FAILS_AFTER_SECONDS.takeIf { fails(task, worker.name) }
 
     override fun started(worker: StandInWorker, task: TaskId) {
         starts++
@@ -76,9 +76,9 @@
         runningOn[task] = worker
         val user = users.getValue(task.job)
         if (!user.spec.allows(worker.type, worker.zone, worker.spot)) breach("wrong_place", "$task on ${worker.name}")
-        user.waitingSinceMs = null
+        user.waitingSinceMillis = null
         pipelines.checkStart(user, task)
-        if (user.firstStartAtMs == null) user.firstStartAtMs = sim.nowMs
+        if (user.firstStartAtMillis == null) user.firstStartAtMillis = sim.nowMillis
         checkZones(user, task, worker)
         if (before == null) usedCpus.merge(user.spec.team, user.spec.request.cpus, Double::plus)
         val used = usedCpus.getValue(user.spec.team)
@@ -106,7 +106,7 @@
             val user = users.getValue(task.job)
             user.doneTasks += task.index
             if (user.doneTasks.size == user.spec.tasks) {
-                if (user.completedAtMs == null) user.completedAtMs = sim.nowMs
+                if (user.completedAtMillis == null) user.completedAtMillis = sim.nowMillis
                 onJobComplete(user)
             }
         }
@@ -120,8 +120,8 @@
     }
 
     private fun checkCancelled(task: TaskId) {
-        val cancelledAtMs = pipelines.cancelledAtMs(users.getValue(task.job)) ?: return
-        if (sim.nowMs - cancelledAtMs > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
+        val cancelledAtMillis = pipelines.cancelledAtMillis(users.getValue(task.job)) ?: return
+        if (sim.nowMillis - cancelledAtMillis > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
     /** To be called for each command sent: no start may follow the confirmed cancellation, once the sender must know or step down. */
@@ -130,9 +130,9 @@
         for (command in node.get("dispatches") ?: return) {
             if (command.stringOrNull("order") != "start") continue
             val task = TaskId.parse(command.stringOrNull("box")!!)!!
-            val cancelledAtMs = users[task.job]?.let(pipelines::cancelledAtMs) ?: continue
-            val sinceMs = sim.nowMs - cancelledAtMs
-            if (cancellationsKnownImmediately || sinceMs > MAX_START_AFTER_CANCELLATION_S * 1000) breach("started_cancelled", "$task")
+            val cancelledAtMillis = users[task.job]?.let(pipelines::cancelledAtMillis) ?: continue
+            val sinceMillis = sim.nowMillis - cancelledAtMillis
+            if (cancellationsReplicatedAtOnce || sinceMillis > MAX_START_AFTER_CANCEL_SECONDS * 1000) breach("started_cancelled", "$task")
         }
     }
 
@@ -145,43 +145,47 @@
     // ---- answers to users ----
 
     /**
-     * Checks and records [status], which the user got in answer to a request sent at [requestedAtMs]. Of two requests in flight, the one
-     * sent before the final answer may still be answered with an earlier status.
+     * Checks and records [status], which [user] received in answer to a request sent at [requestedAtMillis]. Of two requests in flight,
+     * the one sent before the final answer may still be answered with an earlier status.
      */
-    fun recordStatus(user: SimUser, status: String, requestedAtMs: Double) {
+    fun recordStatus(user: SimUser, status: String, requestedAtMillis: Double) {
         val final = status == "done" || status == "aborted"
-        if (user.finished && !final && requestedAtMs < user.finishedAtMs) return
+        if (user.finished && !final && requestedAtMillis < user.finishedAtMillis) return
         if (user.finished && status != user.status) breach("went_back", "${user.spec.id}: ${user.status}, then $status")
-        if (!user.finished) user.finishedAtMs = sim.nowMs
+        if (!user.finished) user.finishedAtMillis = sim.nowMillis
         if (status == "done" && user.doneTasks.size < user.spec.tasks) breach("not_done", "${user.spec.id}")
-        if (status == "aborted" && user.cancelledAtMs == null) user.cancelledAtMs = sim.nowMs
+        if (status == "aborted" && user.cancelledAtMillis == null) user.cancelledAtMillis = sim.nowMillis
         user.status = status
         pipelines.checkAnswer(user)
     }
 
-    /** To be called when there have been no faults for [MAX_UNANSWERED_S]: each job must have had an answer since. */
+    /** To be called when there have been no faults for [MAX_UNANSWERED_SECONDS]: each job must have had an answer since. */
     fun checkAnswered() {
         for (user in users.values) {
             if (!user.accepted || user.status == "aborted") continue
-            if (sim.nowMs - user.lastAnswerAtMs > MAX_UNANSWERED_S * 1000) breach("forgotten", "${user.spec.id} gets no answer")
+            if (sim.nowMillis - user.lastAnswerAtMillis >
+                MAX_UNANSWERED_SECONDS * 1000
+            ) {
+                breach("forgotten", "${user.spec.id} gets no answer")
+            }
         }
     }
 
     // ---- waiting jobs ----
 
-    /** To be called periodically: no job may wait for [MAX_WAIT_WITH_CAPACITY_S] while it could start. */
+    /** To be called periodically: no job may wait for [MAX_WAIT_WITH_CAPACITY_SECONDS] while it could start. */
     fun checkWaiting() {
-        val faultFreeSinceMs = faultFreeSinceMs ?: return
+        val faultFreeSinceMillis = faultFreeSinceMillis ?: return
         for (user in users.values) {
-            val blocked = pipelines.releasedAtMs(user) == null || pipelines.dependencyCancelRequested(user)
-            if (!user.accepted || user.finished || user.cancelRequestedAtMs != null || blocked || !couldStart(user)) {
-                user.waitingSinceMs = null
+            val blocked = pipelines.releasedAtMillis(user) == null || pipelines.dependencyCancelRequested(user)
+            if (!user.accepted || user.finished || user.cancelRequestedAtMillis != null || blocked || !couldStart(user)) {
+                user.waitingSinceMillis = null
                 continue
             }
-            val since = user.waitingSinceMs ?: sim.nowMs.also { user.waitingSinceMs = it }
-            if (sim.nowMs - maxOf(since, faultFreeSinceMs) > MAX_WAIT_WITH_CAPACITY_S * 1000) {
+            val since = user.waitingSinceMillis ?: sim.nowMillis.also { user.waitingSinceMillis = it }
+            if (sim.nowMillis - maxOf(since, faultFreeSinceMillis) > MAX_WAIT_WITH_CAPACITY_SECONDS * 1000) {
                 breach("left_waiting", "${user.spec.id}")
-                user.waitingSinceMs = null
+                user.waitingSinceMillis = null
             }
         }
     }
@@ -200,10 +204,11 @@
         }
     }
 
-    /** Of each class, each team and each class's largest jobs, half must have started within [MAX_START_DELAY_S] of their release. */
+    /** Of each class, each team and each class's largest jobs, half must have started within [MAX_START_DELAY_SECONDS] of their release. */
     fun checkStartDelays() {
         val counted = users.values.filter {
-            it.accepted && it.cancelRequestedAtMs == null && pipelines.releasedAtMs(it) != null && !pipelines.dependencyCancelRequested(it)
+            it.accepted && it.cancelRequestedAtMillis == null && pipelines.releasedAtMillis(it) != null &&
+                !pipelines.dependencyCancelRequested(it)
         }
         val groups = counted.groupBy { "class ${it.spec.workloadClass}" } + counted.groupBy { "team ${it.spec.team}" } +
             counted.groupBy { it.spec.workloadClass }.map { (load, members) ->
@@ -212,21 +217,21 @@
             }
         for ((group, members) in groups) {
             val served = members.count { user ->
-                user.firstStartAtMs?.let { it - pipelines.releasedAtMs(user)!! <= MAX_START_DELAY_S * 1000 } ?: false
+                user.firstStartAtMillis?.let { it - pipelines.releasedAtMillis(user)!! <= MAX_START_DELAY_SECONDS * 1000 } ?: false
             }
             if (served * 2 < members.size) breach("unserved", "$served of ${members.size} of $group")
         }
     }
 
     private companion object {
-        const val FAILS_AFTER_S = 1.0
+        const val FAILS_AFTER_SECONDS = 1.0
         const val CPU_TOLERANCE = 1e-6
-        const val MAX_UNANSWERED_S = 75.0
-        const val MAX_WAIT_WITH_CAPACITY_S = 90.0
-        const val MAX_START_DELAY_S = 240.0
+        const val MAX_UNANSWERED_SECONDS = 75.0
+        const val MAX_WAIT_WITH_CAPACITY_SECONDS = 90.0
+        const val MAX_START_DELAY_SECONDS = 240.0
         const val LARGEST_JOBS_ONE_IN = 5
 
         /** A controller that neither reads the state service nor hears its peers stops starting tasks this soon; clock drift included. */
-        const val MAX_START_AFTER_CANCELLATION_S = 3.2
+        const val MAX_START_AFTER_CANCEL_SECONDS = 3.2
     }
 }
--- a/src/test/kotlin/copperglade/sim/WireDigest.kt
+++ b/src/test/kotlin/copperglade/sim/WireDigest.kt
@@ -17,7 +17,7 @@
         val reply = event.reply
         val body = reply?.body ?: request.body
         val outcome = reply?.let { "${it.status} retry=${it.retryAfterSeconds}" } ?: "-"
-        val header = "${event.atMs} ${event.step} ${event.from} ${event.to} ${request.method} ${request.path} $outcome ${body.size} "
+        val header = "${event.atMillis} ${event.step} ${event.from} ${event.to} ${request.method} ${request.path} $outcome ${body.size} "
         listOf(header.encodeToByteArray(), body, LINE_END).forEach(::add)
     }
 
--- a/src/test/kotlin/copperglade/sim/WireObserver.kt
+++ b/src/test/kotlin/copperglade/sim/WireObserver.kt
@@ -24,10 +24,10 @@
 }
 
 /**
- * One step of one message, at simulated time [atMs]. [from] and [to] are the sender and the receiver of this step's message; [request] is
- * the request that it belongs to, and [reply] the answer if the step is one of an answer.
+ * One step of one message, at simulated time [atMillis]. [from] and [to] are the sender and the receiver of this step's message.
+ * [request] is the request to which the message belongs, and [reply] the answer if the step is one of an answer.
  */
-class WireEvent(val step: WireStep, val atMs: Double, val from: String, val to: String, val request: Request, val reply: Reply?)
+class WireEvent(val step: WireStep, val atMillis: Double, val from: String, val to: String, val request: Request, val reply: Reply?)
 
 /** Observes every message of a [SimNetwork] without any influence on it. */
 fun interface WireObserver {
--- a/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
@@ -13,8 +13,8 @@
     @ValueSource(longs = [111, 112, 113, 114])
     fun `a zone partitioned for longer than leases, while a controller outside crashes, breaks no rule`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
-        site.services(10, tasks = 2)
-        site.arrays(14)
+        site.submitServices(10, tasks = 2)
+        site.submitArrays(14)
         site.run(35.0)
         val before = site.machinesLaunched
         site.cutZone(SimSite.ZONES[1])
@@ -30,7 +30,7 @@
     @Test
     fun `a partitioned zone keeps its tasks while its controllers may answer, and none of them runs elsewhere`() {
         val site = SimSite(Simulation(115), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         val running = site.runningTasks().mapValues { it.value.name }
         assertEquals(48, running.size)
@@ -50,7 +50,7 @@
     @ValueSource(longs = [116, 117, 118])
     fun `the successor of a partitioned zone's owners waits until they have stopped answering`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 3 else 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         site.cutZone(SimSite.ZONES[1])
         site.sim.after(
@@ -68,13 +68,13 @@
     fun `the referee sees a successor that ignores answers given after the session lease`() {
         // The others are told a shorter staleness limit than the zone's controllers keep to.
         val scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
-        val site = SimSite(Simulation(119), nodes = 5, scale = scale, stalenessLimitOverrideS = 6.0)
+        val site = SimSite(Simulation(119), nodes = 5, scale = scale, stalenessLimitOverrideSeconds = 6.0)
         // Preempting this work leaves capacity for the services at once.
         site.submit(SimSite.job(1, tasks = 50, spot = false)) { 600.0 }
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         site.cutZone(SimSite.ZONES[1])
         site.run(45.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 }
--- a/src/test/kotlin/copperglade/soak/SoakUsers.kt
+++ b/src/test/kotlin/copperglade/soak/SoakUsers.kt
@@ -43,7 +43,13 @@
             earlier.shuffled(random).take(random.nextInt(3)).map { it.spec.id }
         }
         val most = 6 + site.options.workers / 10
-        val spec = SimSite.job(number, tasks = 1 + random.nextInt(if (service) 3 else most), cpus = 2.0, service = service, etaS = 5.0)
+        val spec = SimSite.job(
+            number,
+            tasks = 1 + random.nextInt(if (service) 3 else most),
+            cpus = 2.0,
+            service = service,
+            estimatedSeconds = 5.0,
+        )
         referee.jobs[spec.id] = SoakReferee.ObservedJob(spec, dependencies)
         send(spec.id)
         if (random.nextInt(CANCEL_ONE_IN) == 0) site.loop.after(random.nextInt(LATEST_CANCEL_MS).milliseconds) { cancel(spec.id) }
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -80,7 +80,7 @@
                     .toInt(),
                 tasks = 1,
                 priority = job.priority.wireName,
-                dueS = job.dueAtSeconds,
+                deadlineSeconds = job.dueAtSeconds,
             )
     }
 
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -56,9 +56,9 @@
         repeat(200) { small.commit(backlog, Transaction(emptyList(), listOf(set(it)))) {} }
         return List(20) {
             sim.run(1500.0 + sim.random.nextInt(200))
-            val askedAt = sim.nowMs
+            val askedAt = sim.nowMillis
             var answeredAt = 0.0
-            small.commit(WritePriority.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMs }
+            small.commit(WritePriority.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMillis }
             sim.run(1000.0)
             answeredAt - askedAt
         }
