--- a/src/main/kotlin/copperglade/safety/ActionGuard.kt
+++ b/src/main/kotlin/copperglade/safety/ActionGuard.kt
@@ -14,24 +14,24 @@
 import copperglade.storage.Replica
 import copperglade.storage.ReplicaState
 
-/** Why an action is refused for now. */
+/** The reason for which an action is currently refused. */
 enum class Refusal {
-    /** Neither session lease nor endorsements last, or the records are incomplete or too old to act on. */
+    /** Neither the session lease nor the endorsements are valid, or the records are incomplete or too stale to act on. */
     NO_AUTHORITY,
 
-    /** The records are too old to start anything on. */
+    /** The records are too stale to start tasks. */
     STALE_SNAPSHOT,
 
-    /** The job is neither live nor known to have ended. */
+    /** The job is not live, and no end record of the job is cached. */
     UNKNOWN_JOB,
 
-    /** The job is done, or was cancelled and has been ended. */
+    /** The job has an end record: it is done, or was cancelled and has been ended. */
     JOB_ENDED,
 
     /** The job is live and carries the cancelled mark. */
     JOB_CANCELLED,
 
-    /** A job that it depends on is not done. */
+    /** A dependency of the job is not done. */
     JOB_BLOCKED,
 
     /** The task is done already. */
@@ -39,12 +39,12 @@
 }
 
 /**
- * Decides whether a task may be started, which tasks have to be stopped, and whether a job may be ended: by the records as they are known
- * at this moment, and by the authority to act. All paths ask here, and what goes out to a worker is checked once more immediately before
- * it is sent ([approveCommands], [approveAnswer]).
+ * Decides whether a task may be started, which tasks must be stopped, and whether a job may be ended. The decision is based on the
+ * replica's current records and on the authority to act. All code paths check here, and each message to a worker is checked again
+ * immediately before it is sent ([approveCommands], [approveAnswer]).
  *
- * Guards against an action that rests on what was true when it was decided, or on the word of another controller. A leader of an earlier
- * version assigns tasks of jobs whose dependencies are open; an owner that started whatever is assigned would break their order.
+ * Guards against actions based on stale decisions or on another controller's unchecked claims. For example, a leader of an earlier version
+ * assigns tasks of jobs whose dependencies are not done. A shard owner that started every assigned task would break the dependency order.
  */
 class ActionGuard(
     private val replica: Replica,
@@ -53,14 +53,14 @@
 ) {
     private data class TaskAttempt(val task: TaskId, val attempt: Attempt)
 
-    /** Why [task] must not be started now, or null where it may be. */
+    /** Returns the reason why [task] must not be started now, or null if the task may be started. */
     fun refusalToStart(task: TaskId): Refusal? = when {
         !authority.mayAct -> Refusal.NO_AUTHORITY
         !authority.mayStart -> Refusal.STALE_SNAPSHOT
         else -> refusalByRecords(task)
     }
 
-    /** Why the records forbid that [task] is started by anybody, or null where they don't. */
+    /** Returns the reason why the records forbid every controller to start [task], or null if the records allow the start. */
     fun refusalByRecords(task: TaskId): Refusal? {
         val job = replica.jobs[task.job]
         return when {
@@ -72,22 +72,23 @@
         }
     }
 
-    /** Whether [job] is known to be cancelled, by its live record or by its end. */
+    /** Whether the live record or the end record of [job] shows that the job is cancelled. */
     fun isCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endRecordOf(job)?.status == JobStatus.CANCELLED)
 
-    /** Whether nothing of [job] may go on running: it is cancelled, or has ended either way. */
+    /** Whether [job] is cancelled, or has ended with any status, so that none of its tasks may continue to run. */
     fun isEndedOrCancelled(job: JobId): Boolean = liveJob(job)?.cancelled ?: (replica.endRecordOf(job) != null)
 
     private fun liveJob(id: JobId): Job? = replica.jobs[id]?.takeIf { it.live != null }
 
     /**
-     * The stop commands that each answer to [heartbeat] must carry: one for every task that it reports and that must not go on running.
+     * Returns the stop commands that each answer to [heartbeat] must contain: one for every reported task that must not continue to run.
      *
-     * No worker's lease is renewed without them. Either the answer arrives, and the tasks end; or it doesn't, and the lease goes on
-     * running out. So whatever else delays commands (a shard that is not open yet, a machine not fenced yet, a broken connection, an
-     * expired authority to act), a cancelled task is gone one worker lease after the last answer that was given without knowing of the
-     * cancellation, and that is bounded by the age of the records. Stop commands can be repeated and are right under any owner, since an
-     * end is final.
+     * No worker's lease is renewed without these commands. Either the answer arrives and the worker stops the tasks, or the answer is lost
+     * and the lease continues to expire. A cancelled task is therefore terminated at the latest one worker lease after the last answer that
+     * was based on records from before the cancellation; the age of those records is bounded.
+     *
+     * This holds no matter what else delays commands: a shard that is not open yet, a machine that is not fenced yet, a broken connection
+     * or an expired authority to act. Stop commands are idempotent and valid under any shard owner, because the end of a job is final.
      */
     fun requiredStops(heartbeat: Heartbeat): List<Command.Stop> = heartbeat.reportedTasks.filter(::mustStop).map(::stopOf)
 
@@ -95,27 +96,25 @@
 
     private fun stopOf(reported: ReportedTask) = Command.Stop(reported.task, reported.attempt, graceSeconds = 0.0)
 
-    /** Whether the leader may end [job]: all records are known, it is complete or cancelled, and no task of it is assigned to anybody. */
+    /** Whether the leader may end [job]: the replica is current, the job is complete or cancelled, and none of its tasks is assigned. */
     fun mayEnd(job: Job): Boolean =
         replica.state == ReplicaState.CURRENT && job.live != null && (job.complete || job.cancelled) && job.assignments().isEmpty()
 
-    // ---- the last check before something is sent ----
-
-    /** Whether a message may go out to a worker now; [detail] says which, should it not. */
+    /** Whether a message may be sent to a worker now. If not, a violation is recorded with [detail], which identifies the message. */
     fun approveSending(detail: String): Boolean {
         if (authority.mayAct) return true
         violations.record(Invariant.SENT_WITH_AUTHORITY, detail)
         return false
     }
 
-    /** The [commands] that may go out to [machine]: all of them, unless a path forgot to ask. */
+    /** Returns those of [commands] that may be sent to [machine]: all of them, unless a code path has omitted the earlier check. */
     fun approveCommands(machine: MachineName, commands: List<Command>): List<Command> = commands.filter { command ->
         val refusal = if (command is Command.Start) refusalToStart(command.task) else null
         if (refusal != null) violations.record(Invariant.START_PERMITTED, "task=${command.task} machine=$machine refusal=$refusal")
         refusal == null
     }
 
-    /** The [commands] of an answer that renews the lease of [heartbeat]'s worker, with all of its [requiredStops]. */
+    /** Returns [commands] plus any missing [requiredStops], for an answer that renews the lease of [heartbeat]'s worker. */
     fun approveAnswer(heartbeat: Heartbeat, commands: List<Command>): List<Command> {
         val stopped = commands.filterIsInstance<Command.Stop>().mapTo(HashSet()) { TaskAttempt(it.task, it.attempt) }
         val missing = heartbeat.reportedTasks.filter { mustStop(it) && TaskAttempt(it.task, it.attempt) !in stopped }
@@ -124,7 +123,7 @@
         return missing.map(::stopOf) + commands
     }
 
-    /** Those of [jobs] that may be ended. */
+    /** Returns those of [jobs] that may be ended. */
     fun approveEnds(jobs: List<Job>): List<Job> = jobs.filter { job ->
         val allowed = mayEnd(job)
         if (!allowed) violations.record(Invariant.ENDED_WITHOUT_ASSIGNMENTS, "job=${job.id}")
--- a/src/main/kotlin/copperglade/shards/ShardAssigner.kt
+++ b/src/main/kotlin/copperglade/shards/ShardAssigner.kt
@@ -22,8 +22,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's assignment of shards to controllers. A shard is granted only when its owner's incarnation is gone from the member key,
- * which is a condition of the same transaction, or when the owner has given it up.
+ * The leader's assignment of shards to controllers. A shard is granted only if its owner has released the shard, or if the owner's member
+ * key no longer holds the owner's incarnation, which is a condition of the same transaction.
  */
 class ShardAssigner(
     private val loop: EventLoop,
@@ -37,21 +37,21 @@
 ) {
     private class Grant(val revision: Revision, val observedAt: MonotonicTime)
 
-    /** For how long a shard stays with a new owner, however uneven the distribution is. */
+    /** The minimum time that a shard stays with a new owner, even if the distribution is uneven. */
     private val minTenure: Duration = (workerLeaseSeconds * MIN_TENURE_IN_WORKER_LEASES).seconds
     private val grantsInFlight = HashSet<ShardName>()
 
-    /** The last grant of each shard that this process knows of. */
+    /** The last grant of each shard observed by this process. */
     private val lastGrants = HashMap<ShardName, Grant>()
 
-    /** Members that reach no workers, and until when they are granted no shards. */
+    /** Members that can't reach workers, and the time until which no shards are granted to them. */
     private val excludedUntil = HashMap<MemberId, MonotonicTime>()
 
-    /** Shards whose owners should give them up, so that the shards are distributed evenly; found anew in each round. */
+    /** Shards whose owners should release them for an even distribution. Recomputed in each round. */
     var shardsToRelease: List<ShardName> = emptyList()
         private set
 
-    /** Grants each shard without an owner, or, where there is none, looks for one to release. Called while this process leads. */
+    /** Grants all shards without an owner; if there are none, selects a shard to release. Called only while this process is the leader. */
     fun round() {
         if (!hasWaitedForMembers()) return
         recordGrants()
@@ -66,7 +66,7 @@
         shardsToRelease = if (unownedShards.isEmpty()) shardsToRebalance(shardCounts) else emptyList()
     }
 
-    /** After a start of the whole cluster, the members that join first would otherwise get all shards. */
+    /** Without this wait after a start of the whole cluster, the members that join first would get all shards. */
     private fun hasWaitedForMembers(): Boolean =
         replica.members.size >= zoneOfMember.size || leadership.leadingForSeconds > WAIT_FOR_MEMBERS_SECONDS
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The members that reach their workers; where none does, all of them. */
+    /** Returns the members that are not excluded for unreachable workers, or all members if none remains. */
     private fun eligibleMembers(): Collection<MemberId> {
         val now = loop.now()
         replica.shards.values
@@ -98,13 +98,13 @@
         return record.member.takeIf { replica.members[it]?.value?.incarnation == record.incarnation }
     }
 
-    /** Whether no endorsement of ours protects a former owner that is absent. */
+    /** Whether the shard's previous owner is a member, has released the shard, or is not protected by this controller's endorsement. */
     private fun mayGrant(shard: ShardName): Boolean {
         val record = replica.shards[shard]?.value ?: return true
         return record.released || record.member in replica.members || leaseEndorsement.mayReassignShardsOf(record.member)
     }
 
-    /** The former owner where it is back and has no more than its part: the workers report to it already. Else whoever has least. */
+    /** Returns the previous owner if eligible and below an even share, as the workers report to it already; else the member with fewest. */
     private fun chooseOwner(shard: ShardName, shardCounts: Map<MemberId, Int>): MemberId? {
         val former = replica.shards[shard]?.value?.member
         val evenCount = (shardMap.all.size + shardCounts.size - 1) / shardCounts.size.coerceAtLeast(1)
@@ -117,7 +117,7 @@
         )
     }
 
-    /** One shard of the member with most, where another has at least two fewer. */
+    /** Returns one shard of the member with the most shards, if another member has at least two fewer. */
     private fun shardsToRebalance(shardCounts: Map<MemberId, Int>): List<ShardName> {
         val most = shardCounts.maxByOrNull { it.value } ?: return emptyList()
         val least = shardCounts.values.min()
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Tasks that a new owner has not found yet may start only when the workers' leases have expired, counted from the grant: if the shard
-     * were granted once more in that time, they would wait once more.
+     * Whether the shard has been with its owner for the minimum tenure. Tasks that a new owner has not yet found on the workers may start
+     * only after the workers' leases have expired, counted from the grant. Another grant in that time would restart their wait.
      */
     private fun hasMinTenure(shard: ShardName): Boolean = lastGrants[shard]?.let { loop.now() >= it.observedAt + minTenure } ?: false
 
@@ -139,7 +139,7 @@
         store.commit(WritePriority.LEASE, transaction) { outcome -> onGrantOutcome(shard, owner, transaction, outcome) }
     }
 
-    /** We lead, the new owner is a member, the shard's record is as we know it, and its former owner is gone. */
+    /** This controller leads, the new owner is a member, the shard's record is unchanged, and so is the previous owner's member key. */
     private fun grantConditions(shard: ShardName, owner: MemberId, memberRevision: Revision): List<Condition> {
         val present = replica.shards[shard]
         val conditions = ArrayList<Condition>()
@@ -152,7 +152,7 @@
         return conditions
     }
 
-    /** A grant that failed, or whose outcome is unknown, is tried again in a later round if the shard still has no owner then. */
+    /** A grant that failed, or whose outcome is unknown, is retried in a later round if the shard still has no owner. */
     private fun onGrantOutcome(shard: ShardName, owner: MemberId, transaction: Transaction, outcome: TransactionOutcome) {
         grantsInFlight -= shard
         when (outcome) {
--- a/src/main/kotlin/copperglade/shards/ShardMap.kt
+++ b/src/main/kotlin/copperglade/shards/ShardMap.kt
@@ -4,16 +4,16 @@
 import copperglade.protocol.ShardName
 
 /**
- * Which shard a machine belongs to: a pure function of its name and zone, so that a machine needs no record and has exactly one shard.
- * All controllers must be given the same [zones] and [shardsPerZone].
+ * Maps machines to shards. The shard is a pure function of the machine's name and zone, so a machine needs no record and belongs to
+ * exactly one shard. All controllers must use the same [zones] and [shardsPerZone].
  */
 class ShardMap(zones: List<String>, private val shardsPerZone: Int) {
     /** All shards, in a fixed order. */
     val all: List<ShardName> = zones.flatMap { zone -> (0 until shardsPerZone).map { ShardName("$zone.$it") } }
 
-    /** The shard of [machine] in [zone]. */
+    /** Returns the shard of [machine] in [zone]. */
     fun of(machine: MachineName, zone: String): ShardName {
-        // Names end in a number that counts the machines: those that came together spread evenly.
+        // Machine names end in a sequence number, so machines created together are spread evenly over the shards.
         val number =
             machine.text
                 .takeLastWhile { it.isDigit() }
@@ -22,11 +22,11 @@
         return ShardName("$zone.${Math.floorMod(number, shardsPerZone)}")
     }
 
-    /** The zone of all machines of [shard]. */
+    /** Returns the zone of [shard] and of all its machines. */
     fun zoneOf(shard: ShardName): String = shard.text.substringBeforeLast('.')
 
     private companion object {
-        /** As many as an [Int] surely holds. */
+        /** Any number with this many digits fits into an [Int]. */
         const val MAX_NUMBER_DIGITS = 9
     }
 }
--- a/src/main/kotlin/copperglade/storage/EndRecordCache.kt
+++ b/src/main/kotlin/copperglade/storage/EndRecordCache.kt
@@ -39,8 +39,8 @@
      * Reads the end record of a job from the state service; reads are sent in the order of the calls. Calls back with
      * [ReadOutcome.Failed] at once if the queue is full.
      *
-     * A record is cached even if the user's request has timed out, so that a retry is answered at once. Otherwise, requests for some jobs
-     * would get no answer for minutes after a restart.
+     * A record is cached even if the caller no longer waits, so that the caller's retry is answered at once. Otherwise, requests for some
+     * jobs would get no answer for minutes after a restart.
      */
     fun read(id: JobId, done: (ReadOutcome) -> Unit) {
         val callers = queued[id]
--- a/src/main/kotlin/copperglade/storage/Keys.kt
+++ b/src/main/kotlin/copperglade/storage/Keys.kt
@@ -16,7 +16,7 @@
     const val ENDED = "cg/over/"
     const val LEADER = "cg/now/lead"
 
-    /** The number of tasks in a [TaskRange]. Even the entry with the most fragmented index ranges stays far below the smallest value limit. */
+    /** The number of tasks in a [TaskRange]. The entry with the most fragmented index ranges stays far below the smallest value limit. */
     const val TASKS_PER_RANGE = 256
 
     fun live(job: JobId) = "${CURRENT}live/$job"
--- a/src/main/kotlin/copperglade/storage/Replica.kt
+++ b/src/main/kotlin/copperglade/storage/Replica.kt
@@ -12,17 +12,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Whether a [Replica] has all records. Only a current one may be acted on. */
+/** Whether a [Replica] holds all records. Controllers may act only on a current replica. */
 enum class ReplicaState { LOADING, CURRENT }
 
 /**
- * This controller's copy of the live records, kept current by a watch. Whoever must not act on an old snapshot calls [catchUp] first.
+ * This controller's copy of the live records, kept current by a watch. Code that must not act on a stale snapshot calls [catchUp] first.
  *
  * @param controllerCount the number of controllers that share the request budget.
- * @param idleRefreshInterval the age of the snapshot at which it is refreshed though nobody has asked for that.
- * @param maxSnapshotAge the age of the snapshot at which failing reads lead to a reload.
- * @param maxCachedEndRecords how many ends of jobs are remembered; the others are looked up in the state service.
- * @param predictRunSeconds how long a job's tasks are predicted to run, in seconds.
+ * @param idleRefreshInterval the snapshot age at which the snapshot is refreshed even without a caller of [catchUp].
+ * @param maxSnapshotAge the snapshot age at which repeated read failures trigger a reload.
+ * @param maxCachedEndRecords the maximum number of cached end records; evicted ones are read from the state service.
+ * @param predictRunSeconds returns the predicted run time of a job's tasks in seconds.
  */
 class Replica(
     private val loop: EventLoop,
@@ -39,7 +39,7 @@
         if (dependencies.hasDependents(id)) notifyListeners(ReplicaChanges().also { it.jobs += id })
     }
 
-    /** Which of [jobs] depend on others, and what follows from that. */
+    /** The dependencies between [jobs], and the state derived from them. */
     val dependencies = DependencyGraph(jobs, ::endRecordOf, { knownRevision }, loop::wallMillis, predictRunSeconds)
     private val listeners = ArrayList<ReplicaListener>()
 
@@ -55,27 +55,27 @@
     var state = ReplicaState.LOADING
         private set
 
-    /** When the latest successful read was sent: every change made before is known. */
+    /** When the latest successful read was sent. The replica holds every change committed before this time. */
     val snapshotTakenAt: MonotonicTime get() = reader.snapshotTakenAt
 
-    /** All changes up to this revision are known. */
+    /** The replica holds all changes up to this revision. */
     val knownRevision: Revision get() = table.knownRevision
 
     fun addListener(listener: ReplicaListener) {
         listeners += listener
     }
 
-    /** Starts loading the records and keeps them current from then on. */
+    /** Starts to load the records, and keeps them current after the load. */
     fun start() {
         load(from = null, startRevision = null)
         reader.start()
         loop.scheduleRepeating({ LOOK_UP_INTERVAL }, ::lookUpDependencies)
     }
 
-    /** Calls back once every change made before this call is known, or at once where too many callers wait already. */
+    /** Calls back once the replica holds every change committed before this call, or at once if the read can't be queued. */
     fun catchUp(done: (CatchUpOutcome) -> Unit) = reader.catchUp(done)
 
-    /** Applies what a transaction of this controller has changed, without waiting for the watch. */
+    /** Applies the writes of this controller's committed [transaction] without waiting for the watch. */
     fun applyCommitted(transaction: Transaction, revision: Revision) {
         if (state != ReplicaState.CURRENT) return
         val changes = ReplicaChanges()
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Applies a cancellation that another controller says it has written with [revision]. The mark is durable by then, so it may be
-     * acted on before the watch delivers it; nothing relies on this call.
+     * Applies a cancellation that another controller reports as written at [revision]. The cancelled mark is already durable, so this
+     * controller may act on the mark before the watch delivers it. Correctness doesn't depend on this call.
      */
     fun applyRemoteCancellation(id: JobId, revision: Revision) {
         val live = jobs[id]?.live ?: return
@@ -100,13 +100,13 @@
         notifyListeners(changes)
     }
 
-    /** The end of a job, if it is remembered here. An end record never changes once written. */
+    /** Returns the end record of a job, or null if the record is not cached. An end record never changes once written. */
     fun endRecordOf(id: JobId): EndRecord? = endRecordCache[id]
 
-    /** Looks the end of a job up in the state service; see [EndRecordCache.read]. */
+    /** Reads the end record of a job from the state service; see [EndRecordCache.read]. */
     fun readEndRecord(id: JobId, done: (ReadOutcome) -> Unit) = endRecordCache.read(id, done)
 
-    /** Only live jobs are loaded, so the end of a dependency that ended before this process started has to be looked up. */
+    /** Only live jobs are loaded, so the end record of a dependency that ended before this process started must be read separately. */
     private fun lookUpDependencies() {
         if (state == ReplicaState.CURRENT) dependencies.unknownDependencies().forEach { readEndRecord(it) {} }
     }
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Lists the records from the key [from] on, page by page.
+     * Lists the records after the key [from], or all records if [from] is null, page by page.
      *
-     * @param startRevision the store's revision at the first page: later changes have to be read from there.
+     * @param startRevision the store's revision at the first page, from which later changes must be read.
      */
     private fun load(from: String?, startRevision: Revision?): Unit = store.list(Keys.CURRENT, from) { outcome ->
         when (outcome) {
@@ -137,7 +137,7 @@
 
     private fun finishLoad(startRevision: Revision, changes: ReplicaChanges) {
         table.loadedAt(startRevision)
-        moveTo(ReplicaState.CURRENT, "${jobs.size} live jobs read at revision $startRevision")
+        moveTo(ReplicaState.CURRENT, "${jobs.size} live jobs loaded at revision $startRevision")
         dependencies.rebuild()
         changes.reloaded = true
         changes.clusterRecordsChanged = true
--- a/src/main/kotlin/copperglade/storage/ReplicaChanges.kt
+++ b/src/main/kotlin/copperglade/storage/ReplicaChanges.kt
@@ -3,20 +3,20 @@
 import copperglade.protocol.JobId
 import copperglade.protocol.MemberId
 
-/** What one round of changes has changed in a [Replica]. */
+/** The effects of one round of changes on a [Replica]. */
 class ReplicaChanges {
     val jobs = HashSet<JobId>()
 
     /** Whether a shard's, a member's or the leader's record has changed. */
     var clusterRecordsChanged = false
 
-    /** Members whose records were deleted, though they may have been written again in the same round. */
+    /** Members whose records were deleted; a deleted record may have been written again in the same round. */
     val removedMembers = HashSet<MemberId>()
 
-    /** Whether all records were loaded again: what was written and deleted since the last round isn't known. */
+    /** Whether all records were reloaded. The individual writes and deletions since the last round are then unknown. */
     var reloaded = false
 
-    /** Encoded peer statuses that came through the state service. */
+    /** Encoded peer statuses received through the state service. */
     val peerStatuses = ArrayList<ByteArray>()
 }
 
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -14,8 +14,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The state service's client, which stays within this controller's share of the budgets that all controllers have together. All
- * callbacks run on the event loop; those of requests that can't be sent run before the call returns.
+ * A client of the state service that stays within this controller's share of the budgets common to all controllers. All callbacks run on
+ * the event loop. If a request can't be sent, its callback runs before the call returns.
  */
 class StateClient(
     private val loop: EventLoop,
@@ -29,11 +29,11 @@
     private var malformedCount = 0
     private var malformedLoggedAt = MonotonicTime.NEVER
 
-    /** When the service last answered with anything but "unavailable". */
+    /** When the service last answered with a status other than 503 (service unavailable). */
     var lastAnswerAt: MonotonicTime = MonotonicTime.NEVER
         private set
 
-    /** Whether the service has not answered lately. */
+    /** Whether the service has not answered for [UNREACHABLE_AFTER]. */
     fun isUnreachable(): Boolean = loop.now() >= lastAnswerAt + UNREACHABLE_AFTER
 
     /** Sets this controller's shares of the budgets, each from 0 to 1. */
@@ -42,27 +42,27 @@
         writes.setShare(ofWrites)
     }
 
-    /** Writes per second that this controller has wanted to make lately, those still queued included. */
+    /** The recent demand for writes per second, including queued writes. */
     val desiredWritesPerSecond: Double get() = writes.desiredPerSecond
 
-    /** How full the write budget is, from 0 to 1: batches widen as it shrinks. */
+    /** Returns the fill level of the write budget, from 0 to 1. Batches grow as the level falls. */
     fun writeBudgetLevel(): Double = writes.budgetLevel()
 
-    /** Assignments that could be written at once. Queued writes of lower priority don't count: they would stop all assignments. */
+    /** Returns how many assignments could be written now. Queued writes of lower priority don't count; they would block all assignments. */
     fun affordableAssignments(): Int = writes.affordableAssignments()
 
-    /** Writes of the budget that less urgent assignments leave to urgent ones. */
+    /** The number of writes that less urgent assignments must leave in the budget for urgent ones. */
     val urgentReserve: Int get() = writes.urgentReserve
 
-    /** Counts [changes] as wanted that were not committed for want of budget. */
+    /** Adds [changes] that could not be committed within the budget to the measured demand. */
     fun recordUnmetDemand(changes: Int) = writes.recordUnmetDemand(changes)
 
-    /** Whether [commit] would refuse a user's transaction. */
+    /** Whether [commit] would refuse a transaction of [WritePriority.USER]. */
     fun isUserQueueFull(): Boolean = writes.isFull(WritePriority.USER)
 
     /**
-     * Commits a transaction once there is write budget, in order of priority; refuses it at once where the priority's queue is full.
-     * Lease writes are sent at once.
+     * Commits a transaction as soon as the write budget allows, in order of priority. The transaction is refused at once if the queue of
+     * its priority is full. Lease writes are sent at once.
      */
     fun commit(priority: WritePriority, transaction: Transaction, done: (TransactionOutcome) -> Unit) =
         writes.commit(priority, transaction, done)
@@ -89,7 +89,7 @@
         return TransactionOutcome.Refused
     }
 
-    /** Logs at intervals, because a transaction that exceeds the service's limits is usually tried again. */
+    /** Logs at most once per interval, because a transaction that exceeds the service's limits is usually retried. */
     private fun logMalformed(error: String) {
         malformedCount++
         if (loop.now() < malformedLoggedAt + MALFORMED_LOG_INTERVAL) return
@@ -100,7 +100,7 @@
     /** Whether the request budget allows a [read] now. */
     internal fun hasReadBudget(): Boolean = requests.available(loop.now()) >= 1
 
-    /** Reads one key; fails at once where there is no request budget. */
+    /** Reads one key. The read fails at once if the request budget is exhausted. */
     internal fun read(key: String, done: (ReadOutcome) -> Unit) {
         if (!requests.tryTake(1, loop.now())) {
             done(ReadOutcome.Failed)
@@ -109,11 +109,11 @@
         call(StateServiceCodec.read(key), TIMEOUT) { reply -> done(StateServiceCodec.decodeRead(reply)) }
     }
 
-    /** Lists a page of the records whose keys begin with [prefix], after the key [from] or from the first one on. */
+    /** Lists a page of the records whose keys begin with [prefix], starting after the key [from], or at the first record if it is null. */
     internal fun list(prefix: String, from: String?, done: (ListOutcome) -> Unit) =
         request(StateServiceCodec.list(prefix, from), LIST_TIMEOUT) { reply -> done(StateServiceCodec.decodeList(reply)) }
 
-    /** Reads the changes after the revision [from]; waits up to [wait] for the first one. */
+    /** Reads the changes after the revision [from]. If there are none, the service waits up to [wait] for the first one. */
     internal fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) =
         request(StateServiceCodec.changes(prefix, from, wait), TIMEOUT + wait) { reply -> done(StateServiceCodec.decodeChanges(reply)) }
 
@@ -123,10 +123,10 @@
     fun extendLease(leaseId: LeaseId, done: (LeaseOutcome) -> Unit) =
         request(StateServiceCodec.extendLease(leaseId), TIMEOUT) { reply -> done(StateServiceCodec.decodeExtendedLease(reply)) }
 
-    /** Ends a lease without waiting for the answer: the service ends it anyway once it is no longer extended. */
+    /** Ends a lease without waiting for the answer, because a lease that is no longer extended expires anyway. */
     fun endLease(leaseId: LeaseId) = request(StateServiceCodec.endLease(leaseId), TIMEOUT) {}
 
-    /** Sends a request that doesn't wait for request budget: later ones pay for it. */
+    /** Sends a request without waiting for request budget. The cost is deducted from the budget of later requests. */
     private fun request(request: Request, timeout: Duration, done: (Reply?) -> Unit) {
         requests.take(1, loop.now())
         call(request, timeout, done)
--- a/src/main/kotlin/copperglade/storage/StateLimits.kt
+++ b/src/main/kotlin/copperglade/storage/StateLimits.kt
@@ -1,11 +1,11 @@
 package copperglade.storage
 
-/** Limits of the state service, as the platform's settings give them. The rates are shared by all controllers. */
+/** The limits of the state service, from the platform's settings. The rates are totals for all controllers. */
 class StateLimits(val requestsPerSecond: Double, val writesPerSecond: Double, val valueKb: Double, val transactionWrites: Int) {
-    /** The number of conditions that a transaction may have: the protocol allows four for each write. */
+    /** The maximum number of conditions in a transaction. The protocol allows four for each permitted write. */
     val transactionConditions get() = transactionWrites * CONDITIONS_PER_WRITE
 
-    /** The largest value, in bytes. */
+    /** The maximum size of a value, in bytes. */
     val valueBytes get() = (valueKb * BYTES_PER_KB).toInt()
 
     private companion object {
--- a/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
+++ b/src/main/kotlin/copperglade/storage/StateServiceCodec.kt
@@ -16,7 +16,7 @@
 import copperglade.transport.Request
 import kotlin.time.Duration
 
-/** Requests to the state service and its answers. A missing answer (null) and an unreadable one are decoded alike, as failures. */
+/** Encodes requests to the state service and decodes its answers. A missing (null) or malformed answer is decoded as a failure. */
 internal object StateServiceCodec {
     private const val NO_SUCH_LEASE = "no such lease"
     private const val LIST_LIMIT = 1000
@@ -64,19 +64,19 @@
         }
     }
 
-    /** The revision of an applied transaction, or null where the answer doesn't say it. */
+    /** Decodes the revision of an applied transaction; returns null if the answer doesn't contain the revision. */
     fun decodeAppliedRevision(body: ByteArray): Revision? = Json.read(body)?.longOrNull("ledger")?.let(::Revision)
 
-    /** The keys whose conditions didn't hold. */
+    /** Decodes the keys whose conditions were not met. */
     fun decodeConflict(body: ByteArray): List<String> {
         val failed = Json.read(body)?.get("failed")
         return failed?.map { it.asText() }.orEmpty()
     }
 
-    /** The error text of a transaction that was answered as malformed. */
+    /** Decodes the error text of a transaction that the service rejected as malformed. */
     fun decodeError(body: ByteArray): String = Json.read(body)?.stringOrNull("error").orEmpty()
 
-    /** Whether an error text means that the lease has ended, and not that the transaction is malformed. */
+    /** Whether an error text reports that the lease has ended, rather than a malformed transaction. */
     fun isNoSuchLease(error: String): Boolean = error.contains(NO_SUCH_LEASE, ignoreCase = true)
 
     fun decodeRead(reply: Reply?): ReadOutcome {
--- a/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
+++ b/src/main/kotlin/copperglade/storage/TaskIndexRanges.kt
@@ -2,7 +2,7 @@
 
 import java.util.BitSet
 
-/** Sets of task indices as text, such as `0-3,7`. */
+/** Formats and parses sets of task indices as text, such as `0-3,7`. */
 internal object TaskIndexRanges {
     fun format(set: BitSet): String = buildString {
         var start = set.nextSetBit(0)
@@ -15,7 +15,7 @@
         }
     }
 
-    /** The set that [text] describes. Throws [NumberFormatException] or [IndexOutOfBoundsException] where it is malformed. */
+    /** Parses [text]. Throws [NumberFormatException] or [IndexOutOfBoundsException] if the text is malformed. */
     fun parse(text: String): BitSet {
         val set = BitSet()
         if (text.isEmpty()) return set
--- a/src/main/kotlin/copperglade/storage/TaskRange.kt
+++ b/src/main/kotlin/copperglade/storage/TaskRange.kt
@@ -5,18 +5,18 @@
 import copperglade.protocol.TaskId
 
 /**
- * A range of a job's tasks, [Keys.TASKS_PER_RANGE] long, as the entries of packed records name it: `job-000412/0`.
+ * A range of [Keys.TASKS_PER_RANGE] tasks of a job. Its text form, such as `job-000412/0`, names the entries of packed records.
  *
- * @property index the range's number in the job, from 0.
+ * @property index the position of the range in the job, from 0.
  */
 data class TaskRange(val job: JobId, val index: Int) {
     override fun toString() = "$job/$index"
 
     companion object {
-        // A range is named like a task: job and index.
+        // A task range has the same text form as a task id: job and index.
         fun parse(text: String): TaskRange? = TaskId.parse(text)?.let { TaskRange(it.job, it.index) }
     }
 }
 
-/** The tasks of one job's range that are assigned to [shard]. */
+/** The part of a job's task range that is assigned to [shard]; [index] is the index of the range. */
 data class ShardTaskRange(val index: Int, val shard: ShardName)
--- a/src/main/kotlin/copperglade/storage/TokenBucket.kt
+++ b/src/main/kotlin/copperglade/storage/TokenBucket.kt
@@ -5,13 +5,13 @@
 import kotlin.math.max
 import kotlin.math.min
 
-/** A budget that refills at [perSecond] and holds at most what [burstSeconds] seconds refill. It starts full at [updatedAt]. */
+/** A token bucket that refills at [perSecond] and holds at most the tokens of [burstSeconds] seconds. It starts full at [updatedAt]. */
 class TokenBucket(perSecond: Double, private val burstSeconds: Double, private var updatedAt: MonotonicTime) {
     var perSecond = perSecond
         private set
     private var tokens = perSecond * burstSeconds
 
-    /** The most tokens that the bucket holds. */
+    /** The maximum number of tokens in the bucket. */
     val capacity: Double get() = perSecond * burstSeconds
 
     fun setRate(rate: Double, now: MonotonicTime) {
@@ -21,10 +21,11 @@
     }
 
     /**
-     * Takes [count] tokens if there are as many. A count above half of the capacity needs no more than a half-full bucket, and later
-     * takers pay for the rest: otherwise small takers, which keep the bucket from filling up, could block it for ever.
+     * Takes [count] tokens if enough are available; returns whether the tokens were taken. A count above half of the capacity requires only
+     * a half-full bucket, and the rest is deducted from later refills. Otherwise, frequent small requests could keep the bucket from
+     * filling up and block a large request forever.
      *
-     * @param reserve how full the bucket must be beforehand, from 0 to 1: what can wait leaves that to others.
+     * @param reserve the fill level, from 0 to 1, that the bucket must have beforehand. Deferrable requests leave this reserve to others.
      */
     fun tryTake(count: Int, now: MonotonicTime, reserve: Double = 0.0): Boolean {
         refill(now)
@@ -33,19 +34,19 @@
         return true
     }
 
-    /** Takes [count] tokens unconditionally; later takers pay for them. */
+    /** Takes [count] tokens unconditionally. A deficit is deducted from later refills. */
     fun take(count: Int, now: MonotonicTime) {
         refill(now)
         tokens -= count
     }
 
-    /** The number of whole tokens, at least 0. */
+    /** Returns the number of whole tokens, at least 0. */
     fun available(now: MonotonicTime): Int {
         refill(now)
         return tokens.toInt().coerceAtLeast(0)
     }
 
-    /** How full the bucket is, from 0 to 1. */
+    /** Returns the fill level of the bucket, from 0 to 1. */
     fun level(now: MonotonicTime): Double {
         refill(now)
         return (tokens / (perSecond * burstSeconds)).coerceIn(0.0, 1.0)
--- a/src/main/kotlin/copperglade/storage/Transaction.kt
+++ b/src/main/kotlin/copperglade/storage/Transaction.kt
@@ -3,10 +3,10 @@
 import copperglade.protocol.LeaseId
 import copperglade.protocol.Revision
 
-/** The revision that a key must have for a transaction to be applied. */
+/** A condition of a transaction: [key] must have exactly this [revision]. */
 data class Condition(val key: String, val revision: Revision)
 
-/** One change of a transaction. */
+/** One write of a transaction. */
 sealed interface Write {
     val key: String
 
@@ -16,23 +16,23 @@
     class Delete(override val key: String) : Write
 }
 
-/** Writes that are applied all together if all [conditions] hold, and otherwise not at all. */
+/** Writes that are applied atomically if all [conditions] are met, and otherwise not at all. */
 class Transaction(val conditions: List<Condition>, val writes: List<Write>)
 
-/** How a transaction ended. */
+/** The outcome of a transaction. */
 sealed interface TransactionOutcome {
-    /** Every write of the transaction carries [revision]. */
+    /** Applied: every key written by the transaction has the revision [revision]. */
     class Applied(val revision: Revision) : TransactionOutcome
 
-    /** Not applied: the keys in [failed] have other revisions than the conditions say. */
+    /** Not applied: the revisions of the keys in [failed] don't match the conditions. */
     class Conflict(val failed: List<String>) : TransactionOutcome
 
-    /** Not applied: a write names a lease that has ended. */
+    /** Not applied: a write refers to a lease that has ended. */
     data object NoSuchLease : TransactionOutcome
 
-    /** Not applied, for want of budget or because it exceeds the service's limits. */
+    /** Not applied: the budget is exhausted, or the transaction exceeds the service's limits. */
     data object Refused : TransactionOutcome
 
-    /** It may have been applied, or may be applied later. */
+    /** The outcome is unknown: the transaction may have been applied, or may be applied later. */
     data object Unknown : TransactionOutcome
 }
--- a/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
+++ b/src/main/kotlin/copperglade/storage/UnresolvedWrites.kt
@@ -5,10 +5,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Resolves writes of packed records whose outcome is unknown. Such a write may be applied at any later time while its packed record has
+ * Resolves writes of packed records whose outcome is unknown. Such a write may be applied at any later time while the packed record has
  * the same revision, even after newer writes of the same task range to other packed records. Readers would then find the range twice and
- * might take the older entry. No read shows whether a write is still on its way, so its packed record stays in flight until its revision
- * has changed, by that write or by a rewrite with unchanged content.
+ * could use the older entry.
+ *
+ * No read shows whether a write is still in flight. The packed record is therefore marked as in flight until the record's revision has
+ * changed, either by that write or by a rewrite with unchanged content.
  *
  * @param ownerCondition the condition under which this controller may write the packed records.
  */
@@ -19,7 +21,7 @@
     private val priority: WritePriority,
     private val ownerCondition: () -> Condition,
 ) {
-    /** Calls [resolved] once no copy of [packedWrite] can be applied any more; never where [isOwner] turns false before. */
+    /** Calls [resolved] once no copy of [packedWrite] can be applied any more, unless [isOwner] returns false before that. */
     fun resolve(packedWrite: PackedWrite, isOwner: () -> Boolean, resolved: () -> Unit) {
         val attempt = Attempt(packedWrite, isOwner, resolved)
         attempt.start()
--- a/src/main/kotlin/copperglade/storage/WriteQueue.kt
+++ b/src/main/kotlin/copperglade/storage/WriteQueue.kt
@@ -4,9 +4,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Transactions that wait for write budget, in order of priority, and the budget itself.
+ * The write budget, and the transactions waiting for it in order of priority.
  *
- * @param send sends a transaction; it must call back exactly once, also where no answer comes.
+ * @param send sends a transaction; must call back exactly once, even if no answer arrives.
  */
 internal class WriteQueue(
     private val loop: EventLoop,
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Takes the budget for [next], or returns false where it has to wait. Lease writes never wait: later ones pay for them. */
+    /** Takes the budget for [next]; returns false if [next] must wait. Lease writes never wait; later refills cover a deficit. */
     private fun takeBudget(priority: WritePriority, next: Queued): Boolean {
         if (priority != WritePriority.LEASE) {
             return inFlight < MAX_IN_FLIGHT && budget.tryTake(next.writes, loop.now(), reserveFor(priority, next))
@@ -82,8 +82,8 @@
     }
 
     /**
-     * How full the budget must be for [next]. What doesn't come from a user leaves one write to the next user, which is more than the
-     * priority's own reserve where this controller's share of the budget is small.
+     * Returns the fill level that the budget must have before [next] is sent. Outcomes and clean-up leave enough budget for one write by a
+     * user, which exceeds the priority's own reserve if this controller's share of the budget is small.
      */
     private fun reserveFor(priority: WritePriority, next: Queued): Double {
         if (priority <= WritePriority.ASSIGNMENT) return priority.reserve
@@ -113,7 +113,7 @@
         const val DEMAND_WINDOW_SECONDS = 2.0
         const val URGENT_SHARE = 0.2
 
-        /** Below 1, so that a transaction of low priority is sent however small the budget is. */
+        /** Below 1, so that low-priority transactions are sent even if the budget is very small. */
         const val MAX_RESERVE = 0.8
         const val MAX_QUEUED = 400
         const val MAX_IN_FLIGHT = 12
