--- a/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
+++ b/src/main/kotlin/copperglade/storage/PackedRecordTable.kt
@@ -28,10 +28,10 @@
     }
 
     private fun putEntry(key: String, range: TaskRange, entry: EncodedEntry, entries: PackedEntries, changes: ReplicaChanges) {
-        val known = jobs.find(range.job)?.let { entries.find(it, range.index) }
+        val current = jobs.find(range.job)?.let { entries.find(it, range.index) }
         Decoding.orNull("record") {
             // An entry whose version is not higher has not changed, or has moved to another packed record with a newer version.
-            val isNewer = known == null || known.value.version < entry.version
+            val isNewer = current == null || current.value.version < entry.version
             if (isNewer) entries.set(jobs.getOrCreate(range.job, changes), range.index, entry, key)
         }
     }
--- a/src/main/kotlin/copperglade/storage/RecordPacker.kt
+++ b/src/main/kotlin/copperglade/storage/RecordPacker.kt
@@ -122,10 +122,10 @@
 
     private fun draftWithCapacity(range: TaskRange, entry: ByteArray, drafts: MutableMap<String, Draft>): Draft {
         drafts.values.firstOrNull { hasCapacity(it.bytes, range, entry) }?.let { return it }
-        val known = replica.packedRecords.keys.firstOrNull {
+        val existingKey = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in recordsInFlight && it !in drafts && hasCapacity(bytesOf(it), range, entry)
         }
-        val key = known ?: unusedKey(drafts.keys)
+        val key = existingKey ?: unusedKey(drafts.keys)
         return Draft(key).also { drafts[key] = it }
     }
 
