--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -34,9 +34,9 @@
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
 import copperglade.scheduling.CapacityTable
-import copperglade.scheduling.FairShare
 import copperglade.scheduling.Scheduler
 import copperglade.scheduling.SchedulingPolicy
+import copperglade.scheduling.StarvationPrevention
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
@@ -47,32 +47,32 @@
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.FailingJobs
 import copperglade.tasks.FailureEvidence
 import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.ShardConnections
+import copperglade.tasks.SharedClusterData
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 import copperglade.transport.RequestHandler
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * One controller: wires everything that decides, over a clock and ways to send that are handed in, and starts it. It decides nothing
- * itself.
+ * One controller: creates, connects and starts its components, with the event loop and the HTTP client that the caller provides. This
+ * class makes no decisions itself.
  */
 class Controller(
     loop: EventLoop,
-    caller: HttpClient,
+    httpClient: HttpClient,
     settings: PlatformSettings,
     operatorSettings: OperatorSettings,
-    /** The bytes that the heap may take: bounds on what is only remembered follow from it. */
+    /** The maximum heap size in bytes, from which the limits of in-memory caches are derived. */
     heapBytes: Long,
-    /** Told of each action that the last check before it has refused: see [InvariantViolations]. */
+    /** Called with each action that was refused by the last check before its execution: see [InvariantViolations]. */
     onViolation: (InvariantViolation) -> Unit = {},
 ) {
     private val metrics = EventLoopMetrics(loop)
-    private val http = metrics.measured(caller)
+    private val http = metrics.measured(httpClient)
     private val store = StateClient(
         loop,
         http,
@@ -98,13 +98,13 @@
             maxSnapshotAge = stalenessLimit,
             EndRecordCache.maxEndRecordsFor(heapBytes),
         ) { spec ->
-            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
+            profiles.expectedRunSeconds(spec.id, spec.workloadClass, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
-        sessionLease = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
-        staleness = stalenessLimit,
-        startStaleness = idleRefreshInterval * 2,
+        sessionLeaseLength = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
+        actionStalenessLimit = stalenessLimit,
+        startStalenessLimit = idleRefreshInterval * 2,
     )
     private val membership = Membership(loop, store, replica, leaseEndorsement, settings.member, authorityLimits)
     private val violations = InvariantViolations(onViolation)
@@ -121,30 +121,30 @@
         TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
     private val peerStatuses = PeerStatusTable(loop, settings.member, settings.peers)
     private val failureEvidence = FailureEvidence(operatorSettings.failingJobMachineThreshold)
-    private val shardOwners = ShardOwnerFactory(
+    private val shardOwnerFactory = ShardOwnerFactory(
         ShardConnections(loop, http, store),
         replica,
         ActionControl(membership, guard, audit),
-        ClusterKnowledge(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
+        SharedClusterData(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
         formerIncarnations,
         HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.leaseSeconds),
         metrics,
         operatorSettings.stragglerFactor,
     )
     private val ownedShards = OwnedShards()
-    private val shardRecords = ShardRecordWriter(loop, store, replica, membership)
+    private val shardRecordWriter = ShardRecordWriter(loop, store, replica, membership)
     private val shardOwnership =
-        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwners, shardRecords, failureEvidence)
-    private val shardTicker = ShardTicker(loop, ownedShards, shardRecords, metrics)
+        ShardOwnership(loop, replica, membership, shardMap, ownedShards, shardOwnerFactory, shardRecordWriter, failureEvidence)
+    private val shardTicker = ShardTicker(loop, ownedShards, shardRecordWriter, metrics)
     private val unreachableWorkerWatch = UnreachableWorkerWatch(loop, store, ownedShards, shardOwnership)
-    private val imageRecords = ImageRecordWriter(loop, store, replica, membership, ownedShards)
+    private val imageRecordWriter = ImageRecordWriter(loop, store, replica, membership, ownedShards)
     private val heartbeatRouter = HeartbeatRouter(ownedShards, shardMap, replica, membership, peerStatuses::peersReachStateService)
     private val machineRetirement = MachineRetirement(ownedShards, membership, http, settings.cloud, cloudBudget, loop)
     private val capacityTable = CapacityTable(replica, shardMap, peerStatuses::capacityStatusOf)
     private val schedulingPolicy = SchedulingPolicy(
         settings.teams,
         settings.objectives,
-        FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
+        StarvationPrevention(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
@@ -175,16 +175,16 @@
     private val submissionLatency = RequestLatency(loop, "submissions")
     private val pollLatency = RequestLatency(loop, "polls")
 
-    /** Serves users, workers and health checks. */
+    /** Handles requests of users, workers and health checks. */
     val clientHandler: RequestHandler =
         metrics.measured(ClientRouter(replica, jobService, heartbeatRouter, healthCheck, submissionLatency, pollLatency))
 
-    /** Serves the other controllers. */
+    /** Handles requests of the other controllers. */
     val clusterHandler: RequestHandler = metrics.measured(PeerRouter(leaseEndorsement, cancellationBroadcast, peerStatusExchange))
 
-    /** Starts all parts; call it once, on the event loop. The order of listeners and timers decides the order of events. */
+    /** Starts all components. Call it once, on the event loop. The order of listeners and timers determines the order of events. */
     fun start() {
-        listenToRecords()
+        registerListeners()
         types.start()
         replica.start()
         membership.start()
@@ -192,7 +192,7 @@
         leadership.start()
         shardTicker.start()
         unreachableWorkerWatch.start()
-        imageRecords.start()
+        imageRecordWriter.start()
         peerStatusExchange.start()
         autoscaler.start()
         submissionLatency.start()
@@ -202,7 +202,7 @@
         leaderLoop.start()
     }
 
-    private fun listenToRecords() {
+    private fun registerListeners() {
         replica.addListener(formerIncarnations)
         replica.addListener(shardOwnership)
         replica.addListener(jobFinalizer)
--- a/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
+++ b/src/main/kotlin/copperglade/controller/PeerStatusComposer.kt
@@ -12,7 +12,7 @@
 import copperglade.storage.StateClient
 import copperglade.transport.EventLoop
 
-/** Composes what this controller tells its peers; as the leader, with its requests to the shard owners. */
+/** Composes the status that this controller sends to its peers. The leader's status includes its requests to the shard owners. */
 internal class PeerStatusComposer(
     private val loop: EventLoop,
     private val store: StateClient,
@@ -34,7 +34,7 @@
             member = membership.self,
             incarnation = incarnation,
             knownRevision = replica.knownRevision,
-            stateSilentMillis = loop.now().ms - store.lastAnswerAt.ms,
+            stateServiceAnswerAgeMillis = loop.now().millis - store.lastAnswerAt.millis,
             isLeader = leading,
             shards = ownedShards.capacities(),
             shardsToRelease = if (leading) shardAssigner.shardsToRelease else emptyList(),
--- a/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
+++ b/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
@@ -11,24 +11,24 @@
 import copperglade.transport.EventLoop
 import copperglade.transport.Reply
 
-/** Decides whether a well-formed job could ever run here, and be stored. */
+/** Decides whether a well-formed job could ever run on this cluster, and whether its record fits into the state service. */
 internal class AdmissionCheck(
     private val loop: EventLoop,
     private val types: MachineTypeCatalog,
     private val teams: Map<TeamName, Team>,
     private val limits: StateLimits,
 ) {
-    /** The refusal of a job that could never run or be stored; null where it may be accepted. */
+    /** Returns the error reply for a job that could never run or be stored; null if the job may be accepted. */
     fun refusalOf(spec: JobSpec): Reply? {
-        val problem = unsatisfiableBecause(spec)
+        val problem = unsatisfiableReason(spec)
         return when {
             problem != null -> JobReplies.unprocessable(problem)
-            !limits.hold(LiveRecord(spec, loop.wallMillis(), cancelled = false)) -> JobReplies.tooLarge("body")
+            !limits.canStore(LiveRecord(spec, loop.wallMillis(), cancelled = false)) -> JobReplies.tooLarge("body")
             else -> null
         }
     }
 
-    private fun unsatisfiableBecause(spec: JobSpec): String? {
+    private fun unsatisfiableReason(spec: JobSpec): String? {
         val team = teams[spec.team] ?: return "crew: unknown team"
         val fitsSomeMachine = types.all.any { type ->
             spec.request.fitsIn(type.capacity) && type.zones.any { spec.allows(type.name, it, spot = false) }
@@ -39,5 +39,5 @@
     }
 }
 
-/** Whether the state service takes [record], also once that carries the cancelled mark. */
-internal fun StateLimits.hold(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
+/** Whether [record] fits into a stored value, also with the cancelled mark. */
+internal fun StateLimits.canStore(record: LiveRecord): Boolean = RecordCodec.encode(record.withCancelledMark()).size <= valueBytes
--- a/src/main/kotlin/copperglade/placement/ShardScheduling.kt
+++ b/src/main/kotlin/copperglade/placement/ShardScheduling.kt
@@ -2,23 +2,24 @@
 
 import copperglade.agents.ShardAgents
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.HeartbeatTimeouts
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
+import copperglade.tasks.SharedClusterData
 import copperglade.transport.Clock
 
 /**
- * The parts of a shard's owner that decide what runs where, and describe the shard's machines to others. Only wires them.
+ * Creates and connects the components of a shard's owner that select machines for tasks and report the shard's machines to other
+ * controllers.
  *
- * @param stragglerFactor a straggler has run for this multiple of its job's average run time.
+ * @param stragglerFactor a task that has run for more than this multiple of its job's average run time is a straggler.
  */
 class ShardScheduling(
     state: ShardState,
     agents: ShardAgents,
-    outcomes: OutcomeLog,
+    outcomes: OutcomeWriter,
     control: ActionControl,
-    knowledge: ClusterKnowledge,
+    clusterData: SharedClusterData,
     timeouts: HeartbeatTimeouts,
     stragglerFactor: Double,
     clock: Clock,
@@ -28,18 +29,18 @@
         control.membership,
         control.guard,
         control.audit,
-        knowledge.failingJobs,
+        clusterData.failingJobs,
         agents.backoff,
         clock,
     )
 
     /** Starts waiting runs. */
     val placement =
-        ShardPlacement(state, agents.health, agents.lifecycle, agents.stopper, agents.commands, eligibility, knowledge.types)
+        ShardPlacement(state, agents.health, agents.lifecycle, agents.stopper, agents.commands, eligibility, clusterData.types)
     private val stragglerDetector = StragglerDetector(
-        knowledge.profiles,
-        knowledge.types,
-        knowledge.failureEvidence,
+        clusterData.profiles,
+        clusterData.types,
+        clusterData.failureEvidence,
         timeouts,
         stragglerFactor,
         state::requestOf,
@@ -48,6 +49,6 @@
     /** Restarts stragglers. */
     val stragglers = StragglerRestarts(state, stragglerDetector, outcomes, agents.stopper, clock)
 
-    /** Describes the machines to the leader and to later owners. */
-    val summary = ShardSummary(state, agents.health, knowledge.types, knowledge.failingJobs, clock)
+    /** Reports the shard's machines to the leader and to later owners. */
+    val summary = ShardSummary(state, agents.health, clusterData.types, clusterData.failingJobs, clock)
 }
--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -107,7 +107,7 @@
         consecutiveFailures = if (outcome is ChangesOutcome.Received) 0 else consecutiveFailures + 1
         logRead(outcome, sentAt)
         if (outcome is ChangesOutcome.Received) target.apply(outcome)
-        applyDuration = (loop.now().ms - receivedAt.ms).milliseconds
+        applyDuration = (loop.now().millis - receivedAt.millis).milliseconds
         // Changes received during a load aren't applied, so this read must not advance the snapshot's time.
         if (outcome is ChangesOutcome.Received && sentAt > snapshotTakenAt && target.state == ReplicaState.CURRENT) snapshotTakenAt = sentAt
     }
@@ -125,8 +125,8 @@
             target.knownRevision,
             received?.storeRevision,
             received?.changes?.size,
-            loop.now().ms - sentAt.ms,
-            loop.now().ms - snapshotTakenAt.ms,
+            loop.now().millis - sentAt.millis,
+            loop.now().millis - snapshotTakenAt.millis,
             target.state,
         )
     }
@@ -149,7 +149,7 @@
     fun readIfRequested() {
         if (readInFlight || !watchOpen || waiters.isEmpty() || target.state != ReplicaState.CURRENT) return
         readInFlight = true
-        val remainingMillis = pause().inWholeMilliseconds - (loop.now().ms - lastRequestAt.ms)
+        val remainingMillis = pause().inWholeMilliseconds - (loop.now().millis - lastRequestAt.millis)
         if (remainingMillis > 0) loop.after(remainingMillis.milliseconds) { readNow() } else readNow()
     }
 
--- a/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
+++ b/src/test/kotlin/copperglade/protocol/JobSpecCodecTest.kt
@@ -12,18 +12,18 @@
         "borrowed":true,"etaS":5.0,"waypointS":0.0,"unloadS":0.0,"dueS":20.0,"new":"field"}"""
 
     @Test
-    fun `a job survives its own wire form`() {
+    fun `an encoded job decodes to the same job`() {
         val spec = (JobSpecCodec.parse(Json.read(job.toByteArray())) as ParsedSubmission.Valid).spec
-        val again = (
+        val decoded = (
             JobSpecCodec.parse(
                 Json.read(Json.write { JobSpecCodec.write(this, spec) }),
             ) as ParsedSubmission.Valid
         ).spec
-        assertEquals(spec.id, again.id)
-        assertEquals(spec.request, again.request)
-        assertEquals(listOf("a"), again.types)
-        assertEquals(2, again.perZoneLimit)
-        assertNull(again.zone)
+        assertEquals(spec.id, decoded.id)
+        assertEquals(spec.request, decoded.request)
+        assertEquals(listOf("a"), decoded.types)
+        assertEquals(2, decoded.perZoneLimit)
+        assertNull(decoded.zone)
     }
 
     @ParameterizedTest
@@ -41,7 +41,7 @@
         "'\"oneZone\":false,', '', oneZone",
         "'\"dueS\":20.0', '\"dueS\":\"late\"', dueS",
     )
-    fun `bad fields are named`(part: String, by: String, field: String) {
+    fun `an invalid submission is rejected with the name of the invalid field`(part: String, by: String, field: String) {
         val parsed = JobSpecCodec.parse(Json.read(job.replace(part, by).toByteArray()))
         assertEquals(field, (parsed as ParsedSubmission.Invalid).error.field)
     }
