--- a/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
+++ b/src/test/kotlin/copperglade/safety/ActionGuardTest.kt
@@ -36,7 +36,7 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** Actions whose paths forgot to ask: each is caught by the last check, refused and reported. */
+/** Actions from code paths without the earlier check: the final check refuses each of them and records a violation. */
 class ActionGuardTest {
     private class FakeAuthority(override var mayAct: Boolean = true, override var mayStartTasks: Boolean = true) : ActionAuthority
 
@@ -97,7 +97,7 @@
     private fun assertReported(vararg invariants: Invariant) = assertEquals(invariants.toList(), reported.map { it.invariant })
 
     @Test
-    fun `why a task may not be started`() {
+    fun `the reason for refusing a start depends on the job's records and the authority to act`() {
         val refusals = listOf(startable, cancelled, blocked, ended, cancelledAndEnded, unknown).map { guard.refusalToStart(TaskId(it, 0)) }
         val expected =
             listOf(null, Refusal.JOB_CANCELLED, Refusal.JOB_BLOCKED, Refusal.JOB_ENDED, Refusal.JOB_ENDED, Refusal.UNKNOWN_JOB)
@@ -109,14 +109,14 @@
     }
 
     @Test
-    fun `a start that no path asked about is not sent`() {
+    fun `a start command without the earlier check is not sent`() {
         val sent = guard.approveCommands(machine, listOf(start(cancelled), start(startable), start(blocked)))
         assertEquals(listOf<Command>(start(startable)), sent)
         assertReported(Invariant.START_PERMITTED, Invariant.START_PERMITTED)
     }
 
     @Test
-    fun `an answer that lacks required stops gets them`() {
+    fun `missing required stops are added to an answer`() {
         val heartbeat = heartbeat(listOf(startable, cancelled, ended, cancelledAndEnded, unknown))
         val stops = guard.approveAnswer(heartbeat, emptyList()).map { it.task.job }
         assertEquals(listOf(cancelled, ended, cancelledAndEnded), stops)
@@ -126,7 +126,7 @@
     }
 
     @Test
-    fun `nothing is sent without the authority to act`() {
+    fun `no message is sent without the authority to act`() {
         assertTrue(guard.approveSending("a command"))
         authority.mayAct = false
         assertFalse(guard.approveSending("a command"))
@@ -134,7 +134,7 @@
     }
 
     @Test
-    fun `a job that runs or may be on a machine is not ended`() {
+    fun `a job that is not done, or may still be on a machine, is not ended`() {
         val jobs = listOf(startable, cancelled).map { replica.jobs.getValue(it) }
         assertEquals(
             1,
@@ -148,7 +148,7 @@
     }
 
     @Test
-    fun `a job that has ended counts as cancelled as it did before`() {
+    fun `a job keeps its cancelled status after its end`() {
         assertTrue(guard.isCancelled(cancelled))
         assertTrue(guard.isCancelled(cancelledAndEnded))
         assertFalse(guard.isCancelled(ended))
--- a/src/test/kotlin/copperglade/shards/ShardMapTest.kt
+++ b/src/test/kotlin/copperglade/shards/ShardMapTest.kt
@@ -10,7 +10,7 @@
     private val map = ShardMap(listOf("north", "south"), 3)
 
     @Test
-    fun `every machine has one shard, of its own zone, and machines spread evenly`() {
+    fun `every machine belongs to one shard of its own zone, and machines are spread evenly`() {
         val shards = (0 until 30).map { map.of(MachineName("i-%06d".format(it)), "south") }
         assertTrue(shards.all { it in map.all && map.zoneOf(it) == "south" })
         assertEquals(
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource
 import java.util.Random
 
-/** The dependency graph against [PipelineModel], and what the model doesn't cover: marks known early, lost end records. */
+/** Compares the dependency graph with [PipelineModel], and tests cases outside the model: marks received early, evicted end records. */
 class DependencyGraphTest {
-    /** Jobs as a replica would hold them, and the records they are made from. */
+    /** The jobs and end records that a replica would hold, with the graph under test. */
     private class Records(private val runSeconds: Double = 0.0) {
         val jobs = HashMap<JobId, Job>()
         val ends = HashMap<JobId, EndRecord>()
@@ -42,20 +42,20 @@
             graph.update(listOf(id))
         }
 
-        /** Everything written so far becomes known; the watch delivers the mark of [id] again. */
+        /** Advances the known revision past all writes, and applies the cancelled mark of [id] again, as the watch does. */
         fun catchUp(id: JobId) {
             next()
             graph.update(listOf(id))
         }
 
-        /** Replaces the job's live record by its end record, as the leader's transaction does. */
+        /** Replaces the job's live record with its end record, as the leader's transaction does. */
         fun end(id: JobId) {
             val job = jobs.remove(id) ?: return
             ends[id] = EndRecord(if (job.complete) JobStatus.DONE else JobStatus.CANCELLED, job.done.cardinality())
             graph.update(listOf(id))
         }
 
-        /** Loads all live records again, into new objects. */
+        /** Reloads all live records into new [Job] objects. */
         fun reload() {
             val before = HashMap(jobs)
             jobs.clear()
@@ -111,7 +111,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20])
-    fun `states, priorities and deadlines are those of the plain model, whenever jobs end or records are read anew`(seed: Long) {
+    fun `states, priorities and deadlines match the model after random job ends and reloads`(seed: Long) {
         val random = Random(seed * 31)
         val records = Records()
         var ended = 0
@@ -131,11 +131,11 @@
             if (random.nextInt(15) == 0) records.reload()
             compare(records, model)
         }
-        assertTrue(ended > 8, "few jobs ended: $ended")
+        assertTrue(ended > 8, "expected more than 8 ended jobs, but only $ended ended")
     }
 
     @Test
-    fun `a mark learned ahead of the watch aborts nothing, for the last task may have been recorded before it`() {
+    fun `a cancelled mark received ahead of the watch aborts no dependents, because the job may still become done`() {
         val records = Records()
         records.accept(job(1))
         records.accept(job(2, 1))
@@ -149,7 +149,7 @@
     }
 
     @Test
-    fun `a mark that the watch has brought aborts what depends on it`() {
+    fun `a cancelled mark confirmed by the watch aborts all dependents`() {
         val records = Records()
         records.accept(job(1))
         records.accept(job(2, 1))
@@ -160,7 +160,7 @@
     }
 
     @Test
-    fun `a job stays blocked until a dependency that ended before this process began is looked up`() {
+    fun `a job stays blocked until the end record of a dependency that ended before the process start is read`() {
         val records = Records()
         records.accept(job(2, 1))
         records.accept(job(3, 2))
@@ -174,7 +174,7 @@
     }
 
     @Test
-    fun `an end once known outlives its record and a new reading`() {
+    fun `a final outcome is kept after its end record is evicted and all records are reloaded`() {
         val records = Records()
         records.accept(job(1))
         records.accept(job(2, 1, 9))
@@ -186,7 +186,7 @@
     }
 
     @Test
-    fun `what lies between a job and a deadline makes it due earlier`() {
+    fun `predicted run times of the jobs between a job and an inherited deadline make the job due earlier`() {
         val records = Records(runSeconds = 10.0)
         records.accept(job(1, dueAtSeconds = 500.0))
         records.accept(job(2, 1))
@@ -208,7 +208,7 @@
     }
 
     @Test
-    fun `an update touches only the jobs that changed and their neighbours`() {
+    fun `an update returns only the dependents of the changed jobs`() {
         val records = Records()
         repeat(200) { records.accept(job(1000 + it)) }
         records.accept(job(1))
--- a/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
+++ b/src/test/kotlin/copperglade/storage/FormerRecordPacker.kt
@@ -2,19 +2,19 @@
 
 import copperglade.protocol.Revision
 
-/** One transaction of the former version: the packed records that it writes, and the task ranges whose entries it changes. */
+/** One transaction of [FormerRecordPacker]: conditions and writes of packed records, and the task ranges whose entries change. */
 class FormerPackedWrite(val conditions: List<Condition>, val writes: List<Write>, val ranges: Set<TaskRange>)
 
 /**
- * The packer of the version before announced limits, unchanged but for names: it moves an entry by rewriting both packed records. It
- * shows that both versions can write the same packed records in turn.
+ * The packer of the last version without announced limits, unchanged except for names. This packer moves an entry by rewriting both packed
+ * records. Tests use it to check that both versions can alternately write the same packed records.
  *
- * Packs changed entries into as few values as the service's limit allows. An entry stays in its packed record unless that has become too
- * full; then it moves, and both packed records change in one transaction. Entries of jobs that have ended go with the next rewrite.
+ * Packs changed entries into as few values as the service's limit allows. An entry stays in its packed record unless the record is full.
+ * Otherwise the entry moves, and both packed records change in one transaction. Entries of ended jobs are dropped by the next rewrite.
  *
- * @param prefix the prefix of the packed records' keys; all of them have the same single writer.
- * @param entryOf an entry of a job as the replica has it, by index of the task range.
- * @param encode the same entry encoded.
+ * @param prefix the key prefix of the packed records, all of which have the same single writer.
+ * @param entryOf returns an entry of a job in the replica, by index of the task range.
+ * @param encode returns the same entry encoded.
  */
 class FormerRecordPacker(
     private val replica: Replica,
@@ -26,7 +26,7 @@
     private val fullBytes = minOf(limits.valueBytes * FULL_FRACTION, MAX_RECORD_BYTES).toInt()
     private val recordsInFlight = HashSet<String>()
 
-    /** Task ranges with a write in flight. An entry that is in no packed record yet must not go into a second one meanwhile. */
+    /** Task ranges with a write in flight. A new entry must not be written to a second packed record during that time. */
     private val rangesInFlight = HashSet<TaskRange>()
 
     private inner class Draft(val key: String) {
@@ -56,11 +56,11 @@
         fun write() = Write.Set(key, RecordCodec.encodePackedRecord(entries))
     }
 
-    /** Whether no write is in flight that a write of this entry would have to wait for. */
+    /** Whether a write of this entry can be packed now, because no write in flight blocks it. */
     fun isReady(job: Job, rangeIndex: Int): Boolean =
         TaskRange(job.id, rangeIndex) !in rangesInFlight && entryOf(job, rangeIndex)?.recordKey !in recordsInFlight
 
-    /** The writes that bring about [changes], in their order; those of packed records in flight are left out. */
+    /** Returns the writes that apply [changes], in the order of the changes. Entries blocked by a write in flight are left out. */
     fun pack(changes: Map<TaskRange, ByteArray>): List<FormerPackedWrite> {
         val drafts = LinkedHashMap<String, Draft>()
         val moved = HashMap<String, MutableList<Draft>>()
@@ -75,7 +75,7 @@
             draft.put(range, entry)
             draft.changed += range
             if (draft.bytes <= fullBytes || draft.entries.size == 1) continue
-            // The entry has outgrown its packed record and gets a new one.
+            // The entry no longer fits into its packed record and moves to a new one.
             draft.remove(range)
             val alone = emptyDraft(drafts.keys + moved.values.flatten().map { it.key })
             alone.put(range, entry)
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Rewrites the first of [write]'s packed records unchanged, only to change its revision, so that no late copy of [write] can be applied.
+     * Returns a write of [write]'s first packed record with unchanged content. The rewrite only changes the record's revision, so that a
+     * delayed copy of [write] can't be applied.
      */
     fun rewriteUnchanged(write: FormerPackedWrite): FormerPackedWrite {
         val draft = Draft(write.writes.first().key)
@@ -99,10 +100,10 @@
         bytes + sizeOf(range, entry.size) <= fullBytes * NEW_ENTRY_FRACTION
 
     private fun recordWithCapacity(range: TaskRange, entry: ByteArray, drafted: Map<String, Draft>): Draft {
-        val known = replica.packedRecords.keys.firstOrNull {
+        val existingKey = replica.packedRecords.keys.firstOrNull {
             it.startsWith(prefix) && it !in recordsInFlight && it !in drafted && hasCapacity(bytesOf(it), range, entry)
         }
-        return if (known != null) Draft(known) else emptyDraft(drafted.keys)
+        return if (existingKey != null) Draft(existingKey) else emptyDraft(drafted.keys)
     }
 
     private fun emptyDraft(drafted: Collection<String>): Draft {
@@ -111,7 +112,7 @@
         return Draft("$prefix$number")
     }
 
-    /** The size of a packed record's current entries. */
+    /** Returns the size in bytes of a packed record's current entries. */
     private fun bytesOf(key: String): Int {
         var sum = OVERHEAD_BYTES
         for (range in replica.packedRecords[key]?.ranges.orEmpty()) {
--- a/src/test/kotlin/copperglade/storage/PipelineModel.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModel.kt
@@ -4,17 +4,18 @@
 import copperglade.protocol.Priority
 import java.util.Random
 
-/** A job of a pipeline; its dependencies were submitted before it. */
+/** A job of a pipeline. Its dependencies must be submitted before the job. */
 class PipelineJob(
     val id: JobId,
     val dependencies: Set<JobId>,
     val priority: Priority = Priority.NORMAL,
-    /** When it is due, in seconds of the model's clock; null where it has no deadline. */
+    /** The deadline in seconds of the model's clock, or null if the job has none. */
     val dueAtSeconds: Double? = null,
 )
 
 /**
- * The meaning of pipelines, simple and slow: every answer is computed from edges and marks. [DependencyGraph] is compared with it.
+ * A simple, slow reference model of pipelines. Every result is recomputed from dependencies and marks. Tests compare [DependencyGraph] with
+ * this model.
  */
 class PipelineModel {
     private val jobs = LinkedHashMap<JobId, PipelineJob>()
@@ -24,53 +25,53 @@
     val ids: Set<JobId> get() = jobs.keys
 
     fun add(job: PipelineJob) {
-        require(job.id !in jobs && jobs.keys.containsAll(job.dependencies)) { "${job.id} is known, or depends on an unknown job" }
+        require(job.id !in jobs && jobs.keys.containsAll(job.dependencies)) { "${job.id} is a duplicate, or depends on an unknown job" }
         jobs[job.id] = job
     }
 
-    /** All tasks of a job are done; what is blocked or aborted can't become done. */
+    /** Marks all tasks of a job as done. Throws if the job is blocked or aborted. */
     fun markDone(id: JobId) {
-        require(!isBlocked(id) && !isAborted(id)) { "$id can't be done" }
+        require(!isBlocked(id) && !isAborted(id)) { "$id is blocked or aborted, so it can't be marked as done" }
         done += id
     }
 
-    /** A user cancels a job; what is done stays done. */
+    /** Cancels a job. A job that is done stays done. */
     fun markCancelled(id: JobId) {
         if (!isDone(id)) cancelled += id
     }
 
     fun dependencies(id: JobId): Set<JobId> = jobs.getValue(id).dependencies
 
-    /** All jobs that it depends on, directly or through others. */
+    /** Returns all jobs that [id] depends on, directly or through others. */
     fun predecessors(id: JobId): Set<JobId> = dependencies(id) + dependencies(id).flatMap { predecessors(it) }
 
-    /** All jobs that depend on it, directly or through others. */
+    /** Returns all jobs that depend on [id], directly or through others. */
     fun successors(id: JobId): Set<JobId> = jobs.keys.filter { id in predecessors(it) }.toSet()
 
     fun isDone(id: JobId): Boolean = id in done
 
-    /** Cancelled itself, or through a dependency. */
+    /** Whether the job is not done, and the job or a direct or indirect dependency was cancelled. */
     fun isAborted(id: JobId): Boolean = !isDone(id) && (id in cancelled || dependencies(id).any(::isAborted))
 
-    /** A dependency is neither done nor aborted: the job may neither start nor end. */
+    /** Whether the job is not aborted and a dependency is not done, so that the job may neither start nor end. */
     fun isBlocked(id: JobId): Boolean = !isAborted(id) && dependencies(id).any { !isDone(it) }
 
-    /** All dependencies are done, and the job is neither done nor aborted: it may start. */
+    /** Whether all dependencies are done and the job is neither done nor aborted, so that the job may start. */
     fun isReleased(id: JobId): Boolean = !isDone(id) && !isAborted(id) && dependencies(id).all(::isDone)
 
     private fun pendingWithSuccessors(id: JobId): List<PipelineJob> =
         (setOf(id) + successors(id)).filter { !isDone(it) && !isAborted(it) }.map(jobs::getValue)
 
-    /** The highest priority of a pending job and the pending ones that depend on it; null for one that has ended. */
+    /** Returns the highest priority of a pending job and its pending dependents, or null for a job that has ended. */
     fun effectivePriority(id: JobId): Priority? =
         if (isDone(id) || isAborted(id)) null else pendingWithSuccessors(id).minOf { it.priority }
 
-    /** The earliest deadline of a pending job and the pending ones that depend on it; null where there is none. */
+    /** Returns the earliest deadline of a pending job and its pending dependents, or null if there is none. */
     fun tightestDueSeconds(id: JobId): Double? =
         if (isDone(id) || isAborted(id)) null else pendingWithSuccessors(id).mapNotNull { it.dueAtSeconds }.minOrNull()
 }
 
-/** Random pipelines and their histories, by seed. */
+/** Generates random pipelines and their histories from a seeded [random]. */
 class RandomPipelines(private val random: Random) {
     /** A step of a pipeline's history. */
     sealed interface Step {
@@ -81,11 +82,11 @@
         class Cancel(val id: JobId) : Step
     }
 
-    /** Acyclic: each job depends on up to [maxDependencies] earlier ones, mostly recent ones, so that there are long chains. */
+    /** Returns an acyclic graph. Each job depends on up to [maxDependencies] earlier jobs, mostly recent ones, which forms long chains. */
     fun graph(jobs: Int, maxDependencies: Int = 3): List<PipelineJob> {
-        val made = ArrayList<PipelineJob>()
-        repeat(jobs) { number -> made += job(number, made.map { it.id }, maxDependencies) }
-        return made
+        val graph = ArrayList<PipelineJob>()
+        repeat(jobs) { number -> graph += job(number, graph.map { it.id }, maxDependencies) }
+        return graph
     }
 
     private fun job(number: Int, earlier: List<JobId>, maxDependencies: Int): PipelineJob {
@@ -112,7 +113,7 @@
         )
     }
 
-    /** Random submissions, ends and cancellations; [onStep] gets the model as it is after the step. */
+    /** Applies random submissions, completions and cancellations to a new model. Calls [onStep] with the model after each step. */
     fun play(jobs: Int, onStep: (Step, PipelineModel) -> Unit): PipelineModel {
         val model = PipelineModel()
         val toSubmit = ArrayDeque(graph(jobs))
@@ -135,7 +136,7 @@
                 .filter(model::isReleased)
                 .randomElement()
                 ?.let(Step::Complete)
-        // Includes ended jobs, whose cancellation changes nothing.
+        // Also selects ended jobs, whose cancellation has no effect.
         else ->
             model.ids
                 .toList()
--- a/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModelTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test
 import java.util.Random
 
-/** The model with which [DependencyGraph] is compared. */
+/** Tests the reference model that [DependencyGraphTest] compares [DependencyGraph] with. */
 class PipelineModelTest {
     private fun id(number: Int) = JobId("job-$number")
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `a diamond is released from its root to its end`() {
+    fun `the jobs of a diamond graph are released in the order of their dependencies`() {
         val model = diamond()
         assertEquals(listOf(id(1)), model.ids.filter(model::isReleased))
         model.markDone(id(1))
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `a cancellation takes along what comes after, and nothing else`() {
+    fun `a cancellation aborts the dependents that are not done, and no other job`() {
         val model = diamond()
         model.markDone(id(1))
         model.markCancelled(id(1))
@@ -44,7 +44,7 @@
     }
 
     @Test
-    fun `priority and deadline are those of the most pressing pending job that needs it`() {
+    fun `a job inherits the highest priority and earliest deadline of its pending dependents`() {
         val model = diamond()
         assertEquals(Priority.HIGH, model.effectivePriority(id(1)))
         assertEquals(50.0, model.tightestDueSeconds(id(1)))
@@ -56,7 +56,7 @@
         assertEquals(80.0, model.tightestDueSeconds(id(1)))
     }
 
-    /** Checks one history of 30 jobs; returns how many of them were done. */
+    /** Checks one random history of 30 jobs; returns how many of the jobs were done. */
     private fun checkedHistory(seed: Long): Int {
         val ended = HashMap<JobId, Boolean>()
         val model = RandomPipelines(Random(seed)).play(jobs = 30) { _, now ->
@@ -68,13 +68,13 @@
             }
             assertTrue(ended.keys.all { now.isDone(it) || now.isAborted(it) })
         }
-        assertEquals(30, ended.size, "all come to an end")
-        assertTrue(model.ids.any { model.predecessors(it).size > model.dependencies(it).size }, "nothing is needed through another")
+        assertEquals(30, ended.size, "some jobs have not ended")
+        assertTrue(model.ids.any { model.predecessors(it).size > model.dependencies(it).size }, "no job has an indirect dependency")
         return model.ids.count(model::isDone)
     }
 
     @Test
-    fun `each job is in one state, what is over stays so, and many end either way`() {
+    fun `each job is in exactly one state, final states never change, and both final states are common`() {
         val done = (1L..40L).map(::checkedHistory)
         assertTrue(done.count { it in 5..25 } >= 10, "jobs done of 30, by seed: $done")
     }
--- a/src/test/kotlin/copperglade/storage/RecordCodecTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordCodecTest.kt
@@ -12,7 +12,7 @@
     private fun bits(vararg tasks: Int) = BitSet().apply { tasks.forEach { set(it) } }
 
     @Test
-    fun `the entry of the most scattered tasks stays far below the smallest value limit`() {
+    fun `the entry with the most fragmented index ranges stays far below the smallest value limit`() {
         val odd = BitSet().apply { for (task in 99_744 until 100_000 step 2) set(task) }
         val assignments =
             AssignmentRange(listOf(AssignmentGroup(ShardName("saskatoon-rack.2"), FencingToken(1L shl 40), 9, odd)), odd, 9, 256, 1)
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `records survive their JSON`() {
+    fun `packed record entries are unchanged after encoding and decoding`() {
         val outcome = RecordCodec.decodeOutcome(Json.read(RecordCodec.encode(OutcomeRecord(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8)))!!)
         assertEquals(
             listOf(bits(1, 2), mapOf(3 to bits(4)), bits(5), 8),
--- a/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
+++ b/src/test/kotlin/copperglade/storage/RecordPackerTest.kt
@@ -21,13 +21,13 @@
 import java.util.BitSet
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Packed records against a plain map of entries, with many writes in flight at a time and some of them applied late. */
+/** Compares packed records with a plain map of entries, with many writes in flight at a time and some writes applied late. */
 class RecordPackerTest {
     /**
-     * One writer of packed records, the service that it writes to, and a plain map of what it has written.
+     * One writer of packed records, the stand-in state service, and a plain map of the written entries ([model]).
      *
-     * @param lateWriteOneIn one write in this many has no answer and is applied seconds later; with 0, none.
-     * @param resolvesUnknownOutcomes whether the writer resolves writes without an answer before it goes on.
+     * @param lateWriteOneIn one write in this many gets no answer and is applied seconds later; 0 for no late writes.
+     * @param resolvesUnknownOutcomes whether the writer resolves writes without an answer before it writes the same entries again.
      */
     private class PackerFixture(
         seed: Long,
@@ -64,7 +64,7 @@
             { job, rangeIndex -> job.assignmentRanges[rangeIndex]?.let { RecordCodec.encode(it.value) } },
         )
 
-        /** Replaces the writer by one with lower limits, which the service enforces from now on. */
+        /** Replaces the writer by one with lower limits, and makes the service enforce these limits. */
         fun lowerLimits(valueKb: Double, transactionWrites: Int) {
             limits = StateLimits(1e6, 1e6, valueKb, transactionWrites)
             service.limits = ServiceLimits(limits.valueBytes, transactionWrites, 1e6)
@@ -90,7 +90,7 @@
             { job, rangeIndex -> job.assignmentRanges[rangeIndex]?.let { RecordCodec.encode(it.value) } },
         )
 
-        /** A round of the former version; no write of another writer may be in flight. */
+        /** Runs one round of the former version's packer. No write of the current packer may be in flight. */
         fun formerStep() {
             service.limits = null
             val changes = randomChanges { job, rangeIndex -> former.isReady(job, rangeIndex) }
@@ -133,7 +133,7 @@
                         }
                         return@commit
                     }
-                    // The outcome is processed a little later than it takes effect, as after a conflict.
+                    // The outcome is processed shortly after the write takes effect, as after a conflict.
                     loop.after(sim.random.nextInt(40).milliseconds) { packer.clearInFlight(packedWrite) }
                 }
             }
@@ -154,7 +154,7 @@
             return changes
         }
 
-        /** Adds the entry of [range] to the model, after a write without an answer, as the replica has it now. */
+        /** Copies the entry of [range] from the replica to the model, after a write without an answer was resolved. */
         private fun recordAsWritten(range: TaskRange) {
             replica.jobs[range.job]
                 ?.assignmentRanges
@@ -178,7 +178,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [1, 2, 3, 4])
-    fun `a new reader finds every entry as it was written last`(seed: Long) {
+    fun `a new replica reads the last written version of every entry`(seed: Long) {
         val fixture = PackerFixture(seed)
         repeat(40) {
             repeat(12) { fixture.step() }
@@ -189,17 +189,17 @@
 
     @ParameterizedTest
     @ValueSource(longs = [5, 6, 7, 8])
-    fun `a write that is carried out late leaves every entry in one packed record, as it was written last`(seed: Long) {
+    fun `a new replica reads the last written version of every entry although some writes are applied late`(seed: Long) {
         val fixture = PackerFixture(seed, lateWriteOneIn = 6)
         repeat(12) {
             repeat(12) { fixture.step() }
             assertEquals(fixture.model, fixture.readAllEntries())
         }
-        assertTrue(fixture.lateWrites > 20, "${fixture.lateWrites} writes were late")
+        assertTrue(fixture.lateWrites > 20, "expected more than 20 late writes, but only ${fixture.lateWrites} were late")
     }
 
     @Test
-    fun `a writer that does not see to the end of such writes is caught`() {
+    fun `entries are lost or stale if late writes are not resolved, and the test detects this`() {
         val failing = (5L..8L).any { seed ->
             val fixture = PackerFixture(seed, lateWriteOneIn = 6, resolvesUnknownOutcomes = false)
             (1..12).any {
@@ -212,7 +212,7 @@
 
     @ParameterizedTest
     @CsvSource("11, 0", "12, 0", "13, 0", "14, 6", "15, 6", "16, 6", "17, 6")
-    fun `after the limits were lowered no entry is lost, and nothing is written above them`(seed: Long, lateWriteOneIn: Int) {
+    fun `after the limits are lowered, no entry is lost and no write exceeds the new limits`(seed: Long, lateWriteOneIn: Int) {
         val fixture = PackerFixture(seed, lateWriteOneIn, limits = StateLimits(1e6, 1e6, 8.0, 12), jobs = 3 * JOBS)
         repeat(200) { fixture.step() }
         assertEquals(fixture.model, fixture.readAllEntries())
@@ -229,7 +229,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [21, 22, 23, 24])
-    fun `the former version and this one write the same packed records in turn, and no entry is lost`(seed: Long) {
+    fun `no entry is lost when the former and the current packer alternately write the same packed records`(seed: Long) {
         val fixture = PackerFixture(seed, jobs = 3 * JOBS)
         repeat(6) { turn ->
             repeat(3) {
@@ -247,7 +247,7 @@
     }
 
     @Test
-    fun `an entry that is too large for a value is left out, the others are written`() {
+    fun `an entry that is too large for any value is left out, and the other entries are written`() {
         val fixture = PackerFixture(1)
         fixture.lowerLimits(0.25, 4)
         val small = "{\"v\":1}".toByteArray()
--- a/src/test/kotlin/copperglade/storage/StateClientTest.kt
+++ b/src/test/kotlin/copperglade/storage/StateClientTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What becomes of transactions that the service's limits don't allow. */
+/** The outcomes of transactions that exceed the service's limits, and the write budget reserved for users. */
 class StateClientTest {
     private val sim = Simulation(1)
     private val network = SimNetwork(sim)
@@ -32,7 +32,7 @@
     private fun set(number: Int, bytes: Int = 9) = Write.Set("key/$number", "1".repeat(bytes).toByteArray())
 
     @Test
-    fun `what the limits don't allow is refused, and surely not carried out`() {
+    fun `a transaction that exceeds a limit is refused and not applied`() {
         service.limits = ServiceLimits(valueBytes = 20, transactionWrites = 2, changesPerS = 100.0)
         assertInstanceOf(TransactionOutcome.Applied::class.java, outcomeOf(8, listOf(set(1, bytes = 20), set(2))))
         assertEquals(TransactionOutcome.Refused, outcomeOf(0, listOf(set(3, bytes = 21))))
@@ -45,27 +45,27 @@
     }
 
     @Test
-    fun `a lease that is gone is told apart from that`() {
+    fun `a write with a lease that has ended is answered with NoSuchLease`() {
         val write = Write.Set("key/1", "1".toByteArray(), LeaseId(7))
         assertEquals(TransactionOutcome.NoSuchLease, outcomeOf(0, listOf(write)))
     }
 
-    /** Milliseconds until a user's change is answered, with [backlog] less urgent ones waiting for a small budget. */
+    /** Returns the wait for each user transaction in milliseconds, with a small budget and queued transactions of priority [backlog]. */
     private fun userWaitMillis(backlog: WritePriority): List<Double> {
         val small = StateClient(loop, network.callerOf("small", loop), AT, StateLimits(1e6, 5.0, 4.0, 12))
         repeat(200) { small.commit(backlog, Transaction(emptyList(), listOf(set(it)))) {} }
         return List(20) {
             sim.run(1500.0 + sim.random.nextInt(200))
-            val askedAt = sim.nowMs
+            val sentAt = sim.nowMs
             var answeredAt = 0.0
             small.commit(WritePriority.USER, Transaction(emptyList(), listOf(set(1000 + it)))) { answeredAt = sim.nowMs }
             sim.run(1000.0)
-            answeredAt - askedAt
+            answeredAt - sentAt
         }
     }
 
     @Test
-    fun `however small the budget is, a user's change finds some of it left by outcomes and clearing up`() {
+    fun `outcomes and clean-up leave budget for a user's transaction even if the budget is small`() {
         for (backlog in listOf(WritePriority.OUTCOME, WritePriority.CLEANUP)) {
             val waits = userWaitMillis(backlog)
             assertTrue(waits.all { it in 0.0..30.0 }, "$backlog: $waits")
--- a/src/test/kotlin/copperglade/storage/TaskIndexRangesTest.kt
+++ b/src/test/kotlin/copperglade/storage/TaskIndexRangesTest.kt
@@ -7,7 +7,7 @@
 
 class TaskIndexRangesTest {
     @Test
-    fun `ranges are what a plain list of the set says`() {
+    fun `formatted ranges list exactly the indices of the set, and parse back to the set`() {
         val random = Random(5)
         repeat(200) {
             val set = BitSet()
--- a/src/test/kotlin/copperglade/storage/TokenBucketTest.kt
+++ b/src/test/kotlin/copperglade/storage/TokenBucketTest.kt
@@ -7,7 +7,7 @@
 
 class TokenBucketTest {
     @Test
-    fun `no more passes than the rate and one burst allow`() {
+    fun `takes are limited to the rate plus one burst`() {
         val bucket = TokenBucket(10.0, 1.0, MonotonicTime(0))
         var passed = 0
         for (ms in 0L..10_000L step 10) if (bucket.tryTake(1, MonotonicTime(ms))) passed++
@@ -15,7 +15,7 @@
     }
 
     @Test
-    fun `a large taker gets its turn although small ones never let the bucket fill up`() {
+    fun `a large take succeeds although small takes keep the bucket from filling up`() {
         val bucket = TokenBucket(10.0, 0.8, MonotonicTime(0))
         var large = 0
         for (ms in 0L..20_000L step 100) {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `what was taken beyond the budget is paid for first`() {
+    fun `a deficit is refilled before further takes succeed`() {
         val bucket = TokenBucket(10.0, 1.0, MonotonicTime(0))
         bucket.take(30, MonotonicTime(0))
         assertFalse(bucket.tryTake(1, MonotonicTime(2000)))
