--- a/src/test/kotlin/copperglade/storage/PipelineModel.kt
+++ b/src/test/kotlin/copperglade/storage/PipelineModel.kt
@@ -84,9 +84,9 @@
 
     /** Returns an acyclic graph. Each job depends on up to [maxDependencies] earlier jobs, mostly recent ones, which forms long chains. */
     fun graph(jobs: Int, maxDependencies: Int = 3): List<PipelineJob> {
-        val graph = ArrayList<PipelineJob>()
-        repeat(jobs) { number -> graph += job(number, graph.map { it.id }, maxDependencies) }
-        return graph
+        val generated = ArrayList<PipelineJob>()
+        repeat(jobs) { number -> generated += job(number, generated.map { it.id }, maxDependencies) }
+        return generated
     }
 
     private fun job(number: Int, earlier: List<JobId>, maxDependencies: Int): PipelineJob {
