--- a/src/main/kotlin/copperglade/storage/ChangeReader.kt
+++ b/src/main/kotlin/copperglade/storage/ChangeReader.kt
@@ -39,7 +39,7 @@
     private val maxSnapshotAge: Duration,
 ) {
     /** The interval between requests at which all controllers together use half of the service's request budget. */
-    val minRequestInterval = maxOf(MIN_INTERVAL, (controllerCount / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
+    val minRequestInterval = maxOf(MIN_REQUEST_INTERVAL, (controllerCount / (store.limits.requestsPerSecond * READ_SHARE)).seconds)
     private var waiters = ArrayList<(CatchUpOutcome) -> Unit>()
     private var readInFlight = false
     private var watchOpen = false
@@ -170,7 +170,7 @@
         val RETRY_INTERVAL = 250.milliseconds
         val WATCH_TIMEOUT = 10.seconds
         val MAX_PAUSE = 200.milliseconds
-        val MIN_INTERVAL = 50.milliseconds
+        val MIN_REQUEST_INTERVAL = 50.milliseconds
         val log = LoggerFactory.getLogger("replica")
     }
 }
--- a/src/main/kotlin/copperglade/storage/Job.kt
+++ b/src/main/kotlin/copperglade/storage/Job.kt
@@ -29,7 +29,7 @@
     private val outcomeEntries = HashMap<ShardTaskRange, PackedEntry<OutcomeRecord>>()
 
     /** The cached result of [assignments], or null after a change. */
-    private var assigned: List<Assignment>? = null
+    private var cachedAssignments: List<Assignment>? = null
 
     /** The tasks that are done. Tasks are only ever added. */
     val done = BitSet()
@@ -97,13 +97,13 @@
 
     /** Sets the assignments of a task range; null removes them. */
     internal fun setAssignmentRange(rangeIndex: Int, entry: PackedEntry<AssignmentRange>?) {
-        assigned = null
+        cachedAssignments = null
         if (entry == null) assignmentEntries.remove(rangeIndex) else assignmentEntries[rangeIndex] = entry
     }
 
     /** Sets the outcomes of a task range in a shard; null removes them. Tasks that were done stay done. */
     internal fun setOutcome(range: ShardTaskRange, entry: PackedEntry<OutcomeRecord>?) {
-        assigned = null
+        cachedAssignments = null
         if (entry == null) outcomeEntries.remove(range) else outcomeEntries[range] = entry
         entry?.let { done.or(it.value.done) }
     }
@@ -120,7 +120,7 @@
     }
 
     /** Returns the assigned tasks that are neither done nor returned. Only these may be on a machine. Cached until a record changes. */
-    fun assignments(): List<Assignment> = assigned ?: computeAssignments().also { assigned = it }
+    fun assignments(): List<Assignment> = cachedAssignments ?: computeAssignments().also { cachedAssignments = it }
 
     private fun computeAssignments(): List<Assignment> {
         val found = ArrayList<Assignment>()
--- a/src/main/kotlin/copperglade/storage/StateClient.kt
+++ b/src/main/kotlin/copperglade/storage/StateClient.kt
@@ -68,7 +68,7 @@
         writes.commit(priority, transaction, done)
 
     private fun sendTransaction(transaction: Transaction, done: (TransactionOutcome) -> Unit) =
-        request(StateServiceCodec.transaction(transaction), TIMEOUT) { reply -> done(outcomeOf(reply)) }
+        request(StateServiceCodec.transaction(transaction), REQUEST_TIMEOUT) { reply -> done(outcomeOf(reply)) }
 
     private fun outcomeOf(reply: Reply?): TransactionOutcome = when (reply?.status) {
         null -> TransactionOutcome.Unknown
@@ -106,7 +106,7 @@
             done(ReadOutcome.Failed)
             return
         }
-        call(StateServiceCodec.read(key), TIMEOUT) { reply -> done(StateServiceCodec.decodeRead(reply)) }
+        call(StateServiceCodec.read(key), REQUEST_TIMEOUT) { reply -> done(StateServiceCodec.decodeRead(reply)) }
     }
 
     /** Lists a page of the records whose keys begin with [prefix], starting after the key [from], or at the first record if it is null. */
@@ -115,16 +115,19 @@
 
     /** Reads the changes after the revision [from]. If there are none, the service waits up to [wait] for the first one. */
     internal fun changes(prefix: String, from: Revision, wait: Duration, done: (ChangesOutcome) -> Unit) =
-        request(StateServiceCodec.changes(prefix, from, wait), TIMEOUT + wait) { reply -> done(StateServiceCodec.decodeChanges(reply)) }
+        request(
+            StateServiceCodec.changes(prefix, from, wait),
+            REQUEST_TIMEOUT + wait,
+        ) { reply -> done(StateServiceCodec.decodeChanges(reply)) }
 
     fun openLease(length: Duration, done: (LeaseOutcome) -> Unit) =
-        request(StateServiceCodec.openLease(length), TIMEOUT) { reply -> done(StateServiceCodec.decodeOpenedLease(reply)) }
+        request(StateServiceCodec.openLease(length), REQUEST_TIMEOUT) { reply -> done(StateServiceCodec.decodeOpenedLease(reply)) }
 
     fun extendLease(leaseId: LeaseId, done: (LeaseOutcome) -> Unit) =
-        request(StateServiceCodec.extendLease(leaseId), TIMEOUT) { reply -> done(StateServiceCodec.decodeExtendedLease(reply)) }
+        request(StateServiceCodec.extendLease(leaseId), REQUEST_TIMEOUT) { reply -> done(StateServiceCodec.decodeExtendedLease(reply)) }
 
     /** Ends a lease without waiting for the answer, because a lease that is no longer extended expires anyway. */
-    fun endLease(leaseId: LeaseId) = request(StateServiceCodec.endLease(leaseId), TIMEOUT) {}
+    fun endLease(leaseId: LeaseId) = request(StateServiceCodec.endLease(leaseId), REQUEST_TIMEOUT) {}
 
     /** Sends a request without waiting for request budget. The cost is deducted from the budget of later requests. */
     private fun request(request: Request, timeout: Duration, done: (Reply?) -> Unit) {
@@ -142,7 +145,7 @@
         const val BURST_SECONDS = 0.8
         val MALFORMED_LOG_INTERVAL = 10.seconds
         val UNREACHABLE_AFTER = 1.seconds
-        val TIMEOUT = 2.seconds
+        val REQUEST_TIMEOUT = 2.seconds
         val LIST_TIMEOUT = 5.seconds
         val log = LoggerFactory.getLogger("storage")
     }
--- a/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
+++ b/src/test/kotlin/copperglade/storage/DependencyGraphTest.kt
@@ -35,9 +35,9 @@
             graph.update(listOf(id))
         }
 
-        fun mark(id: JobId, known: Boolean = true) {
+        fun mark(id: JobId, confirmed: Boolean = true) {
             val live = jobs[id]?.live ?: return
-            val revision = if (known) next() else Revision(knownRevision.number + 1)
+            val revision = if (confirmed) next() else Revision(knownRevision.number + 1)
             jobs.getValue(id).live = StoredRecord(live.value.withCancelledMark(), revision)
             graph.update(listOf(id))
         }
@@ -139,7 +139,7 @@
         val records = Records()
         records.accept(job(1))
         records.accept(job(2, 1))
-        records.mark(id(1), known = false)
+        records.mark(id(1), confirmed = false)
         assertFalse(records.jobs.getValue(id(2)).cancelled)
         records.complete(id(1))
         records.catchUp(id(1))
@@ -154,7 +154,7 @@
         records.accept(job(1))
         records.accept(job(2, 1))
         records.accept(job(3, 2))
-        records.mark(id(1), known = false)
+        records.mark(id(1), confirmed = false)
         records.catchUp(id(1))
         assertEquals(listOf(true, true, true), (1..3).map { records.jobs.getValue(id(it)).cancelled })
     }
