--- a/src/main/kotlin/copperglade/agents/CommandPlanner.kt
+++ b/src/main/kotlin/copperglade/agents/CommandPlanner.kt
@@ -84,7 +84,7 @@
             when (command) {
                 is Command.Start -> run?.startSentAt = now
                 is Command.Stop -> run?.stopSentAt = now
-                is Command.Remove -> machine.channel.removalSent(command.attempt, now)
+                is Command.Remove -> machine.channel.recordRemovalSent(command.attempt, now)
             }
         }
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/** Returns these commands without the stops that [others] contains. Stops of the same task and attempt are the same. */
+/** Returns these commands without the stops that [others] contains. Stops of the same task and attempt count as equal. */
 internal fun List<Command>.withoutStopsIn(others: List<Command>): List<Command> = filterNot { command ->
     command is Command.Stop && others.any { it is Command.Stop && it.task == command.task && it.attempt == command.attempt }
 }
