--- a/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultSteps.kt
@@ -10,21 +10,21 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-// Steps that the tests of compound faults share.
+// Steps shared by the tests of compound faults.
 
 internal fun id(number: Int) = JobId("job-$number")
 
-/** Long arrays from `job-1` on, all at once. */
+/** Submits [jobs] arrays of long tasks from `job-1` on, all at once. */
 internal fun submitLongArrays(site: SimSite, jobs: Int = 8, tasks: Int = 4, workSeconds: Double = 90.0) =
     repeat(jobs) { site.submit(SimSite.job(it + 1, tasks = tasks, cpus = 8.0, estimatedSeconds = workSeconds)) { workSeconds } }
 
-/** A site for sixteen machines, so that every controller owns some. */
+/** A site for sixteen machines, so that every controller owns some of them. */
 internal fun siteWithSixteenMachines(seed: Long, teamCpus: Double = 250.0, nodes: Int = 3) =
     SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = teamCpus), nodes = nodes)
 
 internal fun runningOf(site: SimSite, jobs: Collection<JobId>) = site.runningTasks().keys.count { it.job in jobs }
 
-/** Cancels [jobs], asserts that at least one cancellation is confirmed within [withinSeconds], and returns the confirmed ones. */
+/** Cancels [jobs], asserts that a cancellation is confirmed within [withinSeconds], and returns the jobs with a confirmed cancellation. */
 internal fun cancelAndConfirm(site: SimSite, jobs: List<JobId>, withinSeconds: Double): List<JobId> {
     val before = site.confirmedCancellations
     jobs.forEach(site::cancel)
@@ -33,7 +33,7 @@
     return jobs.filter { site.users.getValue(it).cancelledAtMillis != null }
 }
 
-/** Jobs that have tasks on machines whose workers report to [node]. */
+/** Returns the jobs that have tasks on machines whose workers report to the controller [node]. */
 internal fun jobsOnMachinesOf(site: SimSite, node: Int): List<JobId> = site
     .runningTasks()
     .filterValues { site.ownerOf(it.name) == node }
@@ -41,7 +41,7 @@
     .map { it.job }
     .distinct()
 
-/** The machines on which tasks of [jobs] run. */
+/** Returns the workers on which tasks of [jobs] run. */
 internal fun machinesOf(site: SimSite, jobs: Collection<JobId>): Set<StandInWorker> =
     site
         .runningTasks()
--- a/src/test/kotlin/copperglade/sim/DigestScenarios.kt
+++ b/src/test/kotlin/copperglade/sim/DigestScenarios.kt
@@ -5,7 +5,7 @@
 import copperglade.settings.OperatorSettings
 import copperglade.settings.Team
 
-/** A run of a simulated site that depends on the seed alone. Nothing is asserted: only the messages count. */
+/** A run of a simulated site that depends on the seed alone. [simulate] asserts nothing and passes every message to the observer. */
 class DigestScenario(val name: String, val simulate: (seed: Long, observer: WireObserver) -> Unit)
 
 /** The scenarios in the order in which they are printed. */
@@ -23,9 +23,7 @@
     DigestScenario("stragglers", ::stragglers),
 )
 
-// ---- scenarios ----
-
-/** Three controllers, two guaranteed teams, arrays and services, no faults. */
+/** Three controllers run arrays and services of two guaranteed teams, without faults. */
 private fun twoTeamsWithoutFaults(seed: Long, observer: WireObserver) {
     val lender = TeamName("lender")
     val scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 32.0)
@@ -38,7 +36,7 @@
     site.recover(60.0)
 }
 
-/** Five controllers, pipelines, a zone that is cut off, and spot machines that are taken away. */
+/** Five controllers run pipelines while a zone is partitioned from the other one and the cloud terminates machines. */
 private fun zoneCutAndKilledMachines(seed: Long, observer: WireObserver) {
     val scale =
         SiteScale(
@@ -100,14 +98,14 @@
     prepare = { bootTimeFactor = ::bootFactorOf },
 )
 
-/** Two faults of any kind at a time. */
+/** Injects all kinds of faults, two at a time, at three or five controllers. */
 private fun mixedFaults(seed: Long, observer: WireObserver) =
     faultyScenario(seed, observer, SiteFault.entries, nodes = if (seed % 2 == 0L) 5 else 3, atOnce = 2)
 
-/** Each shape of pipeline, with one job cancelled while it waits or runs, as the seed has it. */
+/** Runs each shape of pipeline and cancels one of its jobs; the seed decides which job, and whether it waits or runs. */
 private fun cancelledPipelines(seed: Long, observer: WireObserver) {
     for (shape in PipelineShape.entries) {
-        val site = SimSite(Simulation(seed + shape.ordinal * SEEDS_APART), endedBefore = 2, wireObserver = observer)
+        val site = SimSite(Simulation(seed + shape.ordinal * SEED_STRIDE), endedBefore = 2, wireObserver = observer)
         shape.jobs.forEach { number ->
             val dependencies = shape.dependencies[number].orEmpty().map(::id) + JobId("job-${SimSite.FIRST_ENDED_JOB}")
             site.submit(SimSite.job(number, tasks = 2, estimatedSeconds = 8.0), dependencies) { 8.0 }
@@ -126,7 +124,7 @@
     }
 }
 
-/** Jobs that fail on every machine, one machine on which all fails, and cancellations in the end. */
+/** Some jobs fail on every machine, and all tasks fail on one machine. The failing jobs are cancelled in the end. */
 private fun failingJobs(seed: Long, observer: WireObserver) {
     val failing = (301..304).map(::id)
     val scale = SiteScale(machinesPerZone = 4, teamCpus = 400.0, guaranteedCpus = 200.0)
@@ -142,7 +140,7 @@
     site.recover(60.0)
 }
 
-/** Services and normal work preempt work that checkpoints first, a part of which is cancelled meanwhile. */
+/** Services and a normal array preempt best-effort arrays that checkpoint first. One of these is cancelled meanwhile. */
 private fun preemption(seed: Long, observer: WireObserver) {
     val scale = SiteScale(machinesPerZone = 2, teamCpus = 200.0, guaranteedCpus = 200.0)
     val site = SimSite(Simulation(seed), scale = scale, wireObserver = observer)
@@ -165,7 +163,10 @@
     site.recover(120.0)
 }
 
-/** One machine is slow. Short tasks show that it is, then the longer ones on it are worth a restart on another of its shard. */
+/**
+ * One machine is slow. The run times of short tasks reveal its speed; longer tasks on it are then worth a restart on another machine of
+ * its shard.
+ */
 private fun stragglers(seed: Long, observer: WireObserver) {
     val scale = SiteScale(machinesPerZone = 8, teamCpus = 180.0, guaranteedCpus = 180.0)
     val operatorSettings = OperatorSettings(shardsPerZone = 1)
@@ -182,9 +183,7 @@
     site.recover(60.0)
 }
 
-// ---- shared steps ----
-
-/** Services, arrays and pipelines, and one time after the other [atOnce] of the [faults], each of them at least once in turn. */
+/** Submits services, arrays and pipelines, and injects all of [faults] in random order, [atOnce] of them at a time. */
 private fun faultyScenario(
     seed: Long,
     observer: WireObserver,
@@ -210,7 +209,7 @@
     site.recover(90.0)
 }
 
-/** Arrays from `job-1` on with various sizes, places and run times. */
+/** Submits arrays from `job-1` on with various sizes, placement constraints and run times. */
 private fun SimSite.submitVariedArrays(jobs: Int) = repeat(jobs) { number ->
     after(number * 4.0) {
         val spec = SimSite.job(
@@ -229,7 +228,7 @@
     }
 }
 
-/** Jobs from `job-101` on that await one or two of `job-1` to `job-8`, and mostly the one of their own kind before them. */
+/** Submits jobs from `job-101` on that depend on one or two of `job-1` to `job-8`, and two out of three on their predecessor too. */
 private fun SimSite.submitPipelines(jobs: Int) = repeat(jobs) { number ->
     after(number * 6.0 + 30.0) {
         val earlier = (1..8).shuffled(sim.random).take(1 + sim.random.nextInt(2)).map(::id)
@@ -238,13 +237,13 @@
     }
 }
 
-/** Of the first machines one is late and one never comes up. */
+/** Machine 2 never boots, and machine 3 takes five times as long as usual. */
 private fun bootFactorOf(machine: Int): Double? = when (machine) {
     2 -> null
     3 -> 5.0
     else -> 1.0
 }
 
-private const val SEEDS_APART = 1000
+private const val SEED_STRIDE = 1000
 private const val FAULTY_MACHINE = "i-000002"
 private const val SLOW_MACHINE = "i-000002"
--- a/src/test/kotlin/copperglade/sim/NetworkFaults.kt
+++ b/src/test/kotlin/copperglade/sim/NetworkFaults.kt
@@ -2,34 +2,34 @@
 
 import copperglade.transport.Request
 
-/** One way of a message: a request to a host, or the answer that comes back from it. */
+/** One message on the network: a request to a host, or the answer of the host. */
 class Transmission(val from: String, val to: String, val path: String, val isAnswer: Boolean)
 
 /**
- * What is wrong with the links of a simulated network: cuts that hold messages back and deliver them late, messages that are lost or late,
- * and a state service that refuses single callers. What happened is counted, so that a test can tell that it did.
+ * Faults of a simulated network: cut links that hold messages back and deliver them late, lost and delayed messages, duplicates, late
+ * writes, and a state service that refuses single callers. Counters show a test that a fault has taken effect.
  */
 open class NetworkFaults(private val sim: Simulation) {
     private class HeldMessage(val from: String, val to: String, val deliver: () -> Unit)
 
     private class WithheldAnswer(val caller: String, val send: () -> Unit)
 
-    // ---- cuts ----
-
+    /** The cut links, as pairs of sender and receiver. */
     private val cuts = HashSet<Pair<String, String>>()
     private val heldMessages = ArrayList<HeldMessage>()
 
+    /** Cuts the link between two hosts in both directions. */
     fun cut(one: String, other: String) {
         cutOneWay(one, other)
         cutOneWay(other, one)
     }
 
-    /** Holds back what [from] sends to [to], while everything that [to] sends reaches [from]. */
+    /** Holds back the messages from [from] to [to], but not those from [to] to [from]. */
     fun cutOneWay(from: String, to: String) {
         cuts += from to to
     }
 
-    /** Ends all cuts; what was held back is delivered now, however late. */
+    /** Ends all cuts, and transmits the messages that were held back, however old they are. */
     fun heal() {
         cuts.clear()
         val late = heldMessages.toList()
@@ -37,12 +37,10 @@
         late.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
     }
 
-    // ---- lost and delayed messages ----
-
-    /** Requests that vanish as soon as they are sent. */
+    /** Whether a request is lost as soon as it is sent. */
     var dropsRequest: (Request) -> Boolean = { false }
 
-    /** Messages that are lost on the way. */
+    /** Whether a message is lost in transit. */
     var losesMessage: (Transmission) -> Boolean = { false }
     var lostMessages = 0
         private set
@@ -67,18 +65,18 @@
         }
     }
 
-    // ---- refused callers of the state service ----
-
-    /** Callers that the state service refuses while it serves the others; their open watches wait meanwhile. */
+    /** Callers that the state service refuses while it serves the others. Answers to their open watches are withheld meanwhile. */
     private val refusedCallers = HashSet<String>()
     private val withheldAnswers = ArrayList<WithheldAnswer>()
     var refusals = 0
         protected set
 
+    /** Makes the state service refuse the caller [name] until [serveCaller]. */
     fun refuseCaller(name: String) {
         refusedCallers += name
     }
 
+    /** Ends the refusal of the caller [name], and sends the answers that were withheld from it. */
     fun serveCaller(name: String) {
         refusedCallers -= name
         val (now, later) = withheldAnswers.partition { it.caller == name }
@@ -93,18 +91,16 @@
         withheldAnswers += WithheldAnswer(caller, send)
     }
 
-    // ---- duplicates and late writes ----
-
-    /** One in this many heartbeats arrives a second time, up to [maxDuplicateDelayMillis] later; 0: none. */
+    /** One in this many heartbeats arrives a second time, 0.5 s to 0.5 s + [maxDuplicateDelayMillis] later; 0: none. */
     var duplicateOneIn = 0
     var maxDuplicateDelayMillis = 60_000
     var duplicatesDelivered = 0
         protected set
 
-    /** What becomes of a heartbeat before its duplicate arrives; other than itself only to see the referee at work. */
+    /** Changes the body of a duplicate heartbeat. Only tests of the referee set a function other than the identity. */
     var tamperDuplicate: (ByteArray) -> ByteArray = { it }
 
-    /** One in this many transactions gets no answer and is applied 2 to 12 s later, after newer ones; 0: none. */
+    /** One in this many transactions is not answered, and is applied 2 to 12 s later, after newer transactions; 0: none. */
     var lateWriteOneIn = 0
     var lateWrites = 0
         protected set
--- a/src/test/kotlin/copperglade/sim/PipelineReferee.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineReferee.kt
@@ -7,7 +7,7 @@
 import copperglade.protocol.Json
 import copperglade.protocol.TaskId
 
-/** A submission in the users' wire form, with its dependencies; the field is left out where there are none. */
+/** Encodes a submission in the users' wire format. The field of the dependencies is omitted if [dependencies] is empty. */
 fun submissionBody(spec: JobSpec, dependencies: List<JobId>): ByteArray {
     val root = Json.read(Json.write { JobSpecCodec.write(this, spec) }) as ObjectNode
     if (dependencies.isNotEmpty()) root.putArray("awaits").also { names -> dependencies.forEach { names.add(it.text) } }
@@ -15,8 +15,14 @@
 }
 
 /**
- * The part of the referee for jobs with dependencies: it checks `too_early`, `orphaned`, and that nothing is cancelled but by a user, from
- * what ended on machines and what users were answered. A job that is not among [users] was done before the scenario began.
+ * Checks the rules for jobs with dependencies: that no task starts before the dependencies of its job are done (`too_early`), that the
+ * dependents of a cancelled job are cancelled too (`orphaned`), and that no job is cancelled without a user's request (`went_back`).
+ * The checks compare the ends of tasks on machines with the answers to users. A job that is missing in [users] was done before the
+ * scenario began.
+ *
+ * @param now returns the simulated time in milliseconds.
+ * @param cancelMillis the time limit for a cancellation to take effect.
+ * @param breach records a broken rule: its name, and the observation.
  */
 class PipelineReferee(
     private val users: Map<JobId, SimUser>,
@@ -27,21 +33,21 @@
     private val predecessors = HashMap<JobId, Set<SimUser>>()
     private val returnedAsOverdue = HashSet<JobId>()
 
-    /** All jobs that [user]'s depends on, directly or through others. They were submitted before it, so the set is final. */
+    /** Returns the users of all direct and indirect dependencies of [user]'s job. All were submitted before it, so the set is final. */
     private fun predecessorsOf(user: SimUser): Set<SimUser> = predecessors[user.spec.id] ?: run {
         val direct = user.dependencies.mapNotNull { users[it] }
         val all = direct + direct.flatMap { predecessorsOf(it) }
         all.toSet().also { predecessors[user.spec.id] = it }
     }
 
-    /** When the last dependency of [user]'s job was done, or the time of submission if that is later; null while the job is blocked. */
+    /** Returns when the last dependency of [user]'s job was done, or the job was submitted if that is later; null while it is blocked. */
     fun releasedAtMillis(user: SimUser): Double? =
         predecessorsOf(user).maxOfOrNull { it.completedAtMillis ?: return null }?.let { maxOf(it, user.requestedAtMillis) }
             ?: user.requestedAtMillis
 
     /**
-     * When the cancellation of the job or of one that it depends on was confirmed; the acceptance of the job if that was later. Null if
-     * none was.
+     * Returns when the cancellation of [user]'s job or of one of its dependencies was confirmed; null if none was. The time is that of
+     * the job's acceptance if a dependency was cancelled before.
      */
     fun cancelledAtMillis(user: SimUser): Double? = listOfNotNull(user.cancelledAtMillis, inheritedCancellationAtMillis(user)).minOrNull()
 
@@ -51,17 +57,17 @@
         return maxOf(acceptedAtMillis, confirmedAt)
     }
 
-    /** Whether somebody has requested to cancel a dependency of [user]'s job that was not reported done. */
+    /** Whether a user has requested to cancel a dependency of [user]'s job that was not reported done. */
     fun dependencyCancelRequested(user: SimUser): Boolean =
         predecessorsOf(user).any { it.cancelRequestedAtMillis != null && it.status != "done" }
 
-    /** A task of [user]'s job starts. */
+    /** Checks at the start of [task], which belongs to [user]'s job, that all dependencies are done. */
     fun checkStart(user: SimUser, task: TaskId) {
         val pending = predecessorsOf(user).firstOrNull { it.completedAtMillis == null } ?: return
         breach("too_early", "$task before ${pending.spec.id} is done")
     }
 
-    /** Checks the status that [user] has just been answered. */
+    /** Checks the status in the latest answer to [user]. */
     fun checkAnswer(user: SimUser) {
         when (user.status) {
             "aborted" -> checkReason(user)
@@ -69,7 +75,7 @@
                 checkNotAfterCancelled(user)
                 successorsOf(user).filter { it.status == "aborted" }.forEach(::checkReason)
             }
-            else -> if (isOverdue(user)) breach("orphaned", "${user.spec.id} is called ${user.status}")
+            else -> if (isOverdue(user)) breach("orphaned", "${user.spec.id} is reported as ${user.status}")
         }
         if (user.status == "aborted") successorsOf(user).forEach(::checkNotAfterCancelled)
     }
@@ -82,17 +88,17 @@
 
     private fun checkNotAfterCancelled(user: SimUser) {
         val cancelled = predecessorsOf(user).firstOrNull { it.status == "aborted" } ?: return
-        if (user.status == "done") breach("orphaned", "${user.spec.id} is called done after ${cancelled.spec.id} was cancelled")
+        if (user.status == "done") breach("orphaned", "${user.spec.id} is reported done after ${cancelled.spec.id} was cancelled")
     }
 
     private fun isOverdue(user: SimUser) = inheritedCancellationAtMillis(user)?.let { now() - it > cancelMillis } ?: false
 
-    /** Jobs that must be reported cancelled from now on and have not been; each is returned once. */
+    /** Returns the users whose jobs must be reported cancelled from now on and have not been; each is returned once. */
     fun overdue(): List<SimUser> =
         users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && returnedAsOverdue.add(it.spec.id) }
 
-    /** All dependents of cancelled jobs must have been reported cancelled by now. */
+    /** Checks that all dependents of cancelled jobs have been reported cancelled. */
     fun checkEnd() = users.values
         .filter { it.status != "aborted" && isOverdue(it) }
-        .forEach { breach("orphaned", "${it.spec.id} was last called ${it.status}") }
+        .forEach { breach("orphaned", "${it.spec.id} was last reported as ${it.status}") }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineSteps.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineSteps.kt
@@ -2,9 +2,9 @@
 
 import org.junit.jupiter.api.Assertions.assertEquals
 
-// Steps that the tests of job pipelines share.
+// Steps shared by the tests of job pipelines.
 
-/** Pipelines by the dependencies of each job; jobs of one list are of one level. */
+/** Pipelines. [levels] lists the jobs of each level, and [dependencies] the direct dependencies of each job that has any. */
 enum class PipelineShape(val levels: List<List<Int>>, val dependencies: Map<Int, List<Int>>) {
     CHAIN(listOf(listOf(1), listOf(2), listOf(3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(2), 4 to listOf(3))),
     DIAMOND(listOf(listOf(1), listOf(2, 3), listOf(4)), mapOf(2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3))),
@@ -13,7 +13,7 @@
 
     val jobs: List<Int> get() = levels.flatten()
 
-    /** All that depend on [job], directly or through others. */
+    /** Returns all direct and indirect dependents of [job]. */
     fun dependentsOf(job: Int): Set<Int> =
         dependencies.filterValues { job in it }.keys.let { direct -> direct + direct.flatMap { dependentsOf(it) } }
 }
@@ -31,7 +31,7 @@
 
 internal fun SimSite.awaitRunning(number: Int) = await(150.0) { isRunning(number) }
 
-/** Cancels a job that is not done, and waits until the cancellation is confirmed to its user. */
+/** Cancels a job that is not done, and lets time pass until the cancellation is confirmed to its user. */
 internal fun SimSite.cancelAndConfirm(number: Int, timeoutSeconds: Double = 5.0) {
     cancel(id(number))
     await(timeoutSeconds) { user(number).cancelledAtMillis != null }
@@ -41,12 +41,12 @@
     assertEquals(jobs.associateWith { status }, jobs.associateWith { user(it).status })
 
 internal fun SimSite.assertNeverStarted(jobs: Collection<Int>) =
-    assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMillis != null }, "these started")
+    assertEquals(emptyList<Int>(), jobs.filter { user(it).firstStartAtMillis != null }, "jobs that started")
 
-/** Of a whole pipeline, [cancelled] and its dependents ended cancelled, all else was done. */
+/** Asserts that [cancelled] and its dependents ended cancelled, and that all other jobs of the pipeline are done. */
 internal fun SimSite.assertCancelledFrom(shape: PipelineShape, cancelled: Int) {
-    val followers = shape.dependentsOf(cancelled)
-    assertStatus("aborted", followers + cancelled)
-    assertNeverStarted(followers)
-    assertStatus("done", shape.jobs - followers - cancelled)
+    val dependents = shape.dependentsOf(cancelled)
+    assertStatus("aborted", dependents + cancelled)
+    assertNeverStarted(dependents)
+    assertStatus("done", shape.jobs - dependents - cancelled)
 }
--- a/src/test/kotlin/copperglade/sim/Scenarios.kt
+++ b/src/test/kotlin/copperglade/sim/Scenarios.kt
@@ -4,17 +4,17 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-/** Arrays of [tasks] tasks each, one every three seconds. */
+/** Submits [jobs] arrays of [tasks] tasks each, one every three seconds. */
 fun SimSite.submitArrays(jobs: Int, tasks: Int = 6, workSeconds: Double = 8.0, first: Int = 1) = repeat(jobs) { number ->
     sim.after(number * 3000.0) { submit(SimSite.job(first + number, tasks = tasks)) { workSeconds } }
 }
 
-/** Services from `job-500` on, all at once. */
+/** Submits [jobs] services from `job-500` on, all at once. */
 fun SimSite.submitServices(jobs: Int, tasks: Int = 4) = repeat(jobs) { number ->
     submit(SimSite.job(500 + number, tasks = tasks, service = true, spot = false)) { null }
 }
 
-/** Ends all faults of the network, the state service and the controllers' access to it, and lets [forSeconds] seconds pass. */
+/** Ends all faults of the network, the state service and the controllers' access to it, and lets [forSeconds] pass. */
 fun SimSite.recover(forSeconds: Double) {
     heal()
     stopLosingMessages()
@@ -26,19 +26,19 @@
     run(forSeconds)
 }
 
-/** Ends all faults; by the end of [forSeconds] seconds nothing may be left undone, unanswered, waiting or broken. */
+/** Ends all faults, lets [forSeconds] pass, and asserts that no rule is broken, all users are answered and all arrays have ended. */
 fun SimSite.assertRulesHold(forSeconds: Double = 120.0) {
     recover(forSeconds)
     checkAnswered()
     checkStartDelays()
     checkCancelledDependents()
     assertEquals(emptyList<String>(), breaches)
-    assertTrue(starts > 0, "nothing ran")
+    assertTrue(starts > 0, "no task was started")
     val unfinished = users.values.filter { it.workSeconds(0) != null && !it.finished }.map { it.spec.id }
     assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
 }
 
-/** As [assertRulesHold], for scenarios that have ended all faults but cuts and check no delays of starts. */
+/** As [assertRulesHold], for scenarios whose only remaining faults are cuts, and without the check of start delays. */
 fun SimSite.assertRulesHoldOnceHealed() {
     heal()
     run(120.0)
@@ -48,12 +48,12 @@
     assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
 }
 
-/** The referee has recorded a breach of [rule]. */
-fun SimSite.assertBreachRecorded(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "not seen: $breaches")
+/** Asserts that the referee has recorded a breach of [rule]. */
+fun SimSite.assertBreachRecorded(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "no breach of $rule in $breaches")
 
-/** Lets time pass until [holds], and fails after [timeoutSeconds] seconds. */
+/** Lets time pass until [holds] returns true, and fails after [timeoutSeconds]. */
 fun SimSite.await(timeoutSeconds: Double, holds: () -> Boolean) {
     val end = sim.nowMillis + timeoutSeconds * 1000
     while (!holds() && sim.nowMillis < end) run(0.2)
-    assertTrue(holds(), "did not come about within $timeoutSeconds s")
+    assertTrue(holds(), "the condition did not hold within $timeoutSeconds s")
 }
--- a/src/test/kotlin/copperglade/sim/SimAddresses.kt
+++ b/src/test/kotlin/copperglade/sim/SimAddresses.kt
@@ -2,7 +2,7 @@
 
 import copperglade.protocol.Endpoint
 
-/** The hosts of a simulated site: names and addresses of controllers, the state service and the cloud. */
+/** The names and addresses of the hosts of a simulated site: controllers, state service and cloud. */
 object SimAddresses {
     val STATE = Endpoint("10.2.0.1", 2379)
     val CLOUD = Endpoint("10.2.0.2", 8443)
--- a/src/test/kotlin/copperglade/sim/SimControllers.kt
+++ b/src/test/kotlin/copperglade/sim/SimControllers.kt
@@ -8,9 +8,9 @@
 import copperglade.transport.FaultBarrier
 
 /**
- * The controller processes of a simulated site: real controllers on simulated clocks and connections.
+ * The controller processes of a simulated site: the program's own controllers on simulated clocks and connections.
  *
- * @param faultsEndProcess whether a fault in a decision ends the controller as it ends a real process; else the test fails with it.
+ * @param faultsEndProcess whether an error in a decision terminates the controller, as it does a real process; otherwise the test fails.
  */
 class SimControllers(
     private val sim: Simulation,
@@ -24,6 +24,7 @@
 
     private val processes = HashMap<Int, Process>()
 
+    /** Starts the controller [node] unless it is running. */
     fun start(node: Int) {
         if (processes[node]?.loop?.alive == true) return
         val loop = SimLoop(sim, drift = node * CLOCK_DRIFT_PER_NODE)
@@ -38,7 +39,7 @@
         controller.start()
     }
 
-    /** Ends the process now, and starts it again after [restartAfterMillis]. */
+    /** Terminates the process now, and starts it again after [restartAfterMillis]. */
     fun crash(node: Int, restartAfterMillis: Double) {
         processes[node]?.loop?.alive = false
         sim.after(restartAfterMillis) { start(node) }
--- a/src/test/kotlin/copperglade/sim/SimMachines.kt
+++ b/src/test/kotlin/copperglade/sim/SimMachines.kt
@@ -14,7 +14,7 @@
 /**
  * The cloud of a simulated site, its machines and their workers.
  *
- * @param slowMachine a machine on which tasks take [SLOW_MACHINE_SPEED] of the usual speed.
+ * @param slowMachine the name of a machine that runs tasks at [SLOW_MACHINE_SPEED] times the usual speed; null: none does.
  * @param nodes the number of controllers that workers may report to.
  */
 class SimMachines(
@@ -37,29 +37,30 @@
         { workersByName.remove(it.name)?.die() },
     )
 
-    /** The workers of the machines that are up, in the order of their boots. */
+    /** The workers of the machines that are up, in the order in which these booted. */
     val workers: Collection<StandInWorker> get() = workersByName.values
     val names: Collection<String> get() = workersByName.keys
 
-    /** Epochs that workers have begun because a lease of theirs expired, and machines that are gone. */
+    /** The number of expired leases, each of which made its worker begin an epoch, plus the number of terminated machines. */
     val leasesOrMachinesLost: Long get() = workers.sumOf { it.epoch - 1 } + machines.count { it.gone }
 
     fun worker(name: String): StandInWorker = workersByName.getValue(name)
 
-    /** Tasks that are checkpointing, and the machines that they are on. */
+    /** Returns the tasks that are checkpointing, each with its worker. */
     fun checkpointingTasks(): Map<TaskId, StandInWorker> =
         workers.flatMap { worker -> worker.saving().map { it to worker } }.toMap()
 
-    /** Takes the machine at [index] among those that are up. */
+    /** Makes the cloud terminate the machine at [index] among those that are up, if there is one. */
     fun kill(index: Int) {
         machines.filter { !it.gone && it.up }.getOrNull(index)?.let(cloud::take)
     }
 
+    /** Makes the cloud terminate the machine [name], unless it is terminated already. */
     fun kill(name: String) {
         machines.firstOrNull { it.name == name && !it.gone }?.let(cloud::take)
     }
 
-    /** The machine loses power and is back at once; its worker's sequence numbers start again. */
+    /** Cuts the power of the machine at [index]. The machine boots again within 0.7 s, and its worker's sequence numbers restart. */
     fun reboot(index: Int) {
         val name = names.elementAtOrNull(index) ?: return
         val machine = machines.first { it.name == name }
--- a/src/test/kotlin/copperglade/sim/SimNetwork.kt
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -13,22 +13,23 @@
 
     private val hosts = HashMap<Endpoint, Host>()
 
-    /** The number of requests that were sent. */
+    /** The number of requests sent by all hosts. */
     var requestsSent = 0
         private set
 
-    /** What becomes of requests and answers; other than themselves only to see the referee at work. */
+    /** Changes a request of the given sender, or an answer. Only tests set functions other than the identity. */
     var tamperRequest: (String, Request) -> Request = { _, request -> request }
     var tamperAnswer: (Transmission, Request, Reply) -> Reply = { _, _, reply -> reply }
 
-    /** Gets the body of every message with commands when it is sent. */
+    /** Receives the body of each message with commands when the message is sent. */
     var onCommandsSent: (ByteArray) -> Unit = {}
 
+    /** Delivers the requests to [at] to [handler], as the host [name] on [loop]. Replaces the previous listener at [at]. */
     fun listen(at: Endpoint, name: String, loop: SimLoop, handler: RequestHandler) {
         hosts[at] = Host(name, loop, handler)
     }
 
-    /** The connections of the host [name], whose timers and answers run on [loop]. */
+    /** Returns an HTTP client of the host [name], whose timeouts and callbacks run on [loop]. */
     fun callerOf(name: String, loop: SimLoop) = HttpClient { to, original, timeout, done ->
         val call = Call(name, loop, to, original, done)
         requestsSent++
@@ -41,7 +42,7 @@
     private fun observe(step: WireStep, from: String, to: String, request: Request, reply: Reply? = null) =
         observer.observe(WireEvent(step, sim.nowMillis, from, to, request, reply))
 
-    /** One request of the host [from], up to its answer or its timeout. */
+    /** One request of the host [from], until its answer arrives or its timeout expires. */
     private inner class Call(
         private val from: String,
         private val loop: SimLoop,
@@ -79,7 +80,7 @@
             }
             val late = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
             if (late) return applyLate(request)
-            // Another process may listen there by now.
+            // A restarted process may have replaced the listener while the request was in transit.
             hosts[to]?.let { present -> present.loop.whenNotFrozen { handle(host, present, path, request) } }
         }
 
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -26,29 +26,30 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A whole site in simulated time: controllers of the real code, stand-ins for everything around them, users, and a referee that checks the
- * protocol's rules whenever something starts, ends or is answered. Its faults are in `SimSiteFaults.kt`.
+ * A whole site in simulated time: the program's own controllers, stand-ins for the state service, the cloud and the workers, and users.
+ * A referee checks the protocol's rules whenever a task starts or ends, a command is sent or a user is answered. The site's faults are in
+ * `SimSiteFaults.kt`.
  */
 class SimSite(
     val sim: Simulation,
     private val operatorSettings: OperatorSettings = OperatorSettings(),
     private val scale: SiteScale = SiteScale(),
     slowMachine: String? = null,
-    /** The lease that is configured at the controllers; other than the workers' own only to see the referee at work. */
+    /** The lease that is configured at the controllers. It differs from that of the workers only in tests of the referee. */
     private val configuredLeaseSeconds: Double = scale.leaseSeconds,
     private val configuredCpusMax: Double = scale.teamCpus,
     private val configuredCancelSeconds: Double = scale.cancelSeconds,
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
-    /** Another staleness limit for the controllers of the first zone, only to see the referee at work. */
+    /** Another staleness limit for the controllers of the first zone, for tests of the referee. */
     private val stalenessLimitOverrideSeconds: Double? = null,
-    /** The state service's limits as they are configured at each controller when it starts. */
+    /** Returns the limits of the state service that are configured at a controller when it starts. */
     private val limitsOf: (node: Int) -> StateLimits = { scale.stateLimits },
-    /** The number of jobs that were over before the scenario began. */
+    /** The number of jobs that were done before the scenario began. */
     endedBefore: Int = 0,
-    /** Whether a fault in a decision ends the controller as it ends a real process; else the test fails with it. */
+    /** Whether an error in a decision terminates the controller, as it does a real process; otherwise the test fails. */
     faultsEndProcess: Boolean = false,
-    /** Sees every message between the processes and users of this site. */
+    /** Observes every message between the processes and users of this site. */
     wireObserver: WireObserver = WireObserver {},
 ) {
     val network = SimNetwork(sim, wireObserver)
@@ -107,12 +108,10 @@
 
     private fun workers(): Collection<StandInWorker> = machines.workers
 
-    // ---- controllers and machines ----
-
-    /** The leader by the state service's own records; null while there is none. */
+    /** Returns the leader according to the records in the state service; null while there is none. */
     fun leader(): Int? = state.leaderAmong((0 until nodes).map(SimAddresses::controllerName))
 
-    /** The controller that the worker reports to. */
+    /** Returns the controller to which the worker reports. */
     fun ownerOf(workerName: String): Int = machines.worker(workerName).reportsTo
 
     fun zoneOf(workerName: String): String = machines.worker(workerName).zone
@@ -127,7 +126,7 @@
 
     fun checkpointingTasks(): Map<TaskId, StandInWorker> = machines.checkpointingTasks()
 
-    /** How many times as long as usual the machine of this number takes to boot; null: it never does. */
+    /** Returns by which factor the boot of the machine with the given number is slower than usual; null if the machine never boots. */
     var bootTimeFactor: (Int) -> Double?
         get() = machines.cloud.bootTimeFactor
         set(factor) {
@@ -137,14 +136,12 @@
     /** Requests that the cloud refused for exceeding its rate limit. */
     val cloudRefusals: Int get() = machines.cloud.refused
 
-    // ---- users ----
-
     val users: HashMap<JobId, SimUser> get() = referee.users
 
     /** Jobs whose cancellation was confirmed to their users. */
     val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMillis != null }
 
-    /** Submits a job that depends on [dependencies], which were submitted before; [workSeconds] is as in [SimUser]. */
+    /** Submits a job with [dependencies], all of which must have been submitted before. [workSeconds] is described at [SimUser]. */
     fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), workSeconds: (Int) -> Double?) =
         userAgents.submit(spec, dependencies, workSeconds)
 
@@ -152,20 +149,18 @@
 
     fun repeatSubmission(user: SimUser) = userAgents.repeatSubmission(user)
 
-    /** One poll in addition to the periodic ones, through a random controller. */
+    /** Sends a poll in addition to the periodic ones, through a random controller. */
     fun poll(id: JobId) = userAgents.poll(id)
 
     fun poll(id: JobId, node: Int) = userAgents.poll(id, node)
 
     fun sendOddRequest() = userAgents.sendOddRequest()
 
-    /** Sends one request through a random controller, as the load balancer would. */
+    /** Sends a request through a random controller, as the load balancer would. */
     fun request(request: Request, done: (Reply?) -> Unit) = userAgents.request(request, done)
 
     fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) = userAgents.requestAt(node, request, done)
 
-    // ---- referee ----
-
     val breaches: List<String> get() = referee.breaches
     val starts: Int get() = referee.starts
     val completions: Int get() = referee.completions
@@ -184,7 +179,7 @@
 
     fun checkCancelledDependents() = referee.checkCancelledDependents()
 
-    /** Lets simulated time pass, and checks periodically what only time can break. */
+    /** Lets [seconds] of simulated time pass, and periodically checks the rules that set a time limit. */
     fun run(seconds: Double) {
         var nextCheckMillis = 0.0
         sim.run(seconds * 1000) {
@@ -201,14 +196,14 @@
         const val LEASE_SECONDS = 10.0
         const val CANCEL_SECONDS = 30.0
 
-        /** The number of the first of the jobs that were over before the scenario began. */
+        /** The number of the first of the jobs that were done before the scenario began. */
         const val FIRST_ENDED_JOB = 100_000
         val ZONES = listOf("north", "south")
         val TEAM = TeamName("team")
         private const val CHECK_INTERVAL_MILLIS = 500
         private const val CHECKPOINT_INTERVAL_SECONDS = 20.0
 
-        /** The spec of `job-[number]`; an array without limits of placement unless said otherwise. */
+        /** Returns the spec of `job-[number]`; by default an array without placement constraints. */
         fun job(
             number: Int,
             tasks: Int,
--- a/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
+++ b/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
@@ -4,46 +4,41 @@
 
 // Faults of a simulated site. Cuts last until [heal], lost messages until [stopLosingMessages].
 
-// ---- processes ----
-
-/** One of the next decisions of the controller ends in a fault, after [afterReadings] further readings of its clock. */
+/** Makes the controller's clock throw an error after [afterReadings] further readings, so that the decision that reads it fails. */
 fun SimSite.injectFault(node: Int, afterReadings: Int) {
     controllers.loopOf(node).readingsUntilFault = afterReadings
 }
 
-/** The controller's next decision that reads the time of day ends in a fault: so does each that releases a waiting job. */
+/** Makes the controller's next decision that reads the time of day fail. Each decision that releases a waiting job reads it. */
 fun SimSite.injectFaultAtRelease(node: Int) {
     controllers.loopOf(node).faultAtWallClockReading = true
 }
 
-/** Starts the controller unless it runs. */
+/** Starts the controller unless it is running. */
 fun SimSite.startController(node: Int) = controllers.start(node)
 
-/** Ends the controller's process now, and starts it again after [restartAfterMillis]. */
+/** Terminates the controller's process now, and starts it again after [restartAfterMillis]. */
 fun SimSite.crash(node: Int, restartAfterMillis: Double = SimControllers.RESTART_AFTER_MILLIS) = controllers.crash(node, restartAfterMillis)
 
-/** Lets a controller's monotonic clock go [rate] times as fast, far beyond the protocol's bound. */
+/** Runs a controller's monotonic clock at [rate] times real time, which exceeds the clock drift that the protocol tolerates. */
 fun SimSite.setClockRate(node: Int, rate: Double) = controllers.loopOf(node).setClockRate(rate)
 
-/** Pauses the controller's process for [durationMillis] while its clock runs on. */
+/** Pauses the controller's process for [durationMillis] while its clock continues. */
 fun SimSite.freezeController(node: Int, durationMillis: Double) = controllers.loopOf(node).freeze(durationMillis)
 
-// ---- machines ----
-
-/** The worker at [index] hangs until it is resumed. */
+/** Makes the worker at [index] hang until it is resumed. Returns the worker, or null if there is none at [index]. */
 fun SimSite.hang(index: Int): StandInWorker? = machines.workers.elementAtOrNull(index)?.also { it.hanging = true }
 
-/** The cloud takes the machine at [index] among those that are up. */
+/** Makes the cloud terminate the machine at [index] among those that are up. */
 fun SimSite.killMachine(index: Int) = machines.kill(index)
 
+/** Makes the cloud terminate the machine [name]. */
 fun SimSite.killMachineNamed(name: String) = machines.kill(name)
 
-/** The machine loses power and is back at once; its worker's sequence numbers start again. */
+/** Cuts the power of a machine, which boots again at once; its worker's sequence numbers restart. */
 fun SimSite.rebootMachine(index: Int) = machines.reboot(index)
 
-// ---- partitions ----
-
-/** Cuts a controller off from everybody, or only from the state service or the workers. */
+/** Cuts a controller off from all hosts, or only from the state service (`state`) or the workers (`workers`). */
 fun SimSite.cutController(node: Int, from: String = "all") {
     val name = SimAddresses.controllerName(node)
     if (from != "workers") network.cut(name, "state")
@@ -78,18 +73,21 @@
     peersOf(node).forEach { network.cut(it, worker) }
 }
 
-/** Holds back what controllers send to the machine, while what it sends reaches them. Returns its name; null: there is none. */
+/**
+ * Holds back the messages from controllers to the machine at [index], but not those in the other direction. Returns the name of the
+ * machine, or null if there is none at [index].
+ */
 fun SimSite.cutTrafficToMachine(index: Int): String? {
     val worker = machines.names.elementAtOrNull(index) ?: return null
     controllerNames().forEach { network.cutOneWay(it, worker) }
     return worker
 }
 
-/** Holds back what these machines send, while all else is delivered. */
+/** Holds back the messages from these machines to controllers, but not those in the other direction. */
 fun SimSite.holdHeartbeats(workers: Collection<String>) =
     workers.forEach { worker -> controllerNames().forEach { network.cutOneWay(worker, it) } }
 
-/** Cuts a zone's controllers and machines off from everything outside it. */
+/** Cuts a zone's controllers and machines off from all hosts outside the zone. */
 fun SimSite.cutZone(zone: String) {
     val controllersIn = (0 until nodes).filter { zoneOfController(it) == zone }.map(SimAddresses::controllerName)
     val machinesIn = machines.workers.filter { it.zone == zone }.map { it.name }
@@ -99,27 +97,26 @@
     }
 }
 
-/** Cuts all controllers off from each other, and from nothing else. */
+/** Cuts all controllers off from each other, but from no other host. */
 fun SimSite.cutPeers() {
     val names = controllerNames()
     for (one in names.indices) for (other in 0 until one) network.cut(names[one], names[other])
 }
 
+/** Ends all cuts, and delivers the messages that were held back. */
 fun SimSite.heal() = network.heal()
 
-// ---- refused and lost messages ----
-
-/** The state service refuses this controller alone, until [serveController]. */
+/** Makes the state service refuse this controller alone, until [serveController]. */
 fun SimSite.refuseController(node: Int) = network.refuseCaller(SimAddresses.controllerName(node))
 
 fun SimSite.serveController(node: Int) = network.serveCaller(SimAddresses.controllerName(node))
 
-/** Loses answers and direct commands to these machines, while their heartbeats arrive. */
+/** Loses the answers and direct commands to these machines, while their heartbeats reach the controllers. */
 fun SimSite.loseCommandsTo(workers: Collection<String>) {
     network.losesMessage = { it.to in workers && (if (it.isAnswer) it.path == "/checkin" else it.path == "/do") }
 }
 
-/** Loses all requests of these machines, while direct commands reach them and are answered. */
+/** Loses all requests of these machines, while direct commands reach the machines and are answered. */
 fun SimSite.loseRequestsFrom(workers: Collection<String>) {
     network.losesMessage = { it.from in workers && !it.isAnswer }
 }
--- a/src/test/kotlin/copperglade/sim/SimUsers.kt
+++ b/src/test/kotlin/copperglade/sim/SimUsers.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The users of a simulated site: they submit jobs through any controller, retry until they have an answer, poll to the end of the
+ * The users of a simulated site. They submit jobs through any controller, retry until they receive an answer, poll until the end of the
  * scenario, and pass every answer to the [referee].
  */
 class SimUsers(
@@ -23,7 +23,7 @@
 ) {
     private val users get() = referee.users
 
-    /** Submits a job that depends on [dependencies], which were submitted before; it is sent once they are known to be accepted. */
+    /** Submits a job with [dependencies], which were submitted before. It is sent once the acceptance of all of them is confirmed. */
     fun submit(spec: JobSpec, dependencies: List<JobId>, workSeconds: (Int) -> Double?) {
         val user = SimUser(spec, dependencies, sim.nowMillis, workSeconds)
         users[spec.id] = user
@@ -41,14 +41,14 @@
                     user.lastAnswerAtMillis = sim.nowMillis
                     later(5.0) { pollToEnd(user) }
                 }
-                // Nothing that a user submits is invalid, and a known job is answered with its status.
+                // This submission is valid, and a repeated submission is answered with the status of the job.
                 400, 422 -> referee.breach("forgotten", "${user.spec.id} refused with ${reply.status}")
                 else -> later(1.0) { submitUntilAccepted(user) }
             }
         }
     }
 
-    /** Submits an accepted job once more; the answer is checked like that to a poll. */
+    /** Repeats the submission of an accepted job, and checks the answer as one to a poll. */
     fun repeatSubmission(user: SimUser) {
         val requestedAtMillis = sim.nowMillis
         request(Request(Method.POST, "/submissions", submissionBody(user.spec, user.dependencies))) { reply ->
@@ -58,7 +58,7 @@
         }
     }
 
-    /** One poll in addition to the periodic ones. */
+    /** Sends a poll in addition to the periodic ones. */
     fun poll(id: JobId, node: Int = anyNode()) {
         val user = users.getValue(id)
         val requestedAtMillis = sim.nowMillis
@@ -76,7 +76,7 @@
                 user.lastAnswerAtMillis = sim.nowMillis
                 recordStatus(user, reply, requestedAtMillis)
             }
-            // A finished job has to stay known.
+            // The controllers must keep answering for a finished job.
             later(if (user.finished) 15.0 else 5.0) { pollToEnd(user) }
         }
     }
@@ -84,7 +84,7 @@
     private fun recordStatus(user: SimUser, reply: Reply, requestedAtMillis: Double) =
         referee.recordStatus(user, Json.read(reply.body)!!.stringOrNull("status")!!, requestedAtMillis)
 
-    /** Cancels a job that is accepted and not finished, and retries until there is an answer. */
+    /** Cancels a job that is accepted and not finished, and retries until the cancellation is answered. */
     fun cancel(id: JobId) {
         val user = users[id] ?: return
         if (!user.accepted || user.finished) return
@@ -95,7 +95,7 @@
         }
     }
 
-    /** A repeated submission, a late cancellation, a poll of a job that nobody submitted, or an invalid submission, at random. */
+    /** Sends at random a repeated submission, a late cancellation, a poll of a job that was never submitted, or an invalid submission. */
     fun sendOddRequest() {
         val known = users.values.filter { it.accepted }
         val number = FIRST_ODD_JOB + sim.random.nextInt(10_000)
@@ -129,7 +129,7 @@
 
     private fun <T> List<T>.pickRandom(): T? = if (isEmpty()) null else this[sim.random.nextInt(size)]
 
-    /** Sends one request through a random controller, as the load balancer would. */
+    /** Sends a request through a random controller, as the load balancer would. */
     fun request(request: Request, done: (Reply?) -> Unit) = requestAt(anyNode(), request, done)
 
     private fun anyNode() = sim.random.nextInt(nodes)
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -6,7 +6,7 @@
 import java.util.Random
 import kotlin.time.Duration
 
-/** Simulated time: a queue of events whose order depends on the seed alone. */
+/** A discrete-event simulation: a clock and a queue of events whose order depends on the seed alone. */
 class Simulation(seed: Long) {
     private class Event(val atMillis: Double, val order: Long, val action: () -> Unit)
 
@@ -16,10 +16,12 @@
     var nowMillis = 1_000_000.0
         private set
 
+    /** Schedules [action] after [delayMillis]; a negative delay counts as 0. Events of the same time run in the order of the calls. */
     fun after(delayMillis: Double, action: () -> Unit) {
         queue += Event(nowMillis + delayMillis.coerceAtLeast(0.0), order++, action)
     }
 
+    /** Lets [forMillis] pass, and calls [afterEachEvent] after each event. */
     fun run(forMillis: Double, afterEachEvent: () -> Unit = {}) {
         val endMillis = nowMillis + forMillis
         while (queue.isNotEmpty() && queue.peek().atMillis <= endMillis) {
@@ -32,14 +34,14 @@
     }
 }
 
-/** The event loop of a simulated process: its clock, which may run a little fast, and its timers, which end with it. */
+/** The event loop of a simulated process. Its clock is fast by the fraction [drift]. No timer fires once the process is not [alive]. */
 class SimLoop(private val sim: Simulation, drift: Double = 0.0) : EventLoop {
     var alive = true
     private var rate = 1.0 + drift
     private var baseMillis = 0.0
     private var clockAtBaseMillis = 0.0
 
-    /** From now on the clock goes [factor] times as fast as it should. */
+    /** Runs the clock at [factor] times simulated time from now on. */
     fun setClockRate(factor: Double) {
         clockAtBaseMillis = clockMillis()
         baseMillis = sim.nowMillis
@@ -48,7 +50,7 @@
 
     private fun clockMillis() = clockAtBaseMillis + (sim.nowMillis - baseMillis) * rate
 
-    /** The number of clock readings before one throws an out-of-memory error; negative: none does. */
+    /** The number of clock readings before the one that throws an [OutOfMemoryError]; negative: none throws. */
     var readingsUntilFault = -1
 
     private fun failIfDue() {
@@ -60,10 +62,10 @@
         return MonotonicTime(clockMillis().toLong())
     }
 
-    /** Runs each decision of the process; by default a fault propagates and the test fails. */
+    /** Runs each decision of the process. By default an error propagates and the test fails. */
     var guard: (action: () -> Unit) -> Unit = { it() }
 
-    /** Whether the next reading of the time of day throws such an error. */
+    /** Whether the next reading of the time of day throws an [OutOfMemoryError]. */
     var faultAtWallClockReading = false
 
     override fun wallMillis(): Long {
@@ -77,11 +79,12 @@
 
     private var frozenUntilMillis = 0.0
 
-    /** Pauses the process for [durationMillis] while its clock runs on. Events that come meanwhile wait for it. */
+    /** Pauses the process for [durationMillis] while its clock continues. Events of that time are delayed until the process resumes. */
     fun freeze(durationMillis: Double) {
         frozenUntilMillis = sim.nowMillis + durationMillis
     }
 
+    /** Runs [action] now, or once the process resumes if it is frozen. */
     fun whenNotFrozen(action: () -> Unit) {
         if (sim.nowMillis >= frozenUntilMillis) action() else sim.after(frozenUntilMillis - sim.nowMillis) { whenNotFrozen(action) }
     }
--- a/src/test/kotlin/copperglade/sim/SiteFault.kt
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -1,8 +1,8 @@
 package copperglade.sim
 
 /**
- * Faults of a simulated site. Each begins at once and ends by itself after about the given number of seconds, or with [recover] at the
- * latest. Their order is part of the seeded tests that draw from them.
+ * Faults of a simulated site. Each begins at once, and ends after about the given number of seconds or at [recover] at the latest. Seeded
+ * tests pick faults by their position, so a change of the order changes these tests.
  */
 enum class SiteFault(private val action: SimSite.(seconds: Double) -> Unit) {
     STATE_OUTAGE({ seconds ->
@@ -38,7 +38,7 @@
     ODD_REQUESTS({ seconds -> repeat(20) { after(it * seconds / 20) { sendOddRequest() } } }),
     ;
 
-    /** Begins the fault at [site], to last about [seconds] seconds. */
+    /** Injects the fault into [site] for about [seconds]. */
     fun begin(site: SimSite, seconds: Double) = site.action(seconds)
 }
 
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -10,8 +10,8 @@
 import copperglade.standin.World
 
 /**
- * The referee of a simulated site: it sees what starts and ends on machines and what users are answered, and records each broken rule of
- * the protocol in [breaches].
+ * Checks the protocol's rules at a simulated site. The referee observes the starts and ends of tasks on machines, the commands of
+ * controllers and the answers to users, and records each broken rule in [breaches].
  *
  * @param workers the workers of the machines that are up.
  */
@@ -21,46 +21,50 @@
     private val otherTeam: Team?,
     private val workers: () -> Collection<StandInWorker>,
 ) : World {
-    /** Every broken rule: its name, the time in seconds, and what was seen. */
+    /** Every broken rule: its name, the time in seconds, and the observation. */
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, SimUser>()
     private val pipelines = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
     private val runningOn = HashMap<TaskId, StandInWorker>()
 
-    /** The zones of each job's running tasks, and the CPUs that each team's use. */
+    /** The zones of each job's running tasks. */
     private val zonesOf = HashMap<JobId, HashMap<TaskId, String>>()
+
+    /** The CPUs that the running tasks of each team use. */
     private val usedCpus = HashMap<TeamName, Double>()
 
-    /** How often any task has started, and how often any has been done. */
+    /** The number of starts of tasks. */
     var starts = 0
         private set
+
+    /** The number of tasks that were done; a task that was done twice counts twice. */
     var completions = 0
         private set
 
-    /** How often a task of the job has started, and how often any task has on the machine. */
+    /** The number of starts of tasks of each job. */
     val startsOf = HashMap<JobId, Int>()
+
+    /** The number of starts of tasks on each machine. */
     val startsOn = HashMap<String, Int>()
 
     val runningTasks: Map<TaskId, StandInWorker> get() = runningOn
 
-    /** Whether all controllers reach each other, so that each knows of a cancellation before its user does. */
+    /** Whether all controllers reach each other, so that each of them receives a cancellation before it is confirmed to its user. */
     var cancellationsReplicatedAtOnce = false
 
-    /** Since when there have been no faults, so that nothing may be left waiting; null while there are some. */
+    /** Since when the site has been free of faults, so that no job may be left waiting; null while there are faults. */
     var faultFreeSinceMillis: Double? = null
 
-    /** What users do when the last task of a job ends. */
+    /** Called when the last task of a job is done. */
     var onJobComplete: (SimUser) -> Unit = {}
 
-    /** Whether a task fails on a machine some time after it has started there. */
+    /** Whether a task fails on a machine, [FAILS_AFTER_SECONDS] after its start. */
     var fails: (task: TaskId, machine: String) -> Boolean = { _, _ -> false }
 
     fun breach(rule: String, detail: String) {
         breaches += "$rule at ${"%.1f".format(sim.nowMillis / 1000)}: $detail"
     }
 
-    // ---- tasks on machines ----
-
     override fun spec(task: TaskId) = users[task.job]?.spec?.takeIf { task.index < it.tasks }
 
     override fun workS(task: TaskId) = users[task.job]?.workSeconds?.invoke(task.index)
@@ -112,9 +116,7 @@
         }
     }
 
-    // ---- cancellations ----
-
-    /** To be called periodically: no task may run for longer than the cancellation timeout after its job was cancelled. */
+    /** Checks that no task runs for longer than the cancellation timeout after its job was cancelled. To be called periodically. */
     fun checkCancelled() {
         runningOn.keys.forEach(::checkCancelled)
     }
@@ -124,7 +126,10 @@
         if (sim.nowMillis - cancelledAtMillis > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
-    /** To be called for each command sent: no start may follow the confirmed cancellation, once the sender must know or step down. */
+    /**
+     * Checks that a message with commands starts no task of a job whose cancellation was confirmed to its user, once the sender must have
+     * received the cancellation or have stopped starting tasks. To be called for each such message.
+     */
     fun checkCommands(body: ByteArray) {
         val node = Json.read(body) ?: return
         for (command in node.get("dispatches") ?: return) {
@@ -136,14 +141,12 @@
         }
     }
 
-    /** Users to ask at every controller now, since their jobs must be reported cancelled from here on. */
+    /** Returns the users who have to poll every controller now, since their jobs must be reported cancelled from now on. */
     fun overdue(): List<SimUser> = pipelines.overdue()
 
-    /** To be called when there have been no faults for longer than a cancellation may take. */
+    /** Checks the dependents of cancelled jobs. To be called when there have been no faults for longer than the cancellation timeout. */
     fun checkCancelledDependents() = pipelines.checkEnd()
 
-    // ---- answers to users ----
-
     /**
      * Checks and records [status], which [user] received in answer to a request sent at [requestedAtMillis]. Of two requests in flight,
      * the one sent before the final answer may still be answered with an earlier status.
@@ -159,7 +162,10 @@
         pipelines.checkAnswer(user)
     }
 
-    /** To be called when there have been no faults for [MAX_UNANSWERED_SECONDS]: each job must have had an answer since. */
+    /**
+     * Checks that each accepted job that was not reported cancelled has been answered for within the last [MAX_UNANSWERED_SECONDS]. To be
+     * called when there have been no faults for that long.
+     */
     fun checkAnswered() {
         for (user in users.values) {
             if (!user.accepted || user.status == "aborted") continue
@@ -171,9 +177,7 @@
         }
     }
 
-    // ---- waiting jobs ----
-
-    /** To be called periodically: no job may wait for [MAX_WAIT_WITH_CAPACITY_SECONDS] while it could start. */
+    /** Checks that no job waits for [MAX_WAIT_WITH_CAPACITY_SECONDS] while it could start. To be called periodically. */
     fun checkWaiting() {
         val faultFreeSinceMillis = faultFreeSinceMillis ?: return
         for (user in users.values) {
@@ -204,7 +208,10 @@
         }
     }
 
-    /** Of each class, each team and each class's largest jobs, half must have started within [MAX_START_DELAY_SECONDS] of their release. */
+    /**
+     * Checks that at least half of the jobs of each class, of each team, and of the largest jobs of each class have started within
+     * [MAX_START_DELAY_SECONDS] of their release.
+     */
     fun checkStartDelays() {
         val counted = users.values.filter {
             it.accepted && it.cancelRequestedAtMillis == null && pipelines.releasedAtMillis(it) != null &&
@@ -231,7 +238,7 @@
         const val MAX_START_DELAY_SECONDS = 240.0
         const val LARGEST_JOBS_ONE_IN = 5
 
-        /** A controller that neither reads the state service nor hears its peers stops starting tasks this soon; clock drift included. */
+        /** Within this time a controller without contact to the state service and its peers stops starting tasks, clock drift included. */
         const val MAX_START_AFTER_CANCEL_SECONDS = 3.2
     }
 }
--- a/src/test/kotlin/copperglade/sim/SiteScale.kt
+++ b/src/test/kotlin/copperglade/sim/SiteScale.kt
@@ -2,7 +2,7 @@
 
 import copperglade.storage.StateLimits
 
-/** The size of a simulated site, and the limits that its platform sets. */
+/** The size of a simulated site, and the limits that the platform sets for it. */
 class SiteScale(
     val machinesPerZone: Int = 4,
     val heartbeatIntervalSeconds: Double = 1.5,
--- a/src/test/kotlin/copperglade/sim/WireDigest.kt
+++ b/src/test/kotlin/copperglade/sim/WireDigest.kt
@@ -3,11 +3,11 @@
 import java.io.OutputStream
 import java.security.MessageDigest
 
-/** Folds every wire event into a SHA-256 digest, and copies what it digests to [trace] if there is one. */
+/** Computes a SHA-256 digest of all wire events. The digested bytes are copied to [trace], unless it is null. */
 class WireDigest(private val trace: OutputStream? = null) : WireObserver {
     private val digest = MessageDigest.getInstance("SHA-256")
 
-    /** Events so far. */
+    /** The number of events so far. */
     var messages = 0L
         private set
 
@@ -26,7 +26,7 @@
         trace?.write(bytes)
     }
 
-    /** The first [DIGITS] hexadecimal digits of the digest of all events; to be called once, at the end. */
+    /** Returns the first [DIGITS] hexadecimal digits of the digest of all events. To be called once, at the end. */
     fun hex(): String = digest.digest().joinToString("") { "%02x".format(it) }.take(DIGITS)
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/WireObserver.kt
+++ b/src/test/kotlin/copperglade/sim/WireObserver.kt
@@ -10,16 +10,16 @@
     ANSWER_SENT,
     ANSWER_DELIVERED,
 
-    /** The caller gives up: no answer came within its timeout, or nobody listens at the address. */
+    /** The call fails: its timeout expired without an answer, or no process listens at the address. */
     UNANSWERED,
 
     /** A duplicate of a heartbeat reaches its receiver. */
     COPY_DELIVERED,
 
-    /** The state service carries out a transaction long after it was sent. */
+    /** The state service applies a transaction long after it was sent. */
     LATE_WRITE,
 
-    /** An answer to a duplicate or to a late transaction, which nobody receives. */
+    /** An answer to a duplicate or to a late transaction is dropped by the network. */
     ANSWER_DISCARDED,
 }
 
@@ -29,7 +29,7 @@
  */
 class WireEvent(val step: WireStep, val atMillis: Double, val from: String, val to: String, val request: Request, val reply: Reply?)
 
-/** Observes every message of a [SimNetwork] without any influence on it. */
+/** Observes every message of a [SimNetwork] without changing it. */
 fun interface WireObserver {
     /** Called in the order in which the steps happen in simulated time. */
     fun observe(event: WireEvent)
