--- a/src/test/kotlin/copperglade/sim/NetworkFaults.kt
+++ b/src/test/kotlin/copperglade/sim/NetworkFaults.kt
@@ -32,9 +32,9 @@
     /** Ends all cuts, and transmits the messages that were held back, however old they are. */
     fun heal() {
         cuts.clear()
-        val late = heldMessages.toList()
+        val released = heldMessages.toList()
         heldMessages.clear()
-        late.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
+        released.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
     }
 
     /** Whether a request is lost as soon as it is sent. */
@@ -79,10 +79,10 @@
     /** Ends the refusal of the caller [name], and sends the answers that were withheld from it. */
     fun serveCaller(name: String) {
         refusedCallers -= name
-        val (now, later) = withheldAnswers.partition { it.caller == name }
+        val (released, remaining) = withheldAnswers.partition { it.caller == name }
         withheldAnswers.clear()
-        withheldAnswers += later
-        now.forEach { it.send() }
+        withheldAnswers += remaining
+        released.forEach { it.send() }
     }
 
     protected fun isRefused(name: String) = name in refusedCallers
--- a/src/test/kotlin/copperglade/sim/PipelineReferee.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineReferee.kt
@@ -30,19 +30,19 @@
     private val cancelMillis: Double,
     private val breach: (String, String) -> Unit,
 ) {
-    private val predecessors = HashMap<JobId, Set<SimUser>>()
+    private val allDependencies = HashMap<JobId, Set<SimUser>>()
     private val returnedAsOverdue = HashSet<JobId>()
 
     /** Returns the users of all direct and indirect dependencies of [user]'s job. All were submitted before it, so the set is final. */
-    private fun predecessorsOf(user: SimUser): Set<SimUser> = predecessors[user.spec.id] ?: run {
+    private fun allDependenciesOf(user: SimUser): Set<SimUser> = allDependencies[user.spec.id] ?: run {
         val direct = user.dependencies.mapNotNull { users[it] }
-        val all = direct + direct.flatMap { predecessorsOf(it) }
-        all.toSet().also { predecessors[user.spec.id] = it }
+        val all = direct + direct.flatMap { allDependenciesOf(it) }
+        all.toSet().also { allDependencies[user.spec.id] = it }
     }
 
     /** Returns when the last dependency of [user]'s job was done, or the job was submitted if that is later; null while it is blocked. */
     fun releasedAtMillis(user: SimUser): Double? =
-        predecessorsOf(user).maxOfOrNull { it.completedAtMillis ?: return null }?.let { maxOf(it, user.requestedAtMillis) }
+        allDependenciesOf(user).maxOfOrNull { it.completedAtMillis ?: return null }?.let { maxOf(it, user.requestedAtMillis) }
             ?: user.requestedAtMillis
 
     /**
@@ -53,52 +53,54 @@
 
     private fun inheritedCancellationAtMillis(user: SimUser): Double? {
         val acceptedAtMillis = user.acceptedAtMillis ?: return null
-        val confirmedAt = predecessorsOf(user).mapNotNull { it.cancelledAtMillis }.minOrNull() ?: return null
-        return maxOf(acceptedAtMillis, confirmedAt)
+        val confirmedAtMillis = allDependenciesOf(user).mapNotNull { it.cancelledAtMillis }.minOrNull() ?: return null
+        return maxOf(acceptedAtMillis, confirmedAtMillis)
     }
 
     /** Whether a user has requested to cancel a dependency of [user]'s job that was not reported done. */
     fun dependencyCancelRequested(user: SimUser): Boolean =
-        predecessorsOf(user).any { it.cancelRequestedAtMillis != null && it.status != "done" }
+        allDependenciesOf(user).any { it.cancelRequestedAtMillis != null && it.status != "done" }
 
     /** Checks at the start of [task], which belongs to [user]'s job, that all dependencies are done. */
     fun checkStart(user: SimUser, task: TaskId) {
-        val pending = predecessorsOf(user).firstOrNull { it.completedAtMillis == null } ?: return
+        val pending = allDependenciesOf(user).firstOrNull { it.completedAtMillis == null } ?: return
         breach("too_early", "$task before ${pending.spec.id} is done")
     }
 
     /** Checks the status in the latest answer to [user]. */
     fun checkAnswer(user: SimUser) {
         when (user.status) {
-            "aborted" -> checkReason(user)
+            "aborted" -> checkCancelRequested(user)
             "done" -> {
                 checkNotAfterCancelled(user)
-                successorsOf(user).filter { it.status == "aborted" }.forEach(::checkReason)
+                allDependentsOf(user).filter { it.status == "aborted" }.forEach(::checkCancelRequested)
             }
             else -> if (isOverdue(user)) breach("orphaned", "${user.spec.id} is reported as ${user.status}")
         }
-        if (user.status == "aborted") successorsOf(user).forEach(::checkNotAfterCancelled)
+        if (user.status == "aborted") allDependentsOf(user).forEach(::checkNotAfterCancelled)
     }
 
-    private fun successorsOf(user: SimUser) = users.values.filter { user in predecessorsOf(it) }
+    private fun allDependentsOf(user: SimUser) = users.values.filter { user in allDependenciesOf(it) }
 
-    private fun checkReason(user: SimUser) {
+    private fun checkCancelRequested(user: SimUser) {
         if (user.cancelRequestedAtMillis == null && !dependencyCancelRequested(user)) breach("went_back", "${user.spec.id} without request")
     }
 
     private fun checkNotAfterCancelled(user: SimUser) {
-        val cancelled = predecessorsOf(user).firstOrNull { it.status == "aborted" } ?: return
+        val cancelled = allDependenciesOf(user).firstOrNull { it.status == "aborted" } ?: return
         if (user.status == "done") breach("orphaned", "${user.spec.id} is reported done after ${cancelled.spec.id} was cancelled")
     }
 
     private fun isOverdue(user: SimUser) = inheritedCancellationAtMillis(user)?.let { now() - it > cancelMillis } ?: false
 
     /** Returns the users whose jobs must be reported cancelled from now on and have not been; each is returned once. */
-    fun overdue(): List<SimUser> =
-        users.values.filter { it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && returnedAsOverdue.add(it.spec.id) }
+    fun overdueCancellations(): List<SimUser> =
+        users.values.filter {
+            it.dependencies.isNotEmpty() && !it.finished && isOverdue(it) && returnedAsOverdue.add(it.spec.id)
+        }
 
     /** Checks that all dependents of cancelled jobs have been reported cancelled. */
-    fun checkEnd() = users.values
+    fun checkCancelledDependents() = users.values
         .filter { it.status != "aborted" && isOverdue(it) }
         .forEach { breach("orphaned", "${it.spec.id} was last reported as ${it.status}") }
 }
--- a/src/test/kotlin/copperglade/sim/Scenarios.kt
+++ b/src/test/kotlin/copperglade/sim/Scenarios.kt
@@ -49,7 +49,7 @@
 }
 
 /** Asserts that the referee has recorded a breach of [rule]. */
-fun SimSite.assertBreachRecorded(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "no breach of $rule in $breaches")
+fun SimSite.assertBreachRecorded(rule: String) = assertTrue(breaches.any { it.startsWith("$rule ") }, "no such breach in $breaches")
 
 /** Lets time pass until [holds] returns true, and fails after [timeoutSeconds]. */
 fun SimSite.await(timeoutSeconds: Double, holds: () -> Boolean) {
--- a/src/test/kotlin/copperglade/sim/SimMachines.kt
+++ b/src/test/kotlin/copperglade/sim/SimMachines.kt
@@ -39,7 +39,7 @@
 
     /** The workers of the machines that are up, in the order in which these booted. */
     val workers: Collection<StandInWorker> get() = workersByName.values
-    val names: Collection<String> get() = workersByName.keys
+    val workerNames: Collection<String> get() = workersByName.keys
 
     /** The number of expired leases, each of which made its worker begin an epoch, plus the number of terminated machines. */
     val leasesOrMachinesLost: Long get() = workers.sumOf { it.epoch - 1 } + machines.count { it.gone }
@@ -62,7 +62,7 @@
 
     /** Cuts the power of the machine at [index]. The machine boots again within 0.7 s, and its worker's sequence numbers restart. */
     fun reboot(index: Int) {
-        val name = names.elementAtOrNull(index) ?: return
+        val name = workerNames.elementAtOrNull(index) ?: return
         val machine = machines.first { it.name == name }
         workersByName.remove(name)?.die()
         sim.after(100.0 + sim.random.nextInt(600)) { if (!machine.gone) boot(machine) }
--- a/src/test/kotlin/copperglade/sim/SimNetwork.kt
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -78,17 +78,17 @@
                 refusals++
                 return answer(host, path, request, Reply(UNAVAILABLE))
             }
-            val late = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
-            if (late) return applyLate(request)
+            val appliesLate = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
+            if (appliesLate) return applyLate(request)
             // A restarted process may have replaced the listener while the request was in transit.
-            hosts[to]?.let { present -> present.loop.whenNotFrozen { handle(host, present, path, request) } }
+            hosts[to]?.let { receiver -> receiver.loop.whenNotFrozen { handle(host, receiver, path, request) } }
         }
 
-        private fun handle(host: Host, present: Host, path: String, request: Request) {
-            if (!present.loop.alive) return
-            observe(WireStep.REQUEST_DELIVERED, from, present.name, request)
-            present.loop.guard {
-                present.handler.handle(Request(request.method, request.path, request.body)) { reply ->
+        private fun handle(host: Host, receiver: Host, path: String, request: Request) {
+            if (!receiver.loop.alive) return
+            observe(WireStep.REQUEST_DELIVERED, from, receiver.name, request)
+            receiver.loop.guard {
+                receiver.handler.handle(Request(request.method, request.path, request.body)) { reply ->
                     if (host.name == STATE && isRefused(from)) {
                         withholdAnswer(from) { answer(host, path, request, reply) }
                     } else {
@@ -108,12 +108,12 @@
 
         private fun duplicate(request: Request) {
             sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMillis)) {
-                val present = hosts[to]
-                if (present != null && present.loop.alive) {
+                val receiver = hosts[to]
+                if (receiver != null && receiver.loop.alive) {
                     duplicatesDelivered++
                     val copy = Request(request.method, request.path, tamperDuplicate(request.body))
-                    observe(WireStep.COPY_DELIVERED, from, present.name, copy)
-                    present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
+                    observe(WireStep.COPY_DELIVERED, from, receiver.name, copy)
+                    receiver.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, receiver.name, from, copy, it) }
                 }
             }
         }
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -39,6 +39,7 @@
     private val configuredLeaseSeconds: Double = scale.leaseSeconds,
     private val configuredCpusMax: Double = scale.teamCpus,
     private val configuredCancelSeconds: Double = scale.cancelSeconds,
+    /** The number of controllers. */
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
     /** Another staleness limit for the controllers of the first zone, for tests of the referee. */
@@ -57,7 +58,7 @@
     val state = StandInState(externalLoop)
     private val referee = SiteReferee(sim, scale, otherTeam, ::workers)
     internal val machines = SimMachines(sim, network, externalLoop, scale, referee, slowMachine, nodes)
-    private val userAgents = SimUsers(sim, network, externalLoop, nodes, referee)
+    private val simUsers = SimUsers(sim, network, externalLoop, nodes, referee)
     internal val controllers = SimControllers(sim, network, ::settings, ::operatorSettingsOf, faultsEndProcess) { violation ->
         referee.breach("invariant", "${violation.invariant}: ${violation.detail}")
     }
@@ -116,7 +117,7 @@
 
     fun zoneOf(workerName: String): String = machines.worker(workerName).zone
 
-    fun workerNames(): List<String> = machines.names.toList()
+    fun workerNames(): List<String> = machines.workerNames.toList()
 
     fun workerCount() = machines.workers.size
 
@@ -143,23 +144,23 @@
 
     /** Submits a job with [dependencies], all of which must have been submitted before. [workSeconds] is described at [SimUser]. */
     fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), workSeconds: (Int) -> Double?) =
-        userAgents.submit(spec, dependencies, workSeconds)
+        simUsers.submit(spec, dependencies, workSeconds)
 
-    fun cancel(id: JobId) = userAgents.cancel(id)
+    fun cancel(id: JobId) = simUsers.cancel(id)
 
-    fun repeatSubmission(user: SimUser) = userAgents.repeatSubmission(user)
+    fun repeatSubmission(user: SimUser) = simUsers.repeatSubmission(user)
 
     /** Sends a poll in addition to the periodic ones, through a random controller. */
-    fun poll(id: JobId) = userAgents.poll(id)
+    fun poll(id: JobId) = simUsers.poll(id)
 
-    fun poll(id: JobId, node: Int) = userAgents.poll(id, node)
+    fun poll(id: JobId, node: Int) = simUsers.poll(id, node)
 
-    fun sendOddRequest() = userAgents.sendOddRequest()
+    fun sendOddRequest() = simUsers.sendOddRequest()
 
     /** Sends a request through a random controller, as the load balancer would. */
-    fun request(request: Request, done: (Reply?) -> Unit) = userAgents.request(request, done)
+    fun request(request: Request, done: (Reply?) -> Unit) = simUsers.request(request, done)
 
-    fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) = userAgents.requestAt(node, request, done)
+    fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) = simUsers.requestAt(node, request, done)
 
     val breaches: List<String> get() = referee.breaches
     val starts: Int get() = referee.starts
@@ -187,7 +188,7 @@
                 nextCheckMillis = sim.nowMillis + CHECK_INTERVAL_MILLIS
                 referee.checkCancelled()
                 referee.checkWaiting()
-                referee.overdue().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
+                referee.overdueCancellations().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
             }
         }
     }
--- a/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
+++ b/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
@@ -46,7 +46,7 @@
         network.cut(name, "cloud")
         peersOf(node).forEach { network.cut(name, it) }
     }
-    if (from != "state") machines.names.forEach { network.cut(name, it) }
+    if (from != "state") machines.workerNames.forEach { network.cut(name, it) }
 }
 
 /** Cuts a controller off from the state service, the cloud and the other controllers, but not from its workers. */
@@ -63,14 +63,14 @@
 
 /** Cuts the machine off from all controllers. */
 fun SimSite.cutMachine(index: Int) {
-    val worker = machines.names.elementAtOrNull(index) ?: return
-    controllerNames().forEach { network.cut(it, worker) }
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return
+    controllerNames().forEach { network.cut(it, workerName) }
 }
 
 /** Cuts the machine off from all controllers but [node]. */
 fun SimSite.cutMachineFromOthers(index: Int, node: Int) {
-    val worker = machines.names.elementAtOrNull(index) ?: return
-    peersOf(node).forEach { network.cut(it, worker) }
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return
+    peersOf(node).forEach { network.cut(it, workerName) }
 }
 
 /**
@@ -78,20 +78,20 @@
  * machine, or null if there is none at [index].
  */
 fun SimSite.cutTrafficToMachine(index: Int): String? {
-    val worker = machines.names.elementAtOrNull(index) ?: return null
-    controllerNames().forEach { network.cutOneWay(it, worker) }
-    return worker
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return null
+    controllerNames().forEach { network.cutOneWay(it, workerName) }
+    return workerName
 }
 
 /** Holds back the messages from these machines to controllers, but not those in the other direction. */
 fun SimSite.holdHeartbeats(workers: Collection<String>) =
-    workers.forEach { worker -> controllerNames().forEach { network.cutOneWay(worker, it) } }
+    workers.forEach { workerName -> controllerNames().forEach { network.cutOneWay(workerName, it) } }
 
 /** Cuts a zone's controllers and machines off from all hosts outside the zone. */
 fun SimSite.cutZone(zone: String) {
     val controllersIn = (0 until nodes).filter { zoneOfController(it) == zone }.map(SimAddresses::controllerName)
     val machinesIn = machines.workers.filter { it.zone == zone }.map { it.name }
-    val outside = controllerNames() - controllersIn.toSet() + (machines.names - machinesIn.toSet())
+    val outside = controllerNames() - controllersIn.toSet() + (machines.workerNames - machinesIn.toSet())
     for (inside in controllersIn + machinesIn) {
         (outside + listOf("state", "cloud", "users")).forEach { network.cut(inside, it) }
     }
--- a/src/test/kotlin/copperglade/sim/SimUsers.kt
+++ b/src/test/kotlin/copperglade/sim/SimUsers.kt
@@ -59,7 +59,7 @@
     }
 
     /** Sends a poll in addition to the periodic ones. */
-    fun poll(id: JobId, node: Int = anyNode()) {
+    fun poll(id: JobId, node: Int = randomNode()) {
         val user = users.getValue(id)
         val requestedAtMillis = sim.nowMillis
         requestAt(node, Request(Method.GET, "/submissions/$id")) { reply ->
@@ -130,9 +130,9 @@
     private fun <T> List<T>.pickRandom(): T? = if (isEmpty()) null else this[sim.random.nextInt(size)]
 
     /** Sends a request through a random controller, as the load balancer would. */
-    fun request(request: Request, done: (Reply?) -> Unit) = requestAt(anyNode(), request, done)
+    fun request(request: Request, done: (Reply?) -> Unit) = requestAt(randomNode(), request, done)
 
-    private fun anyNode() = sim.random.nextInt(nodes)
+    private fun randomNode() = sim.random.nextInt(nodes)
 
     fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) {
         network.callerOf("users", loop).call(SimAddresses.client(node), request, 5.seconds, done)
--- a/src/test/kotlin/copperglade/sim/SiteFault.kt
+++ b/src/test/kotlin/copperglade/sim/SiteFault.kt
@@ -10,16 +10,16 @@
         after(seconds) { state.outage = false }
     }),
     LEADER_REFUSED({ seconds -> (leader() ?: 0).let { node -> refuseController(node).also { after(seconds) { serveController(node) } } } }),
-    CONTROLLER_ISOLATED({ seconds -> isolateController(anyNode()).also { after(seconds) { heal() } } }),
-    CONTROLLER_CUT_FROM_WORKERS({ seconds -> cutController(anyNode(), "workers").also { after(seconds) { heal() } } }),
+    CONTROLLER_ISOLATED({ seconds -> isolateController(randomNode()).also { after(seconds) { heal() } } }),
+    CONTROLLER_CUT_FROM_WORKERS({ seconds -> cutController(randomNode(), "workers").also { after(seconds) { heal() } } }),
     ZONE_CUT({ seconds -> cutZone(SimSite.ZONES[sim.random.nextInt(2)]).also { after(seconds) { heal() } } }),
     PEERS_CUT({ seconds -> cutPeers().also { after(seconds) { heal() } } }),
     LEADER_CRASH({ _ -> crash(leader() ?: 0, 150.0 + sim.random.nextInt(5000)) }),
     ALL_CONTROLLERS_CRASH({ _ -> (0 until nodes).forEach { crash(it, 200.0 + sim.random.nextInt(9000)) } }),
-    CONTROLLER_FROZEN({ seconds -> freezeController(anyNode(), seconds * 1000) }),
-    COMMANDS_LOST({ seconds -> loseCommandsTo(someWorkers()).also { after(seconds) { stopLosingMessages() } } }),
-    MACHINE_REQUESTS_LOST({ seconds -> loseRequestsFrom(someWorkers()).also { after(seconds) { stopLosingMessages() } } }),
-    HEARTBEATS_HELD_BACK({ seconds -> holdHeartbeats(someWorkers()).also { after(seconds) { heal() } } }),
+    CONTROLLER_FROZEN({ seconds -> freezeController(randomNode(), seconds * 1000) }),
+    COMMANDS_LOST({ seconds -> loseCommandsTo(randomWorkers()).also { after(seconds) { stopLosingMessages() } } }),
+    MACHINE_REQUESTS_LOST({ seconds -> loseRequestsFrom(randomWorkers()).also { after(seconds) { stopLosingMessages() } } }),
+    HEARTBEATS_HELD_BACK({ seconds -> holdHeartbeats(randomWorkers()).also { after(seconds) { heal() } } }),
     MACHINES_HANG({ seconds -> repeat(3) { hang(sim.random.nextInt(8))?.let { worker -> after(seconds) { worker.resume() } } } }),
     MACHINE_KILLED({ _ -> if (workerCount() > 0) killMachine(sim.random.nextInt(workerCount())) }),
     MACHINE_REBOOTED({ _ -> if (workerCount() > 0) rebootMachine(sim.random.nextInt(workerCount())) }),
@@ -45,6 +45,6 @@
 /** Calls [action] after [seconds] of simulated time. */
 internal fun SimSite.after(seconds: Double, action: () -> Unit) = sim.after(seconds * 1000, action)
 
-private fun SimSite.anyNode() = sim.random.nextInt(nodes)
+private fun SimSite.randomNode() = sim.random.nextInt(nodes)
 
-private fun SimSite.someWorkers() = workerNames().filter { sim.random.nextInt(3) == 0 }
+private fun SimSite.randomWorkers() = workerNames().filter { sim.random.nextInt(3) == 0 }
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -24,7 +24,7 @@
     /** Every broken rule: its name, the time in seconds, and the observation. */
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, SimUser>()
-    private val pipelines = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
+    private val pipelineReferee = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
     private val runningOn = HashMap<TaskId, StandInWorker>()
 
     /** The zones of each job's running tasks. */
@@ -81,7 +81,7 @@
         val user = users.getValue(task.job)
         if (!user.spec.allows(worker.type, worker.zone, worker.spot)) breach("wrong_place", "$task on ${worker.name}")
         user.waitingSinceMillis = null
-        pipelines.checkStart(user, task)
+        pipelineReferee.checkStart(user, task)
         if (user.firstStartAtMillis == null) user.firstStartAtMillis = sim.nowMillis
         checkZones(user, task, worker)
         if (before == null) usedCpus.merge(user.spec.team, user.spec.request.cpus, Double::plus)
@@ -122,7 +122,7 @@
     }
 
     private fun checkCancelled(task: TaskId) {
-        val cancelledAtMillis = pipelines.cancelledAtMillis(users.getValue(task.job)) ?: return
+        val cancelledAtMillis = pipelineReferee.cancelledAtMillis(users.getValue(task.job)) ?: return
         if (sim.nowMillis - cancelledAtMillis > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
@@ -135,17 +135,17 @@
         for (command in node.get("dispatches") ?: return) {
             if (command.stringOrNull("order") != "start") continue
             val task = TaskId.parse(command.stringOrNull("box")!!)!!
-            val cancelledAtMillis = users[task.job]?.let(pipelines::cancelledAtMillis) ?: continue
+            val cancelledAtMillis = users[task.job]?.let(pipelineReferee::cancelledAtMillis) ?: continue
             val sinceMillis = sim.nowMillis - cancelledAtMillis
             if (cancellationsReplicatedAtOnce || sinceMillis > MAX_START_AFTER_CANCEL_SECONDS * 1000) breach("started_cancelled", "$task")
         }
     }
 
     /** Returns the users who have to poll every controller now, since their jobs must be reported cancelled from now on. */
-    fun overdue(): List<SimUser> = pipelines.overdue()
+    fun overdueCancellations(): List<SimUser> = pipelineReferee.overdueCancellations()
 
     /** Checks the dependents of cancelled jobs. To be called when there have been no faults for longer than the cancellation timeout. */
-    fun checkCancelledDependents() = pipelines.checkEnd()
+    fun checkCancelledDependents() = pipelineReferee.checkCancelledDependents()
 
     /**
      * Checks and records [status], which [user] received in answer to a request sent at [requestedAtMillis]. Of two requests in flight,
@@ -159,7 +159,7 @@
         if (status == "done" && user.doneTasks.size < user.spec.tasks) breach("not_done", "${user.spec.id}")
         if (status == "aborted" && user.cancelledAtMillis == null) user.cancelledAtMillis = sim.nowMillis
         user.status = status
-        pipelines.checkAnswer(user)
+        pipelineReferee.checkAnswer(user)
     }
 
     /**
@@ -169,11 +169,7 @@
     fun checkAnswered() {
         for (user in users.values) {
             if (!user.accepted || user.status == "aborted") continue
-            if (sim.nowMillis - user.lastAnswerAtMillis >
-                MAX_UNANSWERED_SECONDS * 1000
-            ) {
-                breach("forgotten", "${user.spec.id} gets no answer")
-            }
+            if (sim.nowMillis - user.lastAnswerAtMillis > MAX_UNANSWERED_SECONDS * 1000) breach("forgotten", "${user.spec.id} unanswered")
         }
     }
 
@@ -181,7 +177,7 @@
     fun checkWaiting() {
         val faultFreeSinceMillis = faultFreeSinceMillis ?: return
         for (user in users.values) {
-            val blocked = pipelines.releasedAtMillis(user) == null || pipelines.dependencyCancelRequested(user)
+            val blocked = pipelineReferee.releasedAtMillis(user) == null || pipelineReferee.dependencyCancelRequested(user)
             if (!user.accepted || user.finished || user.cancelRequestedAtMillis != null || blocked || !couldStart(user)) {
                 user.waitingSinceMillis = null
                 continue
@@ -214,17 +210,17 @@
      */
     fun checkStartDelays() {
         val counted = users.values.filter {
-            it.accepted && it.cancelRequestedAtMillis == null && pipelines.releasedAtMillis(it) != null &&
-                !pipelines.dependencyCancelRequested(it)
+            it.accepted && it.cancelRequestedAtMillis == null && pipelineReferee.releasedAtMillis(it) != null &&
+                !pipelineReferee.dependencyCancelRequested(it)
         }
         val groups = counted.groupBy { "class ${it.spec.workloadClass}" } + counted.groupBy { "team ${it.spec.team}" } +
-            counted.groupBy { it.spec.workloadClass }.map { (load, members) ->
+            counted.groupBy { it.spec.workloadClass }.map { (workloadClass, members) ->
                 val largest = (members.size + LARGEST_JOBS_ONE_IN - 1) / LARGEST_JOBS_ONE_IN
-                "largest of $load" to members.sortedByDescending { it.spec.tasks }.take(largest)
+                "largest of $workloadClass" to members.sortedByDescending { it.spec.tasks }.take(largest)
             }
         for ((group, members) in groups) {
             val served = members.count { user ->
-                user.firstStartAtMillis?.let { it - pipelines.releasedAtMillis(user)!! <= MAX_START_DELAY_SECONDS * 1000 } ?: false
+                user.firstStartAtMillis?.let { it - pipelineReferee.releasedAtMillis(user)!! <= MAX_START_DELAY_SECONDS * 1000 } ?: false
             }
             if (served * 2 < members.size) breach("unserved", "$served of ${members.size} of $group")
         }
