--- a/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -29,33 +29,33 @@
  */
 @Command(name = "rehearse", hidden = true, description = ["Loads the program's classes once; used by the build."])
 class ClassDataSharingTraining : Callable<Int> {
-    private var storeRevision = 1L
+    private var stateRevision = 1L
 
     override fun call(): Int {
         val loop = NettyEventLoop()
-        val ports = List(PORTS) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
-        val outside = RequestHandler { request, responder -> replyAsOutside(loop, request, responder) }
-        NettyHttpServer(loop, CONNECTIONS, handler = outside).listen(Endpoint("127.0.0.1", ports[0]))
+        val ports = List(PORT_COUNT) { ServerSocket(0) }.onEach { it.close() }.map { it.localPort }
+        val externalServices = RequestHandler { request, responder -> replyAsExternalService(loop, request, responder) }
+        NettyHttpServer(loop, CONNECTION_LIMIT, handler = externalServices).listen(Endpoint("127.0.0.1", ports[0]))
         ControllerLauncher.start(settings(ports), OperatorSettings())
-        val rounds = Rounds(loop, NettyHttpClient(loop, ProcessHeap.maxBytes), ports)
-        loop.after(START_DELAY) { rounds.run(1) }
-        rounds.finished.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        val requestRounds = RequestRounds(loop, NettyHttpClient(loop, ProcessHeap.maxBytes), ports)
+        loop.after(START_DELAY) { requestRounds.run(1) }
+        requestRounds.finished.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         return 0
     }
 
     /** Rounds of a user's and a worker's requests to the controller. */
-    private inner class Rounds(private val loop: NettyEventLoop, private val http: NettyHttpClient, private val ports: List<Int>) {
-        val finished = CountDownLatch(ROUNDS)
+    private inner class RequestRounds(private val loop: NettyEventLoop, private val http: NettyHttpClient, private val ports: List<Int>) {
+        val finished = CountDownLatch(ROUND_COUNT)
         private val controller = Endpoint("127.0.0.1", ports[1])
 
         fun run(number: Int) {
             send(Request(Method.GET, "/healthz"))
-            send(Request(Method.POST, "/submissions", JOB.toByteArray()))
+            send(Request(Method.POST, "/submissions", SUBMISSION_JSON.toByteArray()))
             send(Request(Method.GET, "/submissions/job-1"))
             send(Request(Method.POST, "/checkin", heartbeat(number, ports[0]).toByteArray()))
             loop.after(ROUND_INTERVAL) {
                 finished.countDown()
-                if (number < ROUNDS) run(number + 1)
+                if (number < ROUND_COUNT) run(number + 1)
             }
         }
 
@@ -63,15 +63,15 @@
     }
 
     /** Replies as the state service, the cloud and a worker would. */
-    private fun replyAsOutside(loop: NettyEventLoop, request: Request, responder: Responder) {
+    private fun replyAsExternalService(loop: NettyEventLoop, request: Request, responder: Responder) {
         val path = request.path
         val text = when {
-            path == "/holds" -> """{"permit":${++storeRevision}}"""
+            path == "/holds" -> """{"permit":${++stateRevision}}"""
             path.startsWith("/holds/") -> "{}"
-            path.startsWith("/kv?") -> """{"entries":[],"truncated":false,"ledger":$storeRevision}"""
-            path == "/multi" -> """{"ledger":${++storeRevision}}"""
-            path.startsWith("/changes") -> """{"ledger":$storeRevision,"events":[]}"""
-            path == "/machine_types" -> TYPES
+            path.startsWith("/kv?") -> """{"entries":[],"truncated":false,"ledger":$stateRevision}"""
+            path == "/multi" -> """{"ledger":${++stateRevision}}"""
+            path.startsWith("/changes") -> """{"ledger":$stateRevision,"events":[]}"""
+            path == "/machine_types" -> MACHINE_TYPES_JSON
             path.startsWith("/machines?") -> """{"trucks":[],"truncated":false}"""
             path == "/do" -> heartbeat(COMMAND_REPLY_SEQUENCE_NUMBER, 1)
             else -> null
@@ -85,7 +85,7 @@
         "boxes":[{"box":"job-1/0","trip":1,"status":"running"}]}"""
 
     private fun settings(ports: List<Int>): PlatformSettings {
-        val outside = "127.0.0.1:${ports[0]}"
+        val externalServices = "127.0.0.1:${ports[0]}"
         val bytes = Json.write {
             writeJsonObject {
                 writeStringField("member", "rehearsal")
@@ -100,32 +100,32 @@
                 }
                 writeEndArray()
                 writeJsonObject("outside") {
-                    writeStringField("cloud", outside)
-                    writeStringField("state", outside)
+                    writeStringField("cloud", externalServices)
+                    writeStringField("state", externalServices)
                 }
                 writeFieldName("deployment")
-                writeRawValue(DEPLOYMENT)
+                writeRawValue(DEPLOYMENT_JSON)
             }
         }
         return PlatformSettingsParser.parse(bytes)
     }
 
     private companion object {
-        const val PORTS = 3
-        const val CONNECTIONS = 100
-        const val ROUNDS = 30
+        const val PORT_COUNT = 3
+        const val CONNECTION_LIMIT = 100
+        const val ROUND_COUNT = 30
         const val TIMEOUT_SECONDS = 20L
         const val COMMAND_REPLY_SEQUENCE_NUMBER = 100_000
         val START_DELAY = 500.milliseconds
         val ROUND_INTERVAL = 100.milliseconds
         val REQUEST_TIMEOUT = 1.seconds
         val REPLY_DELAY = 2.milliseconds
-        const val TYPES = """{"fleets":[{"name":"small","vcpus":4,"gpus":0,"memoryGb":16,"localGb":20,"pullGbPerS":1.0,
+        const val MACHINE_TYPES_JSON = """{"fleets":[{"name":"small","vcpus":4,"gpus":0,"memoryGb":16,"localGb":20,"pullGbPerS":1.0,
             "price":1.0,"lowPrice":0.5,"bootS":30,"depots":["here"]}]}"""
-        const val JOB = """{"nameId":"job-1","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":2,"vcpus":1.0,
+        const val SUBMISSION_JSON = """{"nameId":"job-1","load":"l","crew":"t","haul":"array","urgency":"normal","boxes":2,"vcpus":1.0,
             "gpus":0.0,"memoryGb":1.0,"manifest":"img-1","pullGb":1.0,"fleets":null,"depot":null,"oneZone":false,
             "spread":false,"borrowed":true,"etaS":5.0,"waypointS":0.0,"unloadS":0.0,"dueS":20.0}"""
-        const val DEPLOYMENT = """{"nodes":1,"zones":["here"],"teams":[{"name":"t","cpus":0.0,"cpus_max":0.0,"gpus":0.0,
+        const val DEPLOYMENT_JSON = """{"nodes":1,"zones":["here"],"teams":[{"name":"t","cpus":0.0,"cpus_max":0.0,"gpus":0.0,
             "gpus_max":0.0}],"workers":{"report_s":1.0,"lease_s":5.0,"cancel_s":20.0},"state":{"rps":200.0,
             "write_rps":50.0,"value_kb":4.0,"txn_ops":12},"cloud":{"rps":5.0,"list_lag_s":1.0},
             "resources":{"fd_limit":500}}"""
--- a/src/main/kotlin/copperglade/app/ControllerLauncher.kt
+++ b/src/main/kotlin/copperglade/app/ControllerLauncher.kt
@@ -22,10 +22,10 @@
         val loop = NettyEventLoop()
         val heapBytes = HeapBudget.bytes(settings.memoryMb, ProcessHeap)
         val unlimitedEndpoints = settings.peers.mapTo(hashSetOf(settings.state, settings.cloud)) { it.endpoint }
-        val client = NettyHttpClient(loop, heapBytes, limits.workers, unlimitedEndpoints)
+        val client = NettyHttpClient(loop, heapBytes, limits.outboundWorkers, unlimitedEndpoints)
         val controller = Controller(loop, client, settings, operatorSettings, heapBytes)
-        NettyHttpServer(loop, limits.users, handler = controller.clientHandler).listen(settings.clientListen)
-        NettyHttpServer(loop, limits.peers, MAX_PEER_MESSAGE_BYTES, controller.clusterHandler).listen(settings.clusterListen)
+        NettyHttpServer(loop, limits.inboundClients, handler = controller.clientHandler).listen(settings.clientListen)
+        NettyHttpServer(loop, limits.inboundPeers, MAX_PEER_MESSAGE_BYTES, controller.clusterHandler).listen(settings.clusterListen)
         loop.after(Duration.ZERO) {
             controller.start()
             HeapMonitor(loop, ProcessHeap, heapBytes).start()
--- a/src/main/kotlin/copperglade/app/Heap.kt
+++ b/src/main/kotlin/copperglade/app/Heap.kt
@@ -9,7 +9,7 @@
     val maxBytes: Long
 
     /** Collects garbage, and returns once that is done. */
-    fun collect()
+    fun collectGarbage()
 }
 
 /** The heap of this process. */
@@ -17,5 +17,5 @@
     override val usedBytes: Long get() = Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() }
     override val maxBytes: Long get() = Runtime.getRuntime().maxMemory()
 
-    override fun collect() = System.gc()
+    override fun collectGarbage() = System.gc()
 }
--- a/src/main/kotlin/copperglade/app/HeapMonitor.kt
+++ b/src/main/kotlin/copperglade/app/HeapMonitor.kt
@@ -7,31 +7,31 @@
 
 /** Collects garbage before the heap outgrows its budget. */
 internal class HeapMonitor(private val loop: EventLoop, private val heap: Heap, private val budgetBytes: Long) {
-    private val thresholdBytes = (budgetBytes * COLLECTION_THRESHOLD).toLong()
-    private var collectedAt = loop.now() - COLLECTION_INTERVAL
+    private val thresholdBytes = (budgetBytes * COLLECTION_THRESHOLD_SHARE).toLong()
+    private var lastCollectionAt = loop.now() - COLLECTION_INTERVAL
     private var collectionInterval = COLLECTION_INTERVAL
 
     /** Checks the heap at intervals, from now on. */
     fun start() = loop.scheduleRepeating({ CHECK_INTERVAL }, ::check)
 
     private fun check() {
-        if (heap.usedBytes < thresholdBytes || loop.now() < collectedAt + collectionInterval) return
-        heap.collect()
-        collectedAt = loop.now()
-        val liveDataOverThreshold = heap.usedBytes >= thresholdBytes
+        if (heap.usedBytes < thresholdBytes || loop.now() < lastCollectionAt + collectionInterval) return
+        heap.collectGarbage()
+        lastCollectionAt = loop.now()
+        val isLiveDataOverThreshold = heap.usedBytes >= thresholdBytes
         // Collecting more often frees nothing where all of it is needed.
-        collectionInterval = if (liveDataOverThreshold) INTERVAL_OVER_THRESHOLD else COLLECTION_INTERVAL
-        if (liveDataOverThreshold) {
+        collectionInterval = if (isLiveDataOverThreshold) COLLECTION_INTERVAL_OVER_THRESHOLD else COLLECTION_INTERVAL
+        if (isLiveDataOverThreshold) {
             log.warn("heap_over_budget heap_used_bytes={} heap_budget_bytes={}", heap.usedBytes, budgetBytes)
         }
     }
 
     private companion object {
         /** As a share of the budget. */
-        const val COLLECTION_THRESHOLD = 0.93
+        const val COLLECTION_THRESHOLD_SHARE = 0.93
         val CHECK_INTERVAL = 250.milliseconds
         val COLLECTION_INTERVAL = 2.seconds
-        val INTERVAL_OVER_THRESHOLD = 30.seconds
+        val COLLECTION_INTERVAL_OVER_THRESHOLD = 30.seconds
         val log = LoggerFactory.getLogger("heap")
     }
 }
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -77,14 +77,14 @@
         loop,
         http,
         settings.state,
-        StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.valueKb, settings.transactionWrites),
+        StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.maxValueKb, settings.maxTransactionWrites),
         initialShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
     )
-    private val stalenessLimit = StalenessLimit.of(settings.leaseSeconds, settings.cancelSeconds, operatorSettings)
+    private val stalenessLimit = StalenessLimit.of(settings.workerLeaseSeconds, settings.cancellationDeadlineSeconds, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, stalenessLimit / REFRESHES_PER_STALENESS_LIMIT)
     private val profiles =
         ProfileStore(
-            operatorSettings.nearestProfiles,
+            operatorSettings.nearestProfileCount,
             operatorSettings.fittingSteps,
             operatorSettings.fittingRate,
             operatorSettings.profileCapacity,
@@ -102,7 +102,7 @@
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
-        sessionLeaseLength = minOf(stalenessLimit, (settings.leaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
+        sessionLeaseLength = minOf(stalenessLimit, (settings.workerLeaseSeconds * operatorSettings.sessionLeaseFraction).seconds),
         actionStalenessLimit = stalenessLimit,
         startStalenessLimit = idleRefreshInterval * 2,
     )
@@ -115,7 +115,7 @@
     private val zoneOfMember = settings.peers.associate { it.member to it.zone } + (settings.member to settings.zone)
     private val shardMap = ShardMap(settings.zones, operatorSettings.shardsPerZone.takeIf { it > 0 } ?: zoneOfMember.size)
     private val shardAssigner =
-        ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.leaseSeconds)
+        ShardAssigner(loop, store, replica, leadership, shardMap, zoneOfMember, leaseEndorsement, settings.workerLeaseSeconds)
     private val types = MachineTypeCatalog(loop, http, settings.cloud)
     private val cloudBudget =
         TokenBucket(BudgetAllocator.initialCloudRate(settings.cloudRequestsPerSecond, zoneOfMember.size), CLOUD_BURST_SECONDS, loop.now())
@@ -127,7 +127,7 @@
         ActionControl(membership, guard, audit),
         SharedClusterData(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
         formerIncarnations,
-        HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.leaseSeconds),
+        HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.workerLeaseSeconds),
         metrics,
         operatorSettings.stragglerFactor,
     )
@@ -148,7 +148,7 @@
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
-    private val cloudMachines = CloudMachines(loop, http, settings.cloud, cloudBudget, membership, types, settings.listLagSeconds)
+    private val cloudMachines = CloudMachines(loop, http, settings.cloud, cloudBudget, membership, types, settings.machineListLagSeconds)
     private val autoscaler = Autoscaler(
         loop,
         replica,
--- a/src/main/kotlin/copperglade/fleet/Autoscaler.kt
+++ b/src/main/kotlin/copperglade/fleet/Autoscaler.kt
@@ -24,7 +24,7 @@
     private val settings: AutoscalerSettings,
 ) {
     private val liveness = MachineLiveness(types, reports)
-    private val demandLevel = DemandLevel(settings.operatorSettings.scaleInHysteresisReplacements)
+    private val demandLevel = DemandLevel(settings.operatorSettings.scaleInHysteresisReplacementTimes)
     private val scaleOut = ScaleOut(cloud, types)
     private val scaleIn = ScaleIn(replica, types, settings)
 
@@ -78,8 +78,8 @@
         cloud.removeNeverListed(now)
         val inventory = inventory(now, capacities)
         val target = Demand(
-            demandLevel.onDemandCpus * settings.operatorSettings.headroom,
-            demandLevel.spotCpus * settings.operatorSettings.headroom,
+            demandLevel.onDemandCpus * settings.operatorSettings.headroomFactor,
+            demandLevel.spotCpus * settings.operatorSettings.headroomFactor,
         )
         val isShort = scaleOutFor(target, inventory, now)
         scaleOutForConstraints(capacities, inventory, now)
--- a/src/main/kotlin/copperglade/fleet/QuotaUsage.kt
+++ b/src/main/kotlin/copperglade/fleet/QuotaUsage.kt
@@ -14,7 +14,7 @@
 
     /** The unused part of the team's quota; very large where the team has no quota. */
     fun remainingCpus(team: TeamName): Double {
-        val quotaCpus = teams[team]?.cpusMax?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
+        val quotaCpus = teams[team]?.maxCpus?.takeIf { it > 0.0 } ?: Double.MAX_VALUE
         return max(0.0, quotaCpus - (usedCpus[team] ?: 0.0))
     }
 }
--- a/src/main/kotlin/copperglade/fleet/ScaleIn.kt
+++ b/src/main/kotlin/copperglade/fleet/ScaleIn.kt
@@ -47,7 +47,7 @@
 
     /** The machines that have been idle for long, on-demand machines first. */
     private fun idle(machines: Collection<MachineAvailability>, replacementSeconds: Double): List<MachineAvailability> {
-        val minIdleMillis = replacementSeconds * settings.operatorSettings.idleReplacements * MILLIS_PER_SECOND
+        val minIdleMillis = replacementSeconds * settings.operatorSettings.minIdleReplacementTimes * MILLIS_PER_SECOND
         return machines
             .filter { it.usable && it.idleMillis >= minIdleMillis }
             .sortedWith(compareBy({ it.spot }, { it.name.text }))
--- a/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
+++ b/src/main/kotlin/copperglade/jobs/AdmissionCheck.kt
@@ -35,7 +35,7 @@
         }
         if (!fitsSomeMachine) return "vcpus, gpus, memoryGb, fleets, depot: no machine type fits a task"
         val requestAtOnce = spec.request * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        return if (team.allows(requestAtOnce.cpus, requestAtOnce.gpus)) null else "crew: more than the team's limit"
+        return if (team.isWithinLimit(requestAtOnce.cpus, requestAtOnce.gpus)) null else "crew: more than the team's limit"
     }
 }
 
--- a/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
+++ b/src/main/kotlin/copperglade/observability/EventLoopMetrics.kt
@@ -37,11 +37,11 @@
 
     /** Runs [action] and counts its time under [kind], also where [action] throws. Times of nested actions count under both kinds. */
     fun measure(kind: String, action: () -> Unit) {
-        val startedAtMicros = loop.micros()
+        val startedAtMicros = loop.monotonicMicros()
         try {
             action()
         } finally {
-            val micros = loop.micros() - startedAtMicros
+            val micros = loop.monotonicMicros() - startedAtMicros
             usageByKind.getOrPut(kind) { Usage() }.add(micros)
         }
     }
--- a/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
+++ b/src/main/kotlin/copperglade/scheduling/GuaranteePreemption.kt
@@ -33,7 +33,7 @@
     ): Map<Job, List<Assignment>> {
         // Tasks preempted earlier that are still assigned are about to free their resources.
         var missingCpus = claimedCpus(claims, usedCpus) - beingPreemptedCpus(borrowedQuotas)
-        val borrowedCpus = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.cpus }
+        val borrowedCpus = teams.mapValuesTo(HashMap()) { (name, team) -> (usedCpus[name] ?: 0.0) - team.guaranteedCpus }
         val claiming = claims.mapTo(HashSet()) { it.team }
         val chosen = LinkedHashMap<Job, MutableList<Assignment>>()
         for (borrowed in borrowedQuotas.sortedWith(CHECKPOINTED_THEN_LATEST)) {
@@ -53,7 +53,7 @@
 
     private fun claimedCpus(claims: List<GuaranteeClaim>, usedCpus: Map<TeamName, Double>): Double =
         claims.groupBy { it.team }.entries.sumOf { (team, teamClaims) ->
-            val unusedGuarantee = (teams[team]?.cpus ?: 0.0) - (usedCpus[team] ?: 0.0)
+            val unusedGuarantee = (teams[team]?.guaranteedCpus ?: 0.0) - (usedCpus[team] ?: 0.0)
             teamClaims.sumOf { it.request.cpus * it.tasks }.coerceAtMost(unusedGuarantee.coerceAtLeast(0.0))
         }
 
--- a/src/main/kotlin/copperglade/scheduling/JobQueue.kt
+++ b/src/main/kotlin/copperglade/scheduling/JobQueue.kt
@@ -30,7 +30,7 @@
 
     private fun byPriority(waiting: List<SchedulableJob>, poolCpus: Double): List<SchedulableJob> {
         val (withDeadline, withoutDeadline) = waiting.partition { it.deadline != null }
-        val teamCpus = { team: TeamName -> policy.teams[team]?.cpusMax?.takeIf { it > 0.0 } ?: poolCpus }
+        val teamCpus = { team: TeamName -> policy.teams[team]?.maxCpus?.takeIf { it > 0.0 } ?: poolCpus }
         val planned = DeadlinePlan(poolCpus, teamCpus).order(withDeadline.map(::plannedJob))
         val rank = HashMap<JobId, Int>()
         planned.forEachIndexed { index, job -> rank[job.job.id] = index }
--- a/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
+++ b/src/main/kotlin/copperglade/scheduling/TeamUsage.kt
@@ -14,7 +14,7 @@
     /** Returns whether the team's quota allows another task with this [request]. */
     fun allows(request: Resources): Boolean {
         val after = used + request
-        return team.allows(after.cpus, after.gpus)
+        return team.isWithinLimit(after.cpus, after.gpus)
     }
 
     fun addUsed(resources: Resources) {
@@ -27,6 +27,6 @@
      */
     fun addRequested(resources: Resources): Boolean {
         requested += resources
-        return team.guarantees(requested.cpus, requested.gpus)
+        return team.isWithinGuarantee(requested.cpus, requested.gpus)
     }
 }
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -52,15 +52,19 @@
             leaderLease = reader.seconds("lead.hold.s", defaults.leaderLease, 1.0..60.0),
             shardsPerZone = reader.integer("blocks.per-zone", defaults.shardsPerZone, 0..64),
             stragglerFactor = reader.number("straggler.margin", defaults.stragglerFactor, 1.0..100.0),
-            nearestProfiles = reader.integer("profiles.nearest", defaults.nearestProfiles, 1..1000),
+            nearestProfileCount = reader.integer("profiles.nearest", defaults.nearestProfileCount, 1..1000),
             fittingSteps = reader.integer("profiles.fitting-steps", defaults.fittingSteps, 0..100),
             fittingRate = reader.number("profiles.fitting-rate", defaults.fittingRate, 0.0..1.0),
             profileCapacity = reader.integer("profiles.capacity", defaults.profileCapacity, 1..100_000),
             starvationThresholdSeconds = reader.number("turn.after.s", defaults.starvationThresholdSeconds, 1.0..3600.0),
             starvationShare = reader.number("turn.share", defaults.starvationShare, 0.0..1.0),
-            headroom = reader.number("fleet.headroom", defaults.headroom, 1.0..10.0),
-            idleReplacements = reader.number("fleet.idle.replacements", defaults.idleReplacements, 0.0..100.0),
-            scaleInHysteresisReplacements = reader.number("fleet.fade.replacements", defaults.scaleInHysteresisReplacements, 0.1..100.0),
+            headroomFactor = reader.number("fleet.headroom", defaults.headroomFactor, 1.0..10.0),
+            minIdleReplacementTimes = reader.number("fleet.idle.replacements", defaults.minIdleReplacementTimes, 0.0..100.0),
+            scaleInHysteresisReplacementTimes = reader.number(
+                "fleet.fade.replacements",
+                defaults.scaleInHysteresisReplacementTimes,
+                0.1..100.0,
+            ),
             failingJobMachineThreshold = reader.integer("failures.machines", defaults.failingJobMachineThreshold, 1..1_000_000),
         )
     }
--- a/src/main/kotlin/copperglade/settings/PlatformSettingsParser.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettingsParser.kt
@@ -12,35 +12,35 @@
     /** Reads the settings; throws [InvalidSettingException] where they are no JSON object or a field makes no sense. */
     fun parse(bytes: ByteArray): PlatformSettings {
         val root = Json.readStrict(bytes)?.takeIf { it.isObject } ?: throw InvalidSettingException("settings: not a JSON object")
-        val outside = root.section("outside")
-        val deployment = root.section("deployment")
-        val workers = deployment.section("workers")
-        val state = deployment.section("state")
-        val cloud = deployment.section("cloud")
+        val outside = root.objectField("outside")
+        val deployment = root.objectField("deployment")
+        val workers = deployment.objectField("workers")
+        val state = deployment.objectField("state")
+        val cloud = deployment.objectField("cloud")
         val settings = PlatformSettings(
-            member = MemberId(root.string("member")),
-            zone = root.string("location"),
-            clientListen = root.endpoint("client_listen"),
-            clusterListen = root.endpoint("cluster_listen"),
-            peers = root.items("known").map(::peer),
-            cloud = outside.endpoint("cloud"),
-            state = outside.endpoint("state"),
-            zones = deployment.items("zones").map { it.textValue() ?: throw InvalidSettingException("deployment.zones: not strings") },
-            teams = deployment.items("teams").map(::team).associateBy { it.name },
+            member = MemberId(root.stringField("member")),
+            zone = root.stringField("location"),
+            clientListen = root.endpointField("client_listen"),
+            clusterListen = root.endpointField("cluster_listen"),
+            peers = root.listField("known").map(::peer),
+            cloud = outside.endpointField("cloud"),
+            state = outside.endpointField("state"),
+            zones = deployment.listField("zones").map { it.textValue() ?: throw InvalidSettingException("deployment.zones: not strings") },
+            teams = deployment.listField("teams").map(::team).associateBy { it.name },
             objectives = objectives(deployment),
-            heartbeatIntervalSeconds = workers.positive("report_s"),
-            leaseSeconds = workers.positive("lease_s"),
-            cancelSeconds = workers.positive("cancel_s"),
+            heartbeatIntervalSeconds = workers.positiveNumber("report_s"),
+            workerLeaseSeconds = workers.positiveNumber("lease_s"),
+            cancellationDeadlineSeconds = workers.positiveNumber("cancel_s"),
             stateRequestsPerSecond = state.stateLimit("rps"),
             stateWritesPerSecond = state.stateLimit("write_rps"),
-            valueKb = state.stateLimit("value_kb"),
-            transactionWrites = state.integerStateLimit("txn_ops"),
-            cloudRequestsPerSecond = cloud.positive("rps"),
-            listLagSeconds = cloud.nonNegative("list_lag_s"),
-            fileDescriptorLimit = deployment.section("resources").positive("fd_limit").toInt(),
-            memoryMb = deployment.section("resources").positiveOrNull("mem_mb"),
+            maxValueKb = state.stateLimit("value_kb"),
+            maxTransactionWrites = state.integerStateLimit("txn_ops"),
+            cloudRequestsPerSecond = cloud.positiveNumber("rps"),
+            machineListLagSeconds = cloud.nonNegativeNumber("list_lag_s"),
+            fileDescriptorLimit = deployment.objectField("resources").positiveNumber("fd_limit").toInt(),
+            memoryMb = deployment.objectField("resources").positiveNumberOrNull("mem_mb"),
         )
-        if (settings.cancelSeconds <= settings.leaseSeconds) {
+        if (settings.cancellationDeadlineSeconds <= settings.workerLeaseSeconds) {
             throw InvalidSettingException("deployment.workers.cancel_s: must be larger than lease_s")
         }
         return settings
@@ -48,32 +48,37 @@
 
     private fun objectives(deployment: JsonNode): ServiceLevelObjectives {
         val defaults = ServiceLevelObjectives()
-        val stated = deployment.fieldOrNull("objectives")?.takeIf { it.isArray } ?: return defaults
+        val objectiveNodes = deployment.fieldOrNull("objectives")?.takeIf { it.isArray } ?: return defaults
         return ServiceLevelObjectives(
-            deadlineMultiples = stated
+            deadlineMultiples = objectiveNodes
                 .filter { it.stringOrNull("kind") == "deadline" }
-                .groupBy({ it.string("class") }, { it.positiveOrNull("times") ?: 1.0 })
+                .groupBy({ it.stringField("class") }, { it.positiveNumberOrNull("times") ?: 1.0 })
                 .mapValues { (_, times) -> times.sorted() },
             guaranteeWithinSeconds =
-                stated.firstOrNull { it.stringOrNull("kind") == "guarantee" }?.positive("within_s") ?: defaults.guaranteeWithinSeconds,
-            startedWithinSeconds = longestWithinSeconds(stated, "wait"),
-            finishedWithinSeconds = longestWithinSeconds(stated, "finished"),
+                objectiveNodes.firstOrNull { it.stringOrNull("kind") == "guarantee" }?.positiveNumber("within_s")
+                    ?: defaults.guaranteeWithinSeconds,
+            startedWithinSeconds = longestWithinSeconds(objectiveNodes, "wait"),
+            finishedWithinSeconds = longestWithinSeconds(objectiveNodes, "finished"),
         )
     }
 
     /** By class, the longest time that an objective of this [kind] allows. */
-    private fun longestWithinSeconds(stated: JsonNode, kind: String): Map<String, Double> = stated
+    private fun longestWithinSeconds(objectiveNodes: JsonNode, kind: String): Map<String, Double> = objectiveNodes
         .filter { it.stringOrNull("kind") == kind }
-        .groupBy({ it.string("class") }, { it.positive("within_s") })
+        .groupBy({ it.stringField("class") }, { it.positiveNumber("within_s") })
         .mapValues { (_, times) -> times.max() }
 
-    private fun peer(node: JsonNode) = Peer(MemberId(node.string("member")), node.string("location"), node.endpoint("endpoint"))
+    private fun peer(node: JsonNode) = Peer(
+        MemberId(node.stringField("member")),
+        node.stringField("location"),
+        node.endpointField("endpoint"),
+    )
 
     private fun team(node: JsonNode) = Team(
-        TeamName(node.string("name")),
-        node.nonNegative("cpus"),
-        node.nonNegative("cpus_max"),
-        node.nonNegative("gpus"),
-        node.nonNegative("gpus_max"),
+        TeamName(node.stringField("name")),
+        node.nonNegativeNumber("cpus"),
+        node.nonNegativeNumber("cpus_max"),
+        node.nonNegativeNumber("gpus"),
+        node.nonNegativeNumber("gpus_max"),
     )
 }
--- a/src/main/kotlin/copperglade/settings/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/copperglade/settings/ServiceLevelObjectives.kt
@@ -14,7 +14,7 @@
     val startedWithinSeconds: Map<String, Double> = emptyMap(),
     val finishedWithinSeconds: Map<String, Double> = emptyMap(),
 ) {
-    /** How soon a job of [load] whose tasks run for [runSeconds] should be done at the latest; null where no objective says so. */
-    fun latestEndSeconds(load: String, runSeconds: Double): Double? =
-        listOfNotNull(finishedWithinSeconds[load], startedWithinSeconds[load]?.let { it + runSeconds }).minOrNull()
+    /** How soon a job of [workloadClass] whose tasks run for [runSeconds] should be done at the latest; null where no objective says so. */
+    fun latestEndSeconds(workloadClass: String, runSeconds: Double): Double? =
+        listOfNotNull(finishedWithinSeconds[workloadClass], startedWithinSeconds[workloadClass]?.let { it + runSeconds }).minOrNull()
 }
--- a/src/main/kotlin/copperglade/transport/BatchingSelectStrategy.kt
+++ b/src/main/kotlin/copperglade/transport/BatchingSelectStrategy.kt
@@ -17,10 +17,10 @@
 
     override fun calculateStrategy(selectSupplier: IntSupplier, hasTasks: Boolean): Int {
         if (!hasTasks) awaitNextSelection()
-        val selected = selectSupplier.get()
-        if (hasTasks) return selected
-        adjustDelay(selected)
-        return if (selected > 0) selected else SelectStrategy.SELECT
+        val readyCount = selectSupplier.get()
+        if (hasTasks) return readyCount
+        adjustDelay(readyCount)
+        return if (readyCount > 0) readyCount else SelectStrategy.SELECT
     }
 
     private fun awaitNextSelection() {
@@ -29,16 +29,16 @@
         lastSelectionNanos = System.nanoTime()
     }
 
-    private fun adjustDelay(selected: Int) {
-        if (selected >= MANY_SELECTED) delayNanos = min(delayNanos + delayNanos / ADJUSTMENT_DIVISOR, MAX_DELAY_NANOS)
-        if (selected < FEW_SELECTED) delayNanos = max(delayNanos - delayNanos / ADJUSTMENT_DIVISOR, MIN_DELAY_NANOS)
+    private fun adjustDelay(readyCount: Int) {
+        if (readyCount >= MANY_READY) delayNanos = min(delayNanos + delayNanos / ADJUSTMENT_DIVISOR, MAX_DELAY_NANOS)
+        if (readyCount < FEW_READY) delayNanos = max(delayNanos - delayNanos / ADJUSTMENT_DIVISOR, MIN_DELAY_NANOS)
     }
 
     private companion object {
         const val MIN_DELAY_NANOS = 3_000_000L
         const val MAX_DELAY_NANOS = 25_000_000L
         const val ADJUSTMENT_DIVISOR = 8
-        const val FEW_SELECTED = 2
-        const val MANY_SELECTED = 3
+        const val FEW_READY = 2
+        const val MANY_READY = 3
     }
 }
--- a/src/main/kotlin/copperglade/transport/ClientConnection.kt
+++ b/src/main/kotlin/copperglade/transport/ClientConnection.kt
@@ -15,18 +15,18 @@
 import org.slf4j.LoggerFactory
 
 /**
- * A connection of ours to [endpoint], with one request on it at a time. A request that isn't answered in time takes its connection with
+ * A connection of ours to [endpoint], with one request on it at a time. A request that isn't completed in time takes its connection with
  * it.
  */
 internal class ClientConnection(
     val endpoint: Endpoint,
     private val barrier: FaultBarrier,
     private val pool: ClientConnectionPool,
-    private val onReplied: () -> Unit,
+    private val onResponse: () -> Unit,
 ) : SimpleChannelInboundHandler<FullHttpResponse>() {
     /** Set before the connection is handed to anybody, when it joins its channel. */
     private lateinit var channel: Channel
-    private var current: PendingRequest? = null
+    private var inFlight: PendingRequest? = null
 
     val isOpen: Boolean get() = channel.isActive
 
@@ -35,7 +35,7 @@
     }
 
     fun send(pending: PendingRequest) {
-        current = pending
+        inFlight = pending
         pending.channel = channel
         channel.writeAndFlush(encode(pending.request)).addListener { if (!it.isSuccess) channel.close() }
     }
@@ -57,18 +57,18 @@
     }
 
     override fun channelRead0(context: ChannelHandlerContext, message: FullHttpResponse) {
-        val answered = current
-        current = null
+        val completed = inFlight
+        inFlight = null
         val reply = Reply(message.status().code(), ByteBufUtil.getBytes(message.content()))
-        if (HttpUtil.isKeepAlive(message) && answered != null && !answered.isFinished) pool.add(this) else context.close()
-        answered?.finish(reply)
-        onReplied()
+        if (HttpUtil.isKeepAlive(message) && completed != null && !completed.isFinished) pool.add(this) else context.close()
+        completed?.finish(reply)
+        onResponse()
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
         pool.remove(this)
-        current?.finish(null)
-        current = null
+        inFlight?.finish(null)
+        inFlight = null
     }
 
     @Deprecated("Netty's own name for it")
--- a/src/main/kotlin/copperglade/transport/EventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/EventLoop.kt
@@ -9,7 +9,7 @@
     fun now(): MonotonicTime
 
     /** The same clock in microseconds: for measuring how long something takes, never for decisions. */
-    fun micros(): Long = now().millis * MICROS_PER_MILLI
+    fun monotonicMicros(): Long = now().millis * MICROS_PER_MILLI
 
     /** Time of day in milliseconds; only for what people or other machines read. */
     fun wallMillis(): Long
--- a/src/main/kotlin/copperglade/transport/FaultBarrier.kt
+++ b/src/main/kotlin/copperglade/transport/FaultBarrier.kt
@@ -13,12 +13,12 @@
  */
 class FaultBarrier(private val endProcess: (Throwable) -> Unit) {
     /** Whether a decision has ended in a fault: from then on none is run. */
-    var isBroken = false
+    var hasFailed = false
         private set
 
     /** Runs [action], unless an earlier one has ended in a fault. */
     fun run(action: () -> Unit) {
-        if (isBroken) return
+        if (hasFailed) return
         try {
             action()
         } catch (fault: Throwable) {
@@ -28,8 +28,8 @@
 
     /** Reports a fault outside of a decision that leaves the process as unsound, such as memory that has run out. */
     fun fail(fault: Throwable) {
-        if (isBroken) return
-        isBroken = true
+        if (hasFailed) return
+        hasFailed = true
         endProcess(fault)
     }
 
@@ -39,7 +39,7 @@
         private val log = LoggerFactory.getLogger("fault")
 
         /** Ends this process at once; no shutdown hook may run on what the fault has left behind. */
-        fun endingTheProcess() = FaultBarrier { fault ->
+        fun haltingProcess() = FaultBarrier { fault ->
             try {
                 log.error("process_ending reason=decision_fault exit_status={}", EXIT_STATUS, fault)
             } finally {
--- a/src/main/kotlin/copperglade/transport/IdleConnections.kt
+++ b/src/main/kotlin/copperglade/transport/IdleConnections.kt
@@ -18,7 +18,7 @@
 
     /** The longest idle of those that [accept] allows, where it has been idle for at least [minIdleNanos]. */
     fun longestIdle(minIdleNanos: Long = 0, accept: (T) -> Boolean = { true }): T? {
-        val (connection, idleSince) = idleSinceNanos.entries.firstOrNull { accept(it.key) } ?: return null
-        return connection.takeIf { System.nanoTime() - idleSince >= minIdleNanos }
+        val (connection, connectionIdleSinceNanos) = idleSinceNanos.entries.firstOrNull { accept(it.key) } ?: return null
+        return connection.takeIf { System.nanoTime() - connectionIdleSinceNanos >= minIdleNanos }
     }
 }
--- a/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
@@ -9,13 +9,13 @@
 import kotlin.time.Duration
 
 /** A single NIO thread that serves every socket and makes every decision, each of them behind [barrier]. */
-class NettyEventLoop(val barrier: FaultBarrier = FaultBarrier.endingTheProcess()) : EventLoop {
+class NettyEventLoop(val barrier: FaultBarrier = FaultBarrier.haltingProcess()) : EventLoop {
     val group: EventLoopGroup =
         MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider()) { BatchingSelectStrategy() })
 
     override fun now() = MonotonicTime(System.nanoTime() / NANOS_PER_MILLI)
 
-    override fun micros() = System.nanoTime() / NANOS_PER_MICRO
+    override fun monotonicMicros() = System.nanoTime() / NANOS_PER_MICRO
 
     override fun wallMillis() = System.currentTimeMillis()
 
--- a/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -32,12 +32,12 @@
     private val pool = ClientConnectionPool()
 
     /** Open or being opened. */
-    var connections = 0
+    var connectionCount = 0
         private set
 
     /** Requests that no connection was free for, in order of their coming. */
-    private val waiting = ArrayDeque<PendingRequest>()
-    private var sendingWaiting = false
+    private val queuedRequests = ArrayDeque<PendingRequest>()
+    private var isSendingQueued = false
     private val bootstrap = Bootstrap()
         .group(loop.group)
         .channel(NioSocketChannel::class.java)
@@ -49,46 +49,46 @@
         val idle = pool.take(to)
         when {
             idle != null -> idle.send(pending)
-            to in unlimitedEndpoints || mayConnect() -> connect(pending)
-            else -> waiting.addLast(pending)
+            to in unlimitedEndpoints || canConnect() -> connect(pending)
+            else -> queuedRequests.addLast(pending)
         }
     }
 
     /** Whether a connection may be opened, if need be after closing the one that has been idle for longest. */
-    private fun mayConnect(): Boolean {
-        if (connections < connectionLimit) return true
-        return pool.closeLongestIdle(unlimitedEndpoints) && connections < connectionLimit
+    private fun canConnect(): Boolean {
+        if (connectionCount < connectionLimit) return true
+        return pool.closeLongestIdle(unlimitedEndpoints) && connectionCount < connectionLimit
     }
 
     /** Closing a connection in favour of another calls back here before it returns: one call at a time. */
-    private fun sendWaiting() {
-        if (sendingWaiting) return
-        sendingWaiting = true
-        while (waiting.isNotEmpty()) {
-            val next = waiting.first()
+    private fun sendQueued() {
+        if (isSendingQueued) return
+        isSendingQueued = true
+        while (queuedRequests.isNotEmpty()) {
+            val next = queuedRequests.first()
             val idle = if (next.isFinished) null else pool.take(next.endpoint)
-            if (idle == null && !next.isFinished && !mayConnect()) break
-            waiting.removeFirst()
+            if (idle == null && !next.isFinished && !canConnect()) break
+            queuedRequests.removeFirst()
             if (idle != null) {
                 idle.send(next)
             } else if (!next.isFinished) {
                 connect(next)
             }
         }
-        sendingWaiting = false
+        isSendingQueued = false
     }
 
     private fun connect(pending: PendingRequest) {
-        val connection = ClientConnection(pending.endpoint, loop.barrier, pool, ::sendWaiting)
-        connections++
+        val connection = ClientConnection(pending.endpoint, loop.barrier, pool, ::sendQueued)
+        connectionCount++
         val connecting = bootstrap
             .clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, pending.timeout.inWholeMilliseconds.toInt())
             .handler(initializerOf(connection))
             .connect(pending.endpoint.host, pending.endpoint.port)
         connecting.channel().closeFuture().addListener {
-            connections--
-            sendWaiting()
+            connectionCount--
+            sendQueued()
         }
         connecting.addListener {
             when {
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -45,14 +45,14 @@
     private val maxBodyBytes: Int = MAX_PROTOCOL_BODY_BYTES,
     private val handler: RequestHandler,
 ) {
-    private var connections = 0
+    private var connectionCount = 0
 
     /** Connections that wait for their next request. */
-    private val idle = IdleConnections<Channel>()
+    private val idleConnections = IdleConnections<Channel>()
 
     /** Listens at [address], or with port 0 at any free port, and returns where; throws where the address can't be bound. */
     fun listen(address: Endpoint): Endpoint {
-        val listening = ServerBootstrap()
+        val serverChannel = ServerBootstrap()
             .group(loop.group)
             .channel(NioServerSocketChannel::class.java)
             .option(ChannelOption.SO_BACKLOG, connectionLimit)
@@ -65,34 +65,34 @@
             .bind(address.host, address.port)
             .sync()
             .channel()
-        return Endpoint(address.host, (listening.localAddress() as InetSocketAddress).port)
+        return Endpoint(address.host, (serverChannel.localAddress() as InetSocketAddress).port)
     }
 
     /** Takes a new connection, refuses its requests or closes it at once. */
     private fun accept(channel: SocketChannel) {
-        if (connections >= connectionLimit) closeLongestIdle()
-        val refused = connections >= connectionLimit
-        if (connections >= connectionLimit * (1.0 + REFUSED_SHARE)) {
+        if (connectionCount >= connectionLimit) closeLongestIdle()
+        val isRefused = connectionCount >= connectionLimit
+        if (connectionCount >= connectionLimit * (1.0 + REFUSED_SHARE)) {
             channel.close()
             return
         }
-        connections++
+        connectionCount++
         channel.closeFuture().addListener {
-            connections--
-            idle.remove(channel)
+            connectionCount--
+            idleConnections.remove(channel)
         }
         channel
             .pipeline()
-            .addLast(IdleStateHandler(if (refused) REFUSED_READ_TIMEOUT_SECONDS else READ_TIMEOUT_SECONDS, 0, 0))
+            .addLast(IdleStateHandler(if (isRefused) REFUSED_READ_TIMEOUT_SECONDS else READ_TIMEOUT_SECONDS, 0, 0))
             .addLast(HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
             .addLast(BoundedAggregator())
-            .addLast(ServerConnection(refused))
+            .addLast(ServerConnection(isRefused))
     }
 
     private fun closeLongestIdle() {
-        val longest = idle.longestIdle(MIN_IDLE_NANOS) ?: return
-        idle.remove(longest)
-        longest.close()
+        val longestIdle = idleConnections.longestIdle(MIN_IDLE_NANOS) ?: return
+        idleConnections.remove(longestIdle)
+        longestIdle.close()
     }
 
     /** A body over the limit gets a plain 400, and the connection ends. */
@@ -101,25 +101,25 @@
             val response =
                 encode(
                     Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("body over ${maxBodyBytes / BYTES_PER_KIB} KiB", "body")),
-                    keep = false,
+                    keepAlive = false,
                 )
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE)
         }
     }
 
-    /** Decodes the requests of a connection; all are answered with 503 where it is [refused]. */
-    private inner class ServerConnection(private val refused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
+    /** Decodes the requests of a connection; all are answered with 503 where it is [isRefused]. */
+    private inner class ServerConnection(private val isRefused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
         override fun channelRead0(context: ChannelHandlerContext, message: FullHttpRequest) {
-            val keep = HttpUtil.isKeepAlive(message)
+            val keepAlive = HttpUtil.isKeepAlive(message)
             val channel = context.channel()
-            idle.remove(channel)
+            idleConnections.remove(channel)
             when {
                 message.decoderResult().isFailure ->
-                    answer(channel, Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keep = false)
-                refused -> answer(channel, tooManyConnections(), keep = false)
+                    answer(channel, Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keepAlive = false)
+                isRefused -> answer(channel, tooManyConnections(), keepAlive = false)
                 else -> {
                     val request = Request(methodOf(message), message.uri(), ByteBufUtil.getBytes(message.content()))
-                    loop.barrier.run { handler.handle(request) { answer(channel, it, keep) } }
+                    loop.barrier.run { handler.handle(request) { answer(channel, it, keepAlive) } }
                 }
             }
         }
@@ -144,10 +144,10 @@
     }
 
     /** Sends [reply]; nothing is sent where the connection is gone. */
-    private fun answer(channel: Channel, reply: Reply, keep: Boolean) {
+    private fun answer(channel: Channel, reply: Reply, keepAlive: Boolean) {
         if (!channel.isActive) return
-        val written = channel.writeAndFlush(encode(reply, keep))
-        if (keep) idle.add(channel) else written.addListener(ChannelFutureListener.CLOSE)
+        val written = channel.writeAndFlush(encode(reply, keepAlive))
+        if (keepAlive) idleConnections.add(channel) else written.addListener(ChannelFutureListener.CLOSE)
     }
 
     companion object {
@@ -171,7 +171,7 @@
         private fun tooManyConnections() =
             Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("too many connections"), retryAfterSeconds = 1)
 
-        private fun encode(reply: Reply, keep: Boolean): DefaultFullHttpResponse {
+        private fun encode(reply: Reply, keepAlive: Boolean): DefaultFullHttpResponse {
             val response = DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status),
@@ -181,7 +181,7 @@
             headers.setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body.size)
             if (reply.body.isNotEmpty()) headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
             reply.retryAfterSeconds?.let { headers.setInt(HttpHeaderNames.RETRY_AFTER, it) }
-            if (!keep) headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
+            if (!keepAlive) headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
             return response
         }
     }
--- a/src/main/kotlin/copperglade/transport/PendingRequest.kt
+++ b/src/main/kotlin/copperglade/transport/PendingRequest.kt
@@ -19,17 +19,17 @@
 
     /** Where it has been sent; closed on a timeout, so that a late reply can't be taken for that of a later request. */
     var channel: Channel? = null
-    private val deadline: ScheduledFuture<*> = loop.group.schedule(::timeOut, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
+    private val timeoutTimer: ScheduledFuture<*> = loop.group.schedule(::onTimeout, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
 
     /** Ends it with [reply]; null: none came. */
     fun finish(reply: Reply?) {
         if (isFinished) return
         isFinished = true
-        deadline.cancel(false)
+        timeoutTimer.cancel(false)
         loop.barrier.run { onReply(reply) }
     }
 
-    private fun timeOut() {
+    private fun onTimeout() {
         finish(null)
         channel?.close()
     }
--- a/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
+++ b/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
@@ -11,7 +11,7 @@
         override var usedBytes = liveBytes
         var collections = 0
 
-        override fun collect() {
+        override fun collectGarbage() {
             collections++
             usedBytes = liveBytes
         }
--- a/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
@@ -14,8 +14,8 @@
     fun `keys are read, and what is left out keeps its default`() {
         val operatorSettings = parse("lead.hold.s" to "2.5", "fleet.headroom" to "1.5")
         assertEquals(2.5.seconds, operatorSettings.leaderLease)
-        assertEquals(1.5, operatorSettings.headroom)
-        assertEquals(8, operatorSettings.nearestProfiles)
+        assertEquals(1.5, operatorSettings.headroomFactor)
+        assertEquals(8, operatorSettings.nearestProfileCount)
     }
 
     @Test
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -19,7 +19,7 @@
 
     private fun limits(next: String) = with(
         settings(next),
-    ) { listOf(stateRequestsPerSecond, stateWritesPerSecond, valueKb, transactionWrites) }
+    ) { listOf(stateRequestsPerSecond, stateWritesPerSecond, maxValueKb, maxTransactionWrites) }
 
     @Test
     fun `the lower one of present and announced limits holds, field by field`() {
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -92,7 +92,7 @@
         if (zones.count { it == worker.zone } > user.spec.perZoneLimit) breach("wrong_place", "$task not spread")
     }
 
-    private fun limitOf(team: TeamName): Double = otherTeam?.takeIf { it.name == team }?.cpusMax ?: scale.teamCpus
+    private fun limitOf(team: TeamName): Double = otherTeam?.takeIf { it.name == team }?.maxCpus ?: scale.teamCpus
 
     override fun ended(worker: StandInWorker, task: TaskId, done: Boolean) {
         if (runningOn[task] === worker) {
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -25,7 +25,7 @@
         barrier.fail(IllegalStateException("later"))
         assertEquals(1, decided)
         assertEquals(listOf("injected"), faults.map { it.message })
-        assertTrue(barrier.isBroken)
+        assertTrue(barrier.hasFailed)
     }
 
     @Test
--- a/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
+++ b/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
@@ -48,7 +48,7 @@
                 places.forEach { to ->
                     caller.call(to, Request(Method.GET, "/"), 10.seconds) { reply ->
                         if (reply?.status == 200) answered.incrementAndGet()
-                        assertTrue(caller.connections <= limit)
+                        assertTrue(caller.connectionCount <= limit)
                         all.countDown()
                     }
                 }
