--- a/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
+++ b/src/main/kotlin/copperglade/app/ClassDataSharingTraining.kt
@@ -24,8 +24,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A short run of a controller against canned replies, made once by the build: the classes that it loads go into the class-data-sharing
- * archive, which makes a start cheaper. It proves nothing about behaviour.
+ * A short run of a controller against fixed replies, made once by the build. The classes that the run loads go into the JVM's
+ * class-data-sharing archive, which shortens the start of a controller. The run checks no behaviour.
  */
 @Command(name = "rehearse", hidden = true, description = ["Loads the program's classes once; used by the build."])
 class ClassDataSharingTraining : Callable<Int> {
@@ -43,7 +43,7 @@
         return 0
     }
 
-    /** Rounds of a user's and a worker's requests to the controller. */
+    /** Sends [ROUND_COUNT] rounds of a user's and a worker's requests to the controller. */
     private inner class RequestRounds(private val loop: NettyEventLoop, private val http: NettyHttpClient, private val ports: List<Int>) {
         val finished = CountDownLatch(ROUND_COUNT)
         private val controller = Endpoint("127.0.0.1", ports[1])
@@ -62,7 +62,7 @@
         private fun send(request: Request) = http.call(controller, request, REQUEST_TIMEOUT) {}
     }
 
-    /** Replies as the state service, the cloud and a worker would. */
+    /** Replies as the state service, the cloud or a worker would. */
     private fun replyAsExternalService(loop: NettyEventLoop, request: Request, responder: Responder) {
         val path = request.path
         val text = when {
--- a/src/main/kotlin/copperglade/app/ConnectionLimits.kt
+++ b/src/main/kotlin/copperglade/app/ConnectionLimits.kt
@@ -3,12 +3,12 @@
 import copperglade.settings.InvalidSettingException
 
 /**
- * The limits of the process's connections, by who is at the other end. The remaining file descriptors are for files, the state service
- * and the cloud. The limits hold for a single remaining controller too, which has all workers on both sides.
+ * The connection limits of the process, by the kind of remote process. The remaining file descriptors are for files, the state service
+ * and the cloud. The limits also suffice for a single remaining controller, which has connections from and to all workers.
  *
- * @property inboundClients users and workers that call us.
- * @property inboundPeers other controllers that call us.
- * @property outboundWorkers workers that we call.
+ * @property inboundClients the limit of connections from users and workers.
+ * @property inboundPeers the limit of connections from other controllers.
+ * @property outboundWorkers the limit of connections to workers.
  */
 internal class ConnectionLimits private constructor(val inboundClients: Int, val inboundPeers: Int, val outboundWorkers: Int) {
     companion object {
@@ -17,8 +17,8 @@
         private const val OUTBOUND_WORKERS_PERCENT = 34
 
         /**
-         * The limits that follow from [fileDescriptorLimit] file descriptors; throws [InvalidSettingException] where they leave no connection for
-         * each of [peerCount] other controllers.
+         * Returns the limits for a process with [fileDescriptorLimit] file descriptors; throws [InvalidSettingException] where the limits
+         * leave no connection for each of [peerCount] other controllers.
          */
         fun of(fileDescriptorLimit: Int, peerCount: Int): ConnectionLimits {
             val limits = ConnectionLimits(
--- a/src/main/kotlin/copperglade/app/ControllerLauncher.kt
+++ b/src/main/kotlin/copperglade/app/ControllerLauncher.kt
@@ -8,15 +8,15 @@
 import copperglade.transport.NettyHttpServer
 import kotlin.time.Duration
 
-/** Starts a controller in this process, with its event loop, its client and its two servers. */
+/** Starts a controller in this process, with its event loop, its HTTP client and its two HTTP servers. */
 internal object ControllerLauncher {
     /**
-     * A controller's status describes each of its machines in some 150 bytes, so the 64 KiB of the protocol with users and workers would
-     * be too little for it.
+     * A controller's status message describes each of its machines in about 150 bytes, so the limit of 64 KiB in the protocol with users
+     * and workers would be too low.
      */
     const val MAX_PEER_MESSAGE_BYTES = 16 * 1024 * 1024
 
-    /** Starts the controller and returns; it goes on by itself. Throws where its addresses can't be bound. */
+    /** Starts the controller and returns; the controller runs on its event loop. Throws where its addresses can't be bound. */
     fun start(settings: PlatformSettings, operatorSettings: OperatorSettings) {
         val limits = ConnectionLimits.of(settings.fileDescriptorLimit, settings.peers.size)
         val loop = NettyEventLoop()
--- a/src/main/kotlin/copperglade/app/Heap.kt
+++ b/src/main/kotlin/copperglade/app/Heap.kt
@@ -1,14 +1,14 @@
 package copperglade.app
 
-/** The heap as the virtual machine has it. */
+/** The heap of the Java virtual machine. */
 internal interface Heap {
-    /** Bytes that objects take, garbage among them. */
+    /** The bytes that objects occupy, including garbage. */
     val usedBytes: Long
 
-    /** The most that the start command allows. */
+    /** The maximum heap size, as set by the start command. */
     val maxBytes: Long
 
-    /** Collects garbage, and returns once that is done. */
+    /** Runs a garbage collection and returns once it is complete. */
     fun collectGarbage()
 }
 
--- a/src/main/kotlin/copperglade/app/Main.kt
+++ b/src/main/kotlin/copperglade/app/Main.kt
@@ -15,22 +15,22 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
-/** The command line: `--config`, `--properties` and the subcommand for the build. */
+/** The command line: `--config`, `--properties` and the hidden subcommand for the build. */
 @Command(
     name = "copperglade",
-    description = ["A cluster scheduler; this runs one controller until something ends it."],
+    description = ["Runs one controller of the cluster scheduler until the process is terminated."],
     mixinStandardHelpOptions = true,
     versionProvider = Version::class,
     subcommands = [ClassDataSharingTraining::class],
 )
 class Main : Callable<Int> {
-    @Option(names = ["--config"], paramLabel = "FILE", description = ["The platform's settings (JSON); required."])
+    @Option(names = ["--config"], paramLabel = "FILE", description = ["The platform's settings file (JSON); required."])
     var config: Path? = null
 
     @Option(
         names = ["--properties"],
         paramLabel = "FILE",
-        description = ["The operators' own settings (Java properties)."],
+        description = ["The operators' settings file (Java properties); optional."],
     )
     var properties: Path? = null
 
@@ -48,7 +48,7 @@
     }
 }
 
-/** The version of the packaged program. */
+/** Prints the implementation version of the jar. */
 class Version : CommandLine.IVersionProvider {
     override fun getVersion() = arrayOf(
         "copperglade ${Main::class.java.`package`?.implementationVersion ?: "(not packaged)"}",
@@ -72,18 +72,18 @@
     exitProcess(commandLine.execute(*args))
 }
 
-/** Netty reads these properties when its classes are loaded, so they must be set before. */
+/** Sets Netty's system properties. Netty reads them when its classes are loaded, so this function must be called before. */
 private fun configureNetty() {
-    // Heap buffers only: the memory of the whole process is counted, and direct buffers are freed late.
+    // Heap buffers only: the memory limit applies to the whole process, and direct buffers are freed late.
     System.setProperty("io.netty.noPreferDirect", "true")
     System.setProperty("io.netty.allocator.type", "unpooled")
     System.setProperty("io.netty.leakDetection.level", "disabled")
-    // Without these, Netty searches the network interfaces for an id that nothing here uses.
+    // Without these, Netty searches the network interfaces for an id, which the program doesn't use.
     System.setProperty("io.netty.machineId", "02:00:00:00:00:01")
     System.setProperty("io.netty.processId", "1")
 }
 
-/** The level to log at; null where [requested] is none. */
+/** The log level for [requested], by default `info`; null where [requested] is not a supported level. */
 private fun logLevel(requested: String?): String? = when (requested) {
     null, "", "info" -> "info"
     "error", "debug" -> requested
--- a/src/main/kotlin/copperglade/settings/InvalidSettingException.kt
+++ b/src/main/kotlin/copperglade/settings/InvalidSettingException.kt
@@ -1,4 +1,4 @@
 package copperglade.settings
 
-/** A setting that is missing or makes no sense; [message] names it, in one line. */
+/** Thrown for a setting that is missing or invalid; [message] names the setting, in one line. */
 class InvalidSettingException(message: String) : Exception(message)
--- a/src/main/kotlin/copperglade/settings/OperatorProperties.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorProperties.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Reads the operators' properties. Unknown keys and values out of range are refused, by name, with [InvalidSettingException]. */
+/** Reads the operators' properties. Unknown keys and values out of range cause an [InvalidSettingException] that names the key. */
 object OperatorProperties {
     private const val MILLIS_PER_SECOND = 1000.0
     private val KEYS = setOf(
@@ -28,18 +28,18 @@
         "failures.machines",
     )
 
-    /** Reads the file at [path]; throws [java.io.IOException] where it can't be read. */
+    /** Reads the properties file at [path]; throws [java.io.IOException] where the file can't be read. */
     fun read(path: Path): OperatorSettings {
         val properties = Properties()
         try {
             Files.newBufferedReader(path).use(properties::load)
         } catch (_: IllegalArgumentException) {
-            throw InvalidSettingException("$path: not a properties file")
+            throw InvalidSettingException("$path: not a Java properties file (malformed Unicode escape)")
         }
         return parse(properties)
     }
 
-    /** Reads [properties]; a key that is left out keeps its default. */
+    /** Reads [properties]; a missing key takes the default of [OperatorSettings]. */
     fun parse(properties: Properties): OperatorSettings {
         val unknown = properties.stringPropertyNames().filter { it !in KEYS }.sorted()
         if (unknown.isNotEmpty()) throw InvalidSettingException("unknown property ${unknown.first()}")
@@ -69,18 +69,18 @@
         )
     }
 
-    /** Reads values in their ranges. */
+    /** Reads single values and checks their ranges. */
     private class Reader(private val properties: Properties) {
         fun number(key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
             val text = properties.getProperty(key)?.trim() ?: return default
             return text.toDoubleOrNull()?.takeIf { it in range }
-                ?: throw InvalidSettingException("$key: not a number in $range: $text")
+                ?: throw InvalidSettingException("$key: expected a number in $range, got: $text")
         }
 
         fun integer(key: String, default: Int, range: IntRange): Int {
             val text = properties.getProperty(key)?.trim() ?: return default
             return text.toIntOrNull()?.takeIf { it in range }
-                ?: throw InvalidSettingException("$key: not an integer in $range: $text")
+                ?: throw InvalidSettingException("$key: expected an integer in $range, got: $text")
         }
 
         fun seconds(key: String, default: Duration, range: ClosedFloatingPointRange<Double>): Duration =
--- a/src/main/kotlin/copperglade/settings/OperatorSettings.kt
+++ b/src/main/kotlin/copperglade/settings/OperatorSettings.kt
@@ -5,23 +5,25 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What the operators may set; `docs/operations.md` names the property keys.
+ * The settings that operators may change; `docs/operations.md` describes the property keys.
  *
- * @property stalenessLimit the longest that anybody acts on old knowledge.
- * @property stalenessMargin the margin between that and the time by which cancelled tasks must have ended.
- * @property sessionLeaseFraction a controller's session lease, as a fraction of the workers' lease.
- * @property leaderLease the leader's session lease.
- * @property shardsPerZone 0: as many as there are controllers.
- * @property stragglerFactor a straggler has run this many times its job's average.
- * @property nearestProfiles past tasks in a prediction.
- * @property fittingSteps gradient steps for each finished task, [fittingRate] the length of a step.
- * @property profileCapacity past tasks remembered.
- * @property starvationThresholdSeconds how long a job waits until it is preferred to the plan.
- * @property starvationShare the share of the machines for jobs that can't meet their deadline any more.
- * @property headroom CPUs kept per CPU in demand.
- * @property idleReplacements how long a machine is idle before it may be returned, in times of replacing one.
- * @property scaleInHysteresisReplacements how slowly the level of demand falls, in the same measure.
- * @property failingJobMachineThreshold on how many machines a job must fail to be taken for failing.
+ * @property stalenessLimit the maximum age of state on which a controller acts.
+ * @property stalenessMargin the margin between [stalenessLimit] and the time by which the tasks of a cancelled job must have ended.
+ * @property sessionLeaseFraction the length of a controller's session lease, as a fraction of the workers' lease.
+ * @property leaderLease the length of the leader's lease.
+ * @property shardsPerZone the number of shards in each zone; 0 means one for each controller.
+ * @property stragglerFactor a task is a straggler once its run time exceeds its job's average by this factor.
+ * @property nearestProfileCount the number of most similar past tasks from which a prediction is made.
+ * @property fittingSteps the number of gradient steps after each finished task.
+ * @property fittingRate the length of a gradient step.
+ * @property profileCapacity the maximum number of past tasks that are stored for predictions.
+ * @property starvationThresholdSeconds the waiting time after which a job is starving and takes precedence over the plan.
+ * @property starvationShare the share of the machines that is available to starving jobs that can no longer meet their deadline.
+ * @property headroomFactor the target capacity in CPUs for each CPU of demand.
+ * @property minIdleReplacementTimes the idle time after which a machine may be returned, in multiples of the time to replace a machine.
+ * @property scaleInHysteresisReplacementTimes the time constant of the demand level's decline, in multiples of the time to replace a
+ * machine.
+ * @property failingJobMachineThreshold the number of machines on which a job must have failed to be classified as failing.
  */
 data class OperatorSettings(
     val stalenessLimit: Duration = 30.seconds,
--- a/src/main/kotlin/copperglade/settings/PlatformSettings.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettings.kt
@@ -5,17 +5,21 @@
 import copperglade.protocol.TeamName
 
 /**
- * The settings that the platform hands to every controller; [PlatformSettingsParser] reads them.
+ * The settings that the platform passes to each controller; [PlatformSettingsParser] reads them.
  *
- * @property member this controller's name, [zone] its zone.
- * @property clientListen where users and workers call, [clusterListen] where the other controllers do.
- * @property cloud the endpoint of the cloud, [state] that of the state service.
- * @property leaseSeconds the workers' lease: how long a worker keeps its tasks after the last answered heartbeat.
- * @property cancelSeconds within what time the tasks of a job must have ended once its cancellation is confirmed.
- * @property stateRequestsPerSecond this and the other limits of the state service ([stateWritesPerSecond], [valueKb],
- * [transactionWrites]) are the lower ones of those that hold now and those that are announced. All controllers share them.
- * @property listLagSeconds how late the cloud's list of machines may be.
- * @property memoryMb the machine's memory; null where the platform doesn't tell.
+ * The limits of the state service are [stateRequestsPerSecond], [stateWritesPerSecond], [maxValueKb] and [maxTransactionWrites]. Each is
+ * the lower of the current limit and the announced one. The limits apply to all controllers together.
+ *
+ * @property member this controller's name.
+ * @property zone this controller's zone.
+ * @property clientListen the endpoint on which this controller serves users and workers.
+ * @property clusterListen the endpoint on which this controller serves the other controllers.
+ * @property cloud the endpoint of the cloud's API.
+ * @property state the endpoint of the state service.
+ * @property workerLeaseSeconds how long a worker keeps its tasks running after its last answered heartbeat.
+ * @property cancellationDeadlineSeconds the time within which the tasks of a job must have ended after its cancellation is confirmed.
+ * @property machineListLagSeconds the maximum delay with which the cloud's list of machines shows changes.
+ * @property memoryMb the machine's memory; null where the platform doesn't state it.
  */
 data class PlatformSettings(
     val member: MemberId,
--- a/src/main/kotlin/copperglade/settings/PlatformSettingsParser.kt
+++ b/src/main/kotlin/copperglade/settings/PlatformSettingsParser.kt
@@ -7,11 +7,11 @@
 import copperglade.protocol.fieldOrNull
 import copperglade.protocol.stringOrNull
 
-/** Reads the platform's settings file. Fields that aren't known are ignored; each other error names its field. */
+/** Reads the platform's settings file. Unknown fields are ignored; each error names its field. */
 object PlatformSettingsParser {
-    /** Reads the settings; throws [InvalidSettingException] where they are no JSON object or a field makes no sense. */
+    /** Parses the settings; throws [InvalidSettingException] where [bytes] are not a JSON object or a field is missing or invalid. */
     fun parse(bytes: ByteArray): PlatformSettings {
-        val root = Json.readStrict(bytes)?.takeIf { it.isObject } ?: throw InvalidSettingException("settings: not a JSON object")
+        val root = Json.readStrict(bytes)?.takeIf { it.isObject } ?: throw InvalidSettingException("settings: expected a JSON object")
         val outside = root.objectField("outside")
         val deployment = root.objectField("deployment")
         val workers = deployment.objectField("workers")
@@ -62,7 +62,7 @@
         )
     }
 
-    /** By class, the longest time that an objective of this [kind] allows. */
+    /** For each workload class, the longest time that an objective of this [kind] allows. */
     private fun longestWithinSeconds(objectiveNodes: JsonNode, kind: String): Map<String, Double> = objectiveNodes
         .filter { it.stringOrNull("kind") == kind }
         .groupBy({ it.stringField("class") }, { it.positiveNumber("within_s") })
--- a/src/main/kotlin/copperglade/settings/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/copperglade/settings/ServiceLevelObjectives.kt
@@ -1,12 +1,12 @@
 package copperglade.settings
 
 /**
- * The service-level objectives, as far as decisions follow from them.
+ * The service-level objectives that affect decisions. The maps are keyed by workload class.
  *
- * @property deadlineMultiples by load, the multiples of its deadline that its jobs are measured by.
- * @property guaranteeWithinSeconds how soon work within a guarantee should start.
- * @property startedWithinSeconds by load, how soon its tasks should have started, whatever their deadline.
- * @property finishedWithinSeconds by load, how soon its jobs should be done, whatever their deadline.
+ * @property deadlineMultiples the multiples of a job's deadline by which jobs of the class are measured.
+ * @property guaranteeWithinSeconds the time within which tasks should start that are covered by their team's guarantee.
+ * @property startedWithinSeconds the time within which tasks of the class should have started, regardless of deadlines.
+ * @property finishedWithinSeconds the time within which jobs of the class should be done, regardless of deadlines.
  */
 class ServiceLevelObjectives(
     val deadlineMultiples: Map<String, List<Double>> = emptyMap(),
@@ -14,7 +14,10 @@
     val startedWithinSeconds: Map<String, Double> = emptyMap(),
     val finishedWithinSeconds: Map<String, Double> = emptyMap(),
 ) {
-    /** How soon a job of [workloadClass] whose tasks run for [runSeconds] should be done at the latest; null where no objective says so. */
+    /**
+     * Returns the time within which a job of [workloadClass] should be done at the latest if its tasks run for [runSeconds]; null where
+     * no objective applies.
+     */
     fun latestEndSeconds(workloadClass: String, runSeconds: Double): Double? =
         listOfNotNull(finishedWithinSeconds[workloadClass], startedWithinSeconds[workloadClass]?.let { it + runSeconds }).minOrNull()
 }
--- a/src/main/kotlin/copperglade/transport/BatchingSelectStrategy.kt
+++ b/src/main/kotlin/copperglade/transport/BatchingSelectStrategy.kt
@@ -7,9 +7,11 @@
 import kotlin.math.min
 
 /**
- * Lets messages gather under load, so that one selection finds several: waking up costs a small machine more processor time than most
- * messages do. The more a selection finds, the longer the next one is delayed, up to [MAX_DELAY_NANOS]; timers are late by no more
- * than that. Messages that come one by one are not delayed.
+ * Delays selections under load, so that one selection returns several ready channels. On a small machine, a wake-up of the thread
+ * costs more processor time than the handling of most messages.
+ *
+ * The minimum interval between two selections grows while selections return many ready channels, up to [MAX_DELAY_NANOS]; timers are
+ * late by no more than that. A message that arrives later than this interval after the last selection is not delayed.
  */
 internal class BatchingSelectStrategy : SelectStrategy {
     private var delayNanos = MIN_DELAY_NANOS
--- a/src/main/kotlin/copperglade/transport/ClientConnection.kt
+++ b/src/main/kotlin/copperglade/transport/ClientConnection.kt
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * A connection of ours to [endpoint], with one request on it at a time. A request that isn't completed in time takes its connection with
- * it.
+ * An outgoing connection to [endpoint], with at most one request in flight. A request that times out closes its connection.
+ *
+ * @param onResponse called after each response, when this connection is back in [pool] or being closed.
  */
 internal class ClientConnection(
     val endpoint: Endpoint,
@@ -24,7 +25,7 @@
     private val pool: ClientConnectionPool,
     private val onResponse: () -> Unit,
 ) : SimpleChannelInboundHandler<FullHttpResponse>() {
-    /** Set before the connection is handed to anybody, when it joins its channel. */
+    /** Set when the channel's pipeline is initialized, before any request is sent. */
     private lateinit var channel: Channel
     private var inFlight: PendingRequest? = null
 
--- a/src/main/kotlin/copperglade/transport/ClientConnectionPool.kt
+++ b/src/main/kotlin/copperglade/transport/ClientConnectionPool.kt
@@ -2,16 +2,16 @@
 
 import copperglade.protocol.Endpoint
 
-/** The idle connections of [NettyHttpClient], by endpoint and by how long they have been idle. */
+/** The idle connections of [NettyHttpClient], indexed by endpoint and by idle time. */
 internal class ClientConnectionPool {
     private val byEndpoint = HashMap<Endpoint, ArrayDeque<ClientConnection>>()
     private val byIdleTime = IdleConnections<ClientConnection>()
 
-    /** Keeps [connection] for reuse, and closes those that have been idle for too long. */
+    /** Keeps [connection] for reuse, and closes the connections that have been idle for [MAX_IDLE_NANOS] or more. */
     fun add(connection: ClientConnection) {
         byEndpoint.getOrPut(connection.endpoint) { ArrayDeque() }.addLast(connection)
         byIdleTime.add(connection)
-        // Machines come and go by the hundred, and one without power never closes its connection.
+        // Hundreds of machines are started and terminated, and a machine that loses power never closes its connections.
         while (true) closeNow(byIdleTime.longestIdle(MAX_IDLE_NANOS) ?: break)
     }
 
@@ -22,7 +22,7 @@
         if (connections.isEmpty()) byEndpoint.remove(connection.endpoint)
     }
 
-    /** Takes an open connection to [endpoint] out of the pool, the latest used; null where there is none. */
+    /** Removes and returns the most recently used open connection to [endpoint], or null where the pool has none. */
     fun take(endpoint: Endpoint): ClientConnection? {
         while (true) {
             val connection = byEndpoint[endpoint]?.lastOrNull() ?: return null
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Closes the connection that has been idle for longest, except to [exceptTo]; false where there is none. */
+    /** Closes the connection that has been idle for longest, except those to [exceptTo]; returns false where there is none to close. */
     fun closeLongestIdle(exceptTo: Set<Endpoint>): Boolean {
         closeNow(byIdleTime.longestIdle { it.endpoint !in exceptTo } ?: return false)
         return true
--- a/src/main/kotlin/copperglade/transport/EventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/EventLoop.kt
@@ -3,15 +3,15 @@
 import copperglade.protocol.MonotonicTime
 import kotlin.time.Duration
 
-/** The only source of time for decisions, so that tests can turn it by hand. */
+/** The only source of time for decisions, so that tests can control the time. */
 interface Clock {
-    /** The monotonic clock. */
+    /** The current time of the monotonic clock. */
     fun now(): MonotonicTime
 
-    /** The same clock in microseconds: for measuring how long something takes, never for decisions. */
+    /** The monotonic clock in microseconds; for measuring durations, never for decisions. */
     fun monotonicMicros(): Long = now().millis * MICROS_PER_MILLI
 
-    /** Time of day in milliseconds; only for what people or other machines read. */
+    /** Milliseconds since the Unix epoch; only for values that people or other machines read. */
     fun wallMillis(): Long
 
     private companion object {
@@ -19,12 +19,12 @@
     }
 }
 
-/** The one thread on which everything is decided. */
+/** The single thread on which all decisions run. */
 interface EventLoop : Clock {
-    /** Runs [action] once, on the loop, after [delay]; never before this call returns. */
+    /** Runs [action] once, on the event loop, after [delay]; never before this call returns. */
     fun after(delay: Duration, action: () -> Unit)
 
-    /** Runs [action] repeatedly, each time after a new [delay]. A fault in one run doesn't end the repetition. */
+    /** Runs [action] repeatedly, each time after a new [delay]. An exception in one run doesn't end the repetition. */
     fun scheduleRepeating(delay: () -> Duration, action: () -> Unit): Unit = after(delay()) {
         try {
             action()
--- a/src/main/kotlin/copperglade/transport/FaultBarrier.kt
+++ b/src/main/kotlin/copperglade/transport/FaultBarrier.kt
@@ -3,20 +3,20 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Runs the decisions of a process: timers, requests and replies. A decision that ends in a fault may have changed a part of the
- * state and not the rest. Nothing tells which, so nothing more is decided on that state: the process ends, and its successor
- * reads everything again.
+ * Runs the actions of a process (timers, requests and replies) and ends the process after the first uncaught exception.
  *
- * Guards against acting on records that reached the replica but not the parts that decide by them.
+ * An action that throws may have changed the in-memory state only partly; for instance, the replica may hold a record that the
+ * components which act on it have not processed. No further action runs on such a state: the process ends, and its successor reads all
+ * state again.
  *
- * @param endProcess must not return to the state that the fault has left behind.
+ * @param endProcess ends the process with the given exception as cause; must not continue on the inconsistent state.
  */
 class FaultBarrier(private val endProcess: (Throwable) -> Unit) {
-    /** Whether a decision has ended in a fault: from then on none is run. */
+    /** Whether an action has thrown, or [fail] was called; from then on no action is run. */
     var hasFailed = false
         private set
 
-    /** Runs [action], unless an earlier one has ended in a fault. */
+    /** Runs [action], unless the barrier has failed. */
     fun run(action: () -> Unit) {
         if (hasFailed) return
         try {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Reports a fault outside of a decision that leaves the process as unsound, such as memory that has run out. */
+    /** Ends the process for a [fault] outside of an action after which the process can't continue, such as an [OutOfMemoryError]. */
     fun fail(fault: Throwable) {
         if (hasFailed) return
         hasFailed = true
@@ -34,11 +34,11 @@
     }
 
     companion object {
-        /** The exit status after a fault (EX_SOFTWARE of sysexits.h). */
+        /** The exit status after a fault (`EX_SOFTWARE` in `sysexits.h`). */
         const val EXIT_STATUS = 70
         private val log = LoggerFactory.getLogger("fault")
 
-        /** Ends this process at once; no shutdown hook may run on what the fault has left behind. */
+        /** A barrier that halts this process at once: shutdown hooks must not run on the inconsistent state. */
         fun haltingProcess() = FaultBarrier { fault ->
             try {
                 log.error("process_ending reason=decision_fault exit_status={}", EXIT_STATUS, fault)
--- a/src/main/kotlin/copperglade/transport/HttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/HttpClient.kt
@@ -6,8 +6,8 @@
 /** Sends requests to other processes. */
 fun interface HttpClient {
     /**
-     * Calls [onReply] once, on the event loop, at the latest after [timeout]. Null means that no reply came in time: the request may
-     * have been carried out, or may yet be.
+     * Sends [request] to [to] and calls [onReply] once, on the event loop, at the latest after [timeout]. A null reply means that no
+     * reply was received in time; the request may nevertheless have been processed, or may still be processed later.
      */
     fun call(to: Endpoint, request: Request, timeout: Duration, onReply: (Reply?) -> Unit)
 }
--- a/src/main/kotlin/copperglade/transport/HttpStatus.kt
+++ b/src/main/kotlin/copperglade/transport/HttpStatus.kt
@@ -1,6 +1,6 @@
 package copperglade.transport
 
-/** The HTTP statuses that are given or understood here. */
+/** The HTTP status codes that the controllers send or handle. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
--- a/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
+++ b/src/main/kotlin/copperglade/transport/NettyEventLoop.kt
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
-/** A single NIO thread that serves every socket and makes every decision, each of them behind [barrier]. */
+/** A single NIO thread that serves all sockets and runs all actions, each action through [barrier]. */
 class NettyEventLoop(val barrier: FaultBarrier = FaultBarrier.haltingProcess()) : EventLoop {
     val group: EventLoopGroup =
         MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider()) { BatchingSelectStrategy() })
--- a/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -12,11 +12,11 @@
 import kotlin.time.Duration
 
 /**
- * Sends requests over connections that are kept open and reused. Where [connectionLimit] is reached, the connection that has been idle for
- * longest is closed in favour of a new one; where none is idle, the request waits for one.
+ * Sends requests over connections that are kept open and reused. At [connectionLimit] connections, a new connection replaces the one
+ * that has been idle for longest; where none is idle, the request is queued until a connection is free.
  *
- * @param heapBytes the bytes that the heap may take: the limit of a response follows from it.
- * @param unlimitedEndpoints are connected to whatever the limit; there are few of them.
+ * @param heapBytes the heap budget, from which the maximum size of a response is derived.
+ * @param unlimitedEndpoints the few endpoints to which connections are opened regardless of [connectionLimit].
  */
 class NettyHttpClient(
     private val loop: NettyEventLoop,
@@ -25,17 +25,17 @@
     private val unlimitedEndpoints: Set<Endpoint> = emptySet(),
 ) : HttpClient {
     /**
-     * A sixteenth of the heap: a response is held several times over while it is read as a tree. A larger one counts as none; the
-     * state service's changes after a long absence are the only response without a bound.
+     * A sixteenth of the heap, since a response takes several times its size while it is parsed into a tree. A larger response counts
+     * as no reply. The only response of unbounded size is the state service's list of changes after a long disconnection.
      */
     private val maxResponseBytes = (heapBytes / HEAP_DIVISOR).coerceIn(MIN_RESPONSE_LIMIT_BYTES, Int.MAX_VALUE.toLong()).toInt()
     private val pool = ClientConnectionPool()
 
-    /** Open or being opened. */
+    /** The number of connections that are open or being opened. */
     var connectionCount = 0
         private set
 
-    /** Requests that no connection was free for, in order of their coming. */
+    /** Requests for which no connection was free, in order of arrival. */
     private val queuedRequests = ArrayDeque<PendingRequest>()
     private var isSendingQueued = false
     private val bootstrap = Bootstrap()
@@ -54,13 +54,13 @@
         }
     }
 
-    /** Whether a connection may be opened, if need be after closing the one that has been idle for longest. */
+    /** Whether a connection may be opened; at the limit, closes the connection that has been idle for longest to make room for it. */
     private fun canConnect(): Boolean {
         if (connectionCount < connectionLimit) return true
         return pool.closeLongestIdle(unlimitedEndpoints) && connectionCount < connectionLimit
     }
 
-    /** Closing a connection in favour of another calls back here before it returns: one call at a time. */
+    /** Sends queued requests while connections are free. Not reentrant: closing an idle connection calls this function again. */
     private fun sendQueued() {
         if (isSendingQueued) return
         isSendingQueued = true
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -34,10 +34,12 @@
 /**
  * An HTTP/1.1 server on one address.
  *
- * @param connectionLimit beyond it, a new connection takes the place of the one that has been idle for longest. Where none is
- * idle, the new one is answered with 503, and beyond [REFUSED_SHARE] more of these closed at once: sockets must remain for our own
- * calls. So more callers than connections take turns, and none of them is refused for as long as others stay connected.
- * @param maxBodyBytes a longer body is refused with 400.
+ * At [connectionLimit] connections, a new connection replaces the one that has been idle for longest, so that more clients than
+ * connections take turns, and no client is refused merely because other clients stay connected. Where no connection is idle, requests
+ * on the new connection are answered with 503. Once [REFUSED_SHARE] more connections than the limit are open, new ones are closed at
+ * once, so that sockets remain for the controller's own outgoing connections.
+ *
+ * @param maxBodyBytes the maximum size of a request body; a larger one is answered with 400.
  */
 class NettyHttpServer(
     private val loop: NettyEventLoop,
@@ -47,10 +49,12 @@
 ) {
     private var connectionCount = 0
 
-    /** Connections that wait for their next request. */
+    /** Connections that have been answered and have not sent their next request. */
     private val idleConnections = IdleConnections<Channel>()
 
-    /** Listens at [address], or with port 0 at any free port, and returns where; throws where the address can't be bound. */
+    /**
+     * Binds [address] (port 0: any free port) and returns the bound address; throws where the address can't be bound.
+     */
     fun listen(address: Endpoint): Endpoint {
         val serverChannel = ServerBootstrap()
             .group(loop.group)
@@ -68,7 +72,7 @@
         return Endpoint(address.host, (serverChannel.localAddress() as InetSocketAddress).port)
     }
 
-    /** Takes a new connection, refuses its requests or closes it at once. */
+    /** Accepts a new connection, marks its requests to be refused, or closes it at once. */
     private fun accept(channel: SocketChannel) {
         if (connectionCount >= connectionLimit) closeLongestIdle()
         val isRefused = connectionCount >= connectionLimit
@@ -95,7 +99,7 @@
         longestIdle.close()
     }
 
-    /** A body over the limit gets a plain 400, and the connection ends. */
+    /** Answers a request whose body exceeds the limit with 400, and closes the connection. */
     private inner class BoundedAggregator : HttpObjectAggregator(maxBodyBytes) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, oversized: HttpMessage) {
             val response =
@@ -107,7 +111,7 @@
         }
     }
 
-    /** Decodes the requests of a connection; all are answered with 503 where it is [isRefused]. */
+    /** Decodes the requests of a connection; where [isRefused], all requests are answered with 503. */
     private inner class ServerConnection(private val isRefused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
         override fun channelRead0(context: ChannelHandlerContext, message: FullHttpRequest) {
             val keepAlive = HttpUtil.isKeepAlive(message)
@@ -143,7 +147,7 @@
         }
     }
 
-    /** Sends [reply]; nothing is sent where the connection is gone. */
+    /** Sends [reply]; does nothing where the connection is closed. */
     private fun answer(channel: Channel, reply: Reply, keepAlive: Boolean) {
         if (!channel.isActive) return
         val written = channel.writeAndFlush(encode(reply, keepAlive))
@@ -154,17 +158,17 @@
         private const val READ_TIMEOUT_SECONDS = 40
         private const val REFUSED_READ_TIMEOUT_SECONDS = 5
 
-        /** How many connections may be refused at a time, as a share of the limit. */
+        /** The maximum number of refused connections that are open at a time, as a share of the limit. */
         private const val REFUSED_SHARE = 0.1
         private const val MAX_REQUEST_LINE_BYTES = 4096
         private const val MAX_HEADER_BYTES = 8192
         private const val MAX_CHUNK_BYTES = 8192
         private const val BYTES_PER_KIB = 1024
 
-        /** The largest body by the protocol with users and workers. */
+        /** The maximum size of a request body in the protocol with users and workers. */
         const val MAX_PROTOCOL_BODY_BYTES = 64 * BYTES_PER_KIB
 
-        /** Guards against closing a connection that has just been answered, and whose next request may be on its way. */
+        /** The minimum idle time before a connection is closed: the next request on a connection just answered may be in flight. */
         private const val MIN_IDLE_NANOS = 300_000_000L
         private val log = LoggerFactory.getLogger("transport")
 
--- a/src/main/kotlin/copperglade/transport/PendingRequest.kt
+++ b/src/main/kotlin/copperglade/transport/PendingRequest.kt
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
-/** A request of ours until it is answered, times out or loses its connection, whichever comes first: [onReply] is called once. */
+/** An outgoing request. [onReply] is called once: on the reply, on the timeout or on the loss of the connection, whichever is first. */
 internal class PendingRequest(
     private val loop: NettyEventLoop,
     val endpoint: Endpoint,
@@ -17,11 +17,11 @@
     var isFinished = false
         private set
 
-    /** Where it has been sent; closed on a timeout, so that a late reply can't be taken for that of a later request. */
+    /** The channel on which the request was sent; closed on a timeout, so that a late reply can't be matched to a later request. */
     var channel: Channel? = null
     private val timeoutTimer: ScheduledFuture<*> = loop.group.schedule(::onTimeout, timeout.inWholeMilliseconds, TimeUnit.MILLISECONDS)
 
-    /** Ends it with [reply]; null: none came. */
+    /** Completes the request with [reply], or null where none was received. No effect once the request is finished. */
     fun finish(reply: Reply?) {
         if (isFinished) return
         isFinished = true
--- a/src/main/kotlin/copperglade/transport/RequestHandler.kt
+++ b/src/main/kotlin/copperglade/transport/RequestHandler.kt
@@ -1,13 +1,13 @@
 package copperglade.transport
 
-/** Takes requests from other processes. */
+/** Handles requests from other processes. */
 fun interface RequestHandler {
-    /** Handles [request] on the event loop; [Responder.send] is called once, now or later. */
+    /** Handles [request] on the event loop; calls [Responder.send] once, during this call or later. */
     fun handle(request: Request, responder: Responder)
 }
 
 /** Sends the reply to one request. */
 fun interface Responder {
-    /** Sends [reply]; nothing is sent where the connection is gone. */
+    /** Sends [reply]; does nothing where the connection is closed. */
     fun send(reply: Reply)
 }
