--- a/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -60,7 +60,10 @@
         return pool.closeLongestIdle(unlimitedEndpoints) && connectionCount < connectionLimit
     }
 
-    /** Sends queued requests while connections are free. Not reentrant: closing an idle connection calls this function again. */
+    /**
+     * Sends queued requests while connections are free. Closing an idle connection calls this function again; the nested call returns at
+     * once.
+     */
     private fun sendQueued() {
         if (isSendingQueued) return
         isSendingQueued = true
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -52,9 +52,7 @@
     /** Connections that have been answered and have not sent their next request. */
     private val idleConnections = IdleConnections<Channel>()
 
-    /**
-     * Binds [address] (port 0: any free port) and returns the bound address; throws where the address can't be bound.
-     */
+    /** Binds [address] (port 0: any free port) and returns the bound address; throws where the address can't be bound. */
     fun listen(address: Endpoint): Endpoint {
         val serverChannel = ServerBootstrap()
             .group(loop.group)
