--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -58,7 +58,7 @@
     fun start() = loop.scheduleRepeating({ interval() }) { source.compose()?.let(::broadcast) }
 
     /** The more machines a status describes, the less often it is sent, so that its cost grows more slowly than the fleet. */
-    private fun interval(): Duration = minOf(INTERVAL + INTERVAL_PER_MACHINE * source.machineCount, MAX_INTERVAL)
+    private fun interval(): Duration = minOf(BASE_INTERVAL + INTERVAL_PER_MACHINE * source.machineCount, MAX_INTERVAL)
 
     private fun broadcast(status: PeerStatus) {
         statuses.recordOwn(status)
@@ -90,8 +90,8 @@
 
     private fun writeCapacityIfLeaderUnreachable(leader: MemberId, status: PeerStatus) {
         val now = loop.now()
-        val lastDelivery = deliveredAt.getOrPut(leader) { now }
-        if (now < lastDelivery + LEADER_UNREACHABLE_AFTER || now < capacityWrittenAt + CAPACITY_WRITE_INTERVAL) return
+        val lastDeliveredAt = deliveredAt.getOrPut(leader) { now }
+        if (now < lastDeliveredAt + LEADER_UNREACHABLE_AFTER || now < capacityWrittenAt + CAPACITY_WRITE_INTERVAL) return
         capacityWrittenAt = now
         val value = encodeWithinValueLimit(status) ?: return
         val write = Write.Set(Keys.memberCapacity(self), value)
@@ -104,8 +104,8 @@
      * machine is an estimate, so each encoded value is measured.
      */
     private fun encodeWithinValueLimit(status: PeerStatus): ByteArray? {
-        var targetBytes = (store.limits.valueBytes * JSON_OVERHEAD_FACTOR).toInt()
-        repeat(MAX_TRUNCATIONS) {
+        var targetBytes = (store.limits.valueBytes * INITIAL_TARGET_FRACTION).toInt()
+        repeat(MAX_TRUNCATION_ATTEMPTS) {
             val value = RecordCodec.encodePeerStatus(PeerMessageCodec.encodeStatus(status.truncatedTo(targetBytes)))
             if (value.size <= store.limits.valueBytes) return value
             targetBytes = (targetBytes * TRUNCATION_FACTOR).toInt()
@@ -124,12 +124,12 @@
     }
 
     private companion object {
-        const val MAX_TRUNCATIONS = 8
+        const val MAX_TRUNCATION_ATTEMPTS = 8
         const val TRUNCATION_FACTOR = 0.75
 
         /** Encoding the bytes as JSON text enlarges them by a third. */
-        const val JSON_OVERHEAD_FACTOR = 0.65
-        val INTERVAL = 150.milliseconds
+        const val INITIAL_TARGET_FRACTION = 0.65
+        val BASE_INTERVAL = 150.milliseconds
         val INTERVAL_PER_MACHINE = 1.milliseconds
         val MAX_INTERVAL = 600.milliseconds
 
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -10,7 +10,7 @@
 
 /** The latest recent status of each controller. Statuses are only hints: check them against the records before acting on them. */
 class PeerStatusTable(private val loop: EventLoop, private val self: MemberId, private val peers: List<Peer>) {
-    private class ReceivedStatus(val status: PeerStatus, val at: MonotonicTime)
+    private class ReceivedStatus(val status: PeerStatus, val receivedAt: MonotonicTime)
 
     private var own: PeerStatus? = null
     private val receivedDirectly = HashMap<MemberId, ReceivedStatus>()
@@ -38,11 +38,11 @@
     /** Like [statusOf], with a recent status from the state service as the fallback. */
     fun capacityStatusOf(member: MemberId): PeerStatus? {
         if (member == self) return own
-        return recentDirect(member) ?: fromStateService[member]?.takeIf { loop.now() < it.at + STATE_SERVICE_LIFETIME }?.status
+        return recentDirect(member) ?: fromStateService[member]?.takeIf { loop.now() < it.receivedAt + STATE_SERVICE_LIFETIME }?.status
     }
 
     private fun recentDirect(member: MemberId): PeerStatus? =
-        receivedDirectly[member]?.takeIf { loop.now() < it.at + DIRECT_LIFETIME }?.status
+        receivedDirectly[member]?.takeIf { loop.now() < it.receivedAt + DIRECT_LIFETIME }?.status
 
     /**
      * Whether a peer with a recent status has lately received an answer from the state service: that peer, or another member,
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -113,7 +113,7 @@
     fun imageRecord(limitBytes: Int): ImageRecord = scheduling.summary.imageRecord(limitBytes)
 
     /** The number of the shard's machines that are unreachable at [now]. */
-    fun unreachableMachines(now: MonotonicTime): Int = agents.health.countUnreachable(now)
+    fun unreachableMachineCount(now: MonotonicTime): Int = agents.health.countUnreachable(now)
 
     /** The capacity of the shard's machines, which is reported to the leader. */
     fun capacity(): ShardCapacity = scheduling.summary.capacity()
--- a/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
+++ b/src/main/kotlin/copperglade/ownership/UnreachableWorkerWatch.kt
@@ -29,7 +29,7 @@
         checkedAt = now
         val shards = owned.open
         val machines = shards.sumOf { it.machines.size }
-        val unreachable = machines >= MIN_MACHINES && shards.sumOf { it.unreachableMachines(now) } == machines && !store.isUnreachable()
+        val unreachable = machines >= MIN_MACHINES && shards.sumOf { it.unreachableMachineCount(now) } == machines && !store.isUnreachable()
         consecutiveChecks = if (unreachable && onTime) consecutiveChecks + 1 else 0
         if (consecutiveChecks < CHECKS_TO_RELEASE) return
         consecutiveChecks = 0
