--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -9,8 +9,8 @@
 
 /** The outcome of resolving a submission's dependencies. */
 internal sealed interface DependencyResolution {
-    /** All dependencies were accepted as jobs: [unfinished] are not done yet; [anyAborted] is true if at least one was cancelled. */
-    class Accepted(val unfinished: List<JobId>, val anyAborted: Boolean) : DependencyResolution
+    /** All dependencies were accepted as jobs: [open] are not done yet; [anyAborted] is true if at least one was cancelled. */
+    class Accepted(val open: List<JobId>, val anyAborted: Boolean) : DependencyResolution
 
     /** [id] was never accepted, or can never be done; [problem] is part of the reply to the user. */
     class Unsatisfiable(val id: JobId, val problem: String) : DependencyResolution
@@ -81,7 +81,7 @@
         if (service != null) return DependencyResolution.Unsatisfiable(service, "a service, which is never done")
         val outcomes = dependencies.associateWith { replica.dependencies.outcomeOf(it) }
         if (outcomes.values.any { it == DependencyOutcome.UNKNOWN }) return DependencyResolution.Unavailable
-        val unfinished = dependencies.filter { outcomes[it] != DependencyOutcome.DONE }
-        return DependencyResolution.Accepted(unfinished, anyAborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
+        val open = dependencies.filter { outcomes[it] != DependencyOutcome.DONE }
+        return DependencyResolution.Accepted(open, anyAborted = outcomes.values.any { it == DependencyOutcome.ABORTED })
     }
 }
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -77,7 +77,7 @@
                 refuse(spec.id, dependencyProblem("${resolution.id}: ${resolution.problem}"), responder)
             is DependencyResolution.Accepted -> {
                 // A job that depends on a cancelled job is accepted nevertheless, and stored as cancelled.
-                val record = LiveRecord(spec, loop.wallMillis(), resolution.anyAborted, resolution.unfinished)
+                val record = LiveRecord(spec, loop.wallMillis(), resolution.anyAborted, resolution.open)
                 if (record.dependencies.isEmpty() || store.limits.canStore(record)) {
                     commit(record, MAX_RETRIES, responder)
                 } else {
--- a/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardRecordWriter.kt
@@ -45,7 +45,7 @@
     fun renewToken(shard: ShardOwner) {
         val record = ownRecord() ?: return
         if (!tryBeginWrite(shard.name)) return
-        write(shard.name, shard.fencingToken, setRecord(shard.name, record)) { outcome ->
+        write(shard.name, shard.fencingToken, set(shard.name, record)) { outcome ->
             if (outcome is TransactionOutcome.Applied) {
                 log.info("shard_token_renewed shard={} fencing_token={} reason=unresolved_start", shard.name, outcome.revision)
                 shard.raiseToken(FencingToken(outcome.revision.number))
@@ -59,7 +59,7 @@
 
     /** Like [release], but leaves a record that keeps the leader from granting the shard to this process again at once. */
     fun releaseUnreachable(shard: ShardName, token: FencingToken) =
-        release(shard, token, setRecord(shard, ShardRecord.releasedBy(membership.self)))
+        release(shard, token, set(shard, ShardRecord.releasedBy(membership.self)))
 
     private fun release(shard: ShardName, token: FencingToken, write: Write) = write(shard, token, write) { outcome ->
         if (outcome is TransactionOutcome.Applied) settle(shard) else restore(shard, token)
@@ -71,7 +71,7 @@
      */
     private fun restore(shard: ShardName, token: FencingToken) {
         val record = ownRecord() ?: return settle(shard)
-        write(shard, token, setRecord(shard, record)) { outcome ->
+        write(shard, token, set(shard, record)) { outcome ->
             when (outcome) {
                 is TransactionOutcome.Applied, is TransactionOutcome.Conflict -> settle(shard)
                 TransactionOutcome.NoSuchLease, TransactionOutcome.Refused, TransactionOutcome.Unknown ->
@@ -82,7 +82,7 @@
 
     private fun ownRecord(): ShardRecord? = membership.incarnation?.let { ShardRecord(membership.self, it) }
 
-    private fun setRecord(shard: ShardName, record: ShardRecord) = Write.Set(Keys.shard(shard), RecordCodec.encode(record))
+    private fun set(shard: ShardName, record: ShardRecord) = Write.Set(Keys.shard(shard), RecordCodec.encode(record))
 
     private fun write(shard: ShardName, token: FencingToken, write: Write, onOutcome: (TransactionOutcome) -> Unit) {
         val transaction = Transaction(listOf(Condition(Keys.shard(shard), Revision(token.number))), listOf(write))
