--- a/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
+++ b/src/main/kotlin/copperglade/jobs/DependencyResolver.kt
@@ -15,7 +15,7 @@
     /** [id] was never accepted, or can never be done; [problem] is part of the reply to the user. */
     class Unsatisfiable(val id: JobId, val problem: String) : DependencyResolution
 
-    /** The state service didn't answer in time. */
+    /** The current records could not be read in time. */
     data object Unavailable : DependencyResolution
 }
 
--- a/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
+++ b/src/main/kotlin/copperglade/jobs/JobStatusReader.kt
@@ -19,7 +19,7 @@
     /** No job with this id was ever accepted. */
     data object NeverAccepted : JobStatusResult
 
-    /** The state service didn't answer in time. */
+    /** The current records could not be read in time. */
     data object Unavailable : JobStatusResult
 }
 
@@ -49,7 +49,7 @@
             end != null -> onResult(JobStatusResult.Found(summaryOf(id, end)))
             // A dependency ended before this process started, and the replica has not read yet whether it is done or cancelled.
             replica.dependencies.hasUnknownDependencies(id) -> onResult(JobStatusResult.Unavailable)
-            // The cancelled mark came from a peer, ahead of the read: the last task may have been recorded as done just before the mark.
+            // The replica received the cancelled mark ahead of the read: the last task may have been recorded as done just before the mark.
             job != null && job.isCancelledAfter(replica.knownRevision) && !job.complete -> readRecords(id, askedAt, onResult)
             job?.live != null -> onResult(JobStatusResult.Found(summaryOf(job)))
             else -> replica.readEnd(id) { onEndRecord(id, it, onResult) }
--- a/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
+++ b/src/main/kotlin/copperglade/membership/FormerIncarnations.kt
@@ -12,8 +12,9 @@
 /**
  * Tracks until when former incarnations of the other controllers may have extended leases of workers in their former shards.
  *
- * A controller that receives no answers extends worker leases for [gracePeriod] beyond the end of its session lease
- * ([Membership.mayExtendWorkerLeases]). A controller that has registered under a new incarnation has stopped doing so under the old one.
+ * A controller that neither the state service nor any peer answers extends worker leases for [gracePeriod] beyond the end of its session
+ * lease ([Membership.mayExtendWorkerLeases]). A controller that has registered under a new incarnation has stopped doing so under the
+ * old one.
  */
 class FormerIncarnations(
     private val loop: EventLoop,
--- a/src/main/kotlin/copperglade/membership/Leadership.kt
+++ b/src/main/kotlin/copperglade/membership/Leadership.kt
@@ -156,7 +156,7 @@
         replica.catchUp { outcome ->
             when (outcome) {
                 CatchUpOutcome.Current -> lead()
-                CatchUpOutcome.Unavailable -> stepDown("state_service_unavailable")
+                CatchUpOutcome.Unavailable -> stepDown("replica_not_current")
             }
         }
     }
--- a/src/main/kotlin/copperglade/membership/Membership.kt
+++ b/src/main/kotlin/copperglade/membership/Membership.kt
@@ -146,7 +146,7 @@
         replica.catchUp { outcome ->
             when (outcome) {
                 CatchUpOutcome.Current -> writeMemberKey(leaseId)
-                CatchUpOutcome.Unavailable -> retryLater("state_service_unavailable")
+                CatchUpOutcome.Unavailable -> retryLater("replica_not_current")
             }
         }
     }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -127,7 +127,7 @@
         const val MAX_TRUNCATION_ATTEMPTS = 8
         const val TRUNCATION_FACTOR = 0.75
 
-        /** Encoding the bytes as JSON text enlarges them by a third. */
+        /** The target size of the first attempt as a fraction of the value limit, since encoding as JSON text adds a third to the size. */
         const val INITIAL_TARGET_FRACTION = 0.65
         val BASE_INTERVAL = 150.milliseconds
         val INTERVAL_PER_MACHINE = 1.milliseconds
--- a/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
+++ b/src/test/kotlin/copperglade/membership/PeerStatusExchangeTest.kt
@@ -26,6 +26,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
+/**
+ * Guards against capacity records that the state service refuses because they exceed its value limit: the status of 40 machines with
+ * long names is larger than a value of 2 KB.
+ */
 class PeerStatusExchangeTest {
     private val sim = Simulation(1)
     private val network = SimNetwork(sim)
