--- a/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
+++ b/src/main/kotlin/copperglade/agents/ProfileRecorder.kt
@@ -10,21 +10,21 @@
 import copperglade.transport.Clock
 import org.slf4j.LoggerFactory
 
-/** Records how long completed array tasks ran, for the prediction of later ones. */
+/** Records the run times of completed array tasks, from which the run times of later tasks are predicted. */
 class ProfileRecorder(private val profiles: ProfileStore, private val clock: Clock) {
-    /** Records the run time of [run], which has just completed on [machine]; no effect for services and for runs not seen running. */
+    /** Records the run time of [run], just completed on [machine]. No effect unless it is an array task that was reported as running. */
     fun record(run: Run, machine: Machine) {
         val runningSince = run.runningSince ?: return
-        val seconds = (clock.now().ms - runningSince.ms) / MILLIS_PER_SECOND
+        val runSeconds = (clock.now().millis - runningSince.millis) / MILLIS_PER_SECOND
         if (run.spec.kind != JobKind.ARRAY || run.state != RunState.RUNNING) return
         run.stragglerRunSeconds?.let {
-            log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, seconds, it)
+            log.info("straggler_completed task={} machine={} run_seconds={} former_run_seconds={}", run.task, machine.name, runSeconds, it)
         }
-        profiles.record(TaskProfile(machine.name, factors(run, machine), seconds))
+        profiles.record(TaskProfile(machine.name, taskFactors(run, machine), runSeconds))
     }
 
-    private fun factors(run: Run, machine: Machine) =
-        TaskFactors(run.task.job, run.spec.load, machine.typeName, run.spec.request, machine.runs.size)
+    private fun taskFactors(run: Run, machine: Machine) =
+        TaskFactors(run.task.job, run.spec.workloadClass, machine.typeName, run.spec.request, machine.runs.size)
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/copperglade/controller/Controller.kt
+++ b/src/main/kotlin/copperglade/controller/Controller.kt
@@ -34,24 +34,24 @@
 import copperglade.safety.InvariantViolation
 import copperglade.safety.InvariantViolations
 import copperglade.scheduling.CapacityTable
-import copperglade.scheduling.FairShare
 import copperglade.scheduling.Scheduler
 import copperglade.scheduling.SchedulingPolicy
+import copperglade.scheduling.StarvationPrevention
 import copperglade.settings.OperatorSettings
 import copperglade.settings.PlatformSettings
 import copperglade.shards.ShardAssigner
 import copperglade.shards.ShardMap
-import copperglade.storage.EndedJobs
+import copperglade.storage.EndRecordCache
 import copperglade.storage.Replica
 import copperglade.storage.StateClient
 import copperglade.storage.StateLimits
 import copperglade.storage.TokenBucket
 import copperglade.tasks.ActionControl
-import copperglade.tasks.ClusterKnowledge
 import copperglade.tasks.FailingJobs
 import copperglade.tasks.FailureEvidence
 import copperglade.tasks.HeartbeatTimeouts
 import copperglade.tasks.ShardConnections
+import copperglade.tasks.SharedClusterData
 import copperglade.transport.EventLoop
 import copperglade.transport.HttpClient
 import copperglade.transport.RequestHandler
@@ -78,7 +78,7 @@
         http,
         settings.state,
         StateLimits(settings.stateRequestsPerSecond, settings.stateWritesPerSecond, settings.valueKb, settings.transactionWrites),
-        firstShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
+        initialShare = BudgetAllocator.initialStateShare(settings.peers.size + 1),
     )
     private val stalenessLimit = StalenessLimit.of(settings.leaseSeconds, settings.cancelSeconds, operatorSettings)
     private val idleRefreshInterval = minOf(Replica.IDLE_REFRESH_INTERVAL, stalenessLimit / REFRESHES_PER_STALENESS_LIMIT)
@@ -93,12 +93,12 @@
         Replica(
             loop,
             store,
-            readers = settings.peers.size + 1,
+            controllerCount = settings.peers.size + 1,
             idleRefreshInterval,
-            maxCatchUp = stalenessLimit,
-            EndedJobs.maxEndsFor(heapBytes),
+            maxSnapshotAge = stalenessLimit,
+            EndRecordCache.maxEndRecordsFor(heapBytes),
         ) { spec ->
-            profiles.expectedRunSeconds(spec.id, spec.load, spec.request) ?: spec.estimatedSeconds
+            profiles.expectedRunSeconds(spec.id, spec.workloadClass, spec.request) ?: spec.estimatedSeconds
         }
     private val leaseEndorsement = LeaseEndorsement(loop, http, store, settings.member, settings.peers)
     private val authorityLimits = AuthorityLimits(
@@ -125,7 +125,7 @@
         ShardConnections(loop, http, store),
         replica,
         ActionControl(membership, guard, audit),
-        ClusterKnowledge(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
+        SharedClusterData(types, profiles, failureEvidence, FailingJobs(replica, failureEvidence)),
         formerIncarnations,
         HeartbeatTimeouts(settings.heartbeatIntervalSeconds, settings.leaseSeconds),
         metrics,
@@ -144,7 +144,7 @@
     private val schedulingPolicy = SchedulingPolicy(
         settings.teams,
         settings.objectives,
-        FairShare(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
+        StarvationPrevention(operatorSettings.starvationThresholdSeconds, operatorSettings.starvationShare),
     )
     private val scheduler = Scheduler(loop, store, replica, leadership, capacityTable, types, schedulingPolicy)
     private val jobFinalizer = JobFinalizer(store, replica, leadership, guard, audit)
--- a/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/copperglade/jobs/SubmissionHandler.kt
@@ -48,7 +48,7 @@
             is ParsedSubmission.Valid -> submission.spec.id
             is ParsedSubmission.Invalid -> submission.id ?: return responder.send(JobReplies.badRequest(submission.error))
         }
-        if (replica.jobs[id]?.live != null || replica.endOf(id) != null) return answerStatus(id, responder)
+        if (replica.jobs[id]?.live != null || replica.endRecordOf(id) != null) return answerStatus(id, responder)
         when (submission) {
             is ParsedSubmission.Invalid -> refuse(id, JobReplies.badRequest(submission.error), responder)
             is ParsedSubmission.Valid -> check(submission, responder)
@@ -106,7 +106,7 @@
     private fun onAccepted(record: LiveRecord, transaction: Transaction, revision: Revision, responder: Responder) {
         val spec = record.spec
         replica.applyCommitted(transaction, revision)
-        log.debug("job_accepted job={} tasks={} load={}", spec.id, spec.tasks, spec.load)
+        log.debug("job_accepted job={} tasks={} load={}", spec.id, spec.tasks, spec.workloadClass)
         val status = if (record.cancelled) JobStatus.CANCELLED else JobStatus.QUEUED
         responder.send(Reply(HttpStatus.CREATED, UserApiCodec.encodeStatus(spec.id, status)))
     }
--- a/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusExchange.kt
@@ -94,7 +94,7 @@
         if (now < lastDeliveredAt + LEADER_UNREACHABLE_AFTER || now < capacityWrittenAt + CAPACITY_WRITE_INTERVAL) return
         capacityWrittenAt = now
         val value = encodeWithinValueLimit(status) ?: return
-        val write = Write.Set(Keys.memberCapacity(self), value)
+        val write = Write.Set(Keys.peerStatus(self), value)
         // The record is only a hint and useful only while recent, so the write has no condition; the incarnation reveals a delayed write.
         store.commit(WritePriority.ASSIGNMENT, Transaction(emptyList(), listOf(write))) {}
     }
--- a/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
+++ b/src/main/kotlin/copperglade/membership/PeerStatusTable.kt
@@ -49,7 +49,7 @@
      * takes over this controller's shards.
      */
     fun peersReachStateService(): Boolean = peers.any { peer ->
-        recentDirect(peer.member)?.let { it.stateSilentMillis < STATE_SERVICE_UNREACHABLE_AFTER_MILLIS } ?: false
+        recentDirect(peer.member)?.let { it.stateServiceAnswerAgeMillis < STATE_SERVICE_UNREACHABLE_AFTER_MILLIS } ?: false
     }
 
     /** Whether there are peers, and none of them has sent a recent status. */
--- a/src/main/kotlin/copperglade/ownership/ShardOwner.kt
+++ b/src/main/kotlin/copperglade/ownership/ShardOwner.kt
@@ -16,7 +16,7 @@
 import copperglade.storage.Job
 import copperglade.storage.Replica
 import copperglade.tasks.Machine
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
 import copperglade.transport.Clock
 import kotlin.time.Duration.Companion.milliseconds
@@ -31,7 +31,7 @@
     private val state: ShardState,
     private val agents: ShardAgents,
     private val scheduling: ShardScheduling,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val replica: Replica,
     private val membership: Membership,
     private val metrics: EventLoopMetrics,
@@ -57,7 +57,7 @@
     fun open() {
         state.isOpen = true
         replica.jobs.values.forEach(::reconcile)
-        machines.values.toList().forEach { if (state.isFenced(it)) agents.observer.reconcile(it) }
+        machines.values.toList().forEach { if (state.isFenced(it)) agents.reportReconciler.reconcile(it) }
     }
 
     /** Stops sending commands to workers: this process no longer owns the shard. */
@@ -75,10 +75,10 @@
     fun removeJob(job: JobId) = agents.reconciler.removeJob(job)
 
     /** Handles a heartbeat that a worker has sent. The caller has checked that this controller may act. */
-    fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.handle(heartbeat)
+    fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeatHandler.handle(heartbeat)
 
     /** Handles a heartbeat while this controller may no longer act, and no peer reports reaching the state service. */
-    fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeats.extendWorkerLease(heartbeat)
+    fun extendWorkerLease(heartbeat: Heartbeat): HeartbeatOutcome = agents.heartbeatHandler.extendWorkerLease(heartbeat)
 
     /**
      * Performs the work that is due, always in this order: records outcomes, places waiting runs, removes machines whose leases have
@@ -92,14 +92,14 @@
         if (now < nextSweepAt) return
         nextSweepAt = now + SWEEP_INTERVAL
         metrics.measure("shard_sweep") { sweep(now) }
-        if (membership.mayAct) metrics.measure("shard_stragglers") { scheduling.stragglers.restartWorthwhile(now) }
+        if (membership.mayAct) metrics.measure("shard_stragglers") { scheduling.stragglers.restartStragglers(now) }
     }
 
     /** Handles timeouts and due retries; changes by a heartbeat or a record are handled when they arrive. */
     private fun sweep(now: MonotonicTime) {
-        agents.unresolvedStarts.forgetExpired(now)
+        agents.unresolvedStarts.discardExpired(now)
         agents.tracker.removeExpired(now)
-        agents.missingRuns.releaseDue(now)
+        agents.missingRunRelease.releaseDue(now)
         if (membership.mayAct) machines.values.toList().forEach(agents.commands::sendDue)
     }
 
--- a/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
+++ b/src/main/kotlin/copperglade/placement/StragglerRestarts.kt
@@ -3,7 +3,7 @@
 import copperglade.agents.RunStopper
 import copperglade.protocol.MonotonicTime
 import copperglade.protocol.secondsSince
-import copperglade.tasks.OutcomeLog
+import copperglade.tasks.OutcomeWriter
 import copperglade.tasks.ShardState
 import copperglade.tasks.StopReason
 import copperglade.transport.Clock
@@ -15,12 +15,12 @@
 class StragglerRestarts internal constructor(
     private val state: ShardState,
     private val detector: StragglerDetector,
-    private val outcomes: OutcomeLog,
+    private val outcomes: OutcomeWriter,
     private val stopper: RunStopper,
     private val clock: Clock,
 ) {
     /** Assesses a few stragglers and stops those worth restarting; each starts on its target once its worker confirms the stop. */
-    fun restartWorthwhile(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
+    fun restartStragglers(now: MonotonicTime) = detector.findRestarts(state.machines.values, now).forEach(::restart)
 
     private fun restart(restart: StragglerRestart) {
         val run = restart.run
