--- a/src/main/kotlin/copperglade/app/Heap.kt
+++ b/src/main/kotlin/copperglade/app/Heap.kt
@@ -1,15 +1,15 @@
 package copperglade.app
 
-/** The heap as the virtual machine has it. */
+/** The heap of the Java virtual machine. */
 internal interface Heap {
-    /** Bytes that objects take, garbage among them. */
+    /** The bytes that objects occupy, including garbage. */
     val usedBytes: Long
 
-    /** The most that the start command allows. */
+    /** The maximum heap size, as set by the start command. */
     val maxBytes: Long
 
-    /** Collects garbage, and returns once that is done. */
-    fun collect()
+    /** Runs a garbage collection and returns once it is complete. */
+    fun collectGarbage()
 }
 
 /** The heap of this process. */
@@ -17,5 +17,5 @@
     override val usedBytes: Long get() = Runtime.getRuntime().let { it.totalMemory() - it.freeMemory() }
     override val maxBytes: Long get() = Runtime.getRuntime().maxMemory()
 
-    override fun collect() = System.gc()
+    override fun collectGarbage() = System.gc()
 }
--- a/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpServer.kt
@@ -34,10 +34,12 @@
 /**
  * An HTTP/1.1 server on one address.
  *
- * @param connectionLimit beyond it, a new connection takes the place of the one that has been idle for longest. Where none is
- * idle, the new one is answered with 503, and beyond [REFUSED_SHARE] more of these closed at once: sockets must remain for our own
- * calls. So more callers than connections take turns, and none of them is refused for as long as others stay connected.
- * @param maxBodyBytes a longer body is refused with 400.
+ * At [connectionLimit] connections, a new connection replaces the one that has been idle for longest, so that more clients than
+ * connections take turns, and no client is refused merely because other clients stay connected. Where no connection is idle, requests
+ * on the new connection are answered with 503. Once [REFUSED_SHARE] more connections than the limit are open, new ones are closed at
+ * once, so that sockets remain for the controller's own outgoing connections.
+ *
+ * @param maxBodyBytes the maximum size of a request body; a larger one is answered with 400.
  */
 class NettyHttpServer(
     private val loop: NettyEventLoop,
@@ -45,14 +47,14 @@
     private val maxBodyBytes: Int = MAX_PROTOCOL_BODY_BYTES,
     private val handler: RequestHandler,
 ) {
-    private var connections = 0
+    private var connectionCount = 0
 
-    /** Connections that wait for their next request. */
-    private val idle = IdleConnections<Channel>()
+    /** Connections that have been answered and have not sent their next request. */
+    private val idleConnections = IdleConnections<Channel>()
 
-    /** Listens at [address], or with port 0 at any free port, and returns where; throws where the address can't be bound. */
+    /** Binds [address] (port 0: any free port) and returns the bound address; throws where the address can't be bound. */
     fun listen(address: Endpoint): Endpoint {
-        val listening = ServerBootstrap()
+        val serverChannel = ServerBootstrap()
             .group(loop.group)
             .channel(NioServerSocketChannel::class.java)
             .option(ChannelOption.SO_BACKLOG, connectionLimit)
@@ -65,61 +67,61 @@
             .bind(address.host, address.port)
             .sync()
             .channel()
-        return Endpoint(address.host, (listening.localAddress() as InetSocketAddress).port)
+        return Endpoint(address.host, (serverChannel.localAddress() as InetSocketAddress).port)
     }
 
-    /** Takes a new connection, refuses its requests or closes it at once. */
+    /** Accepts a new connection, marks its requests to be refused, or closes it at once. */
     private fun accept(channel: SocketChannel) {
-        if (connections >= connectionLimit) closeLongestIdle()
-        val refused = connections >= connectionLimit
-        if (connections >= connectionLimit * (1.0 + REFUSED_SHARE)) {
+        if (connectionCount >= connectionLimit) closeLongestIdle()
+        val isRefused = connectionCount >= connectionLimit
+        if (connectionCount >= connectionLimit * (1.0 + REFUSED_SHARE)) {
             channel.close()
             return
         }
-        connections++
+        connectionCount++
         channel.closeFuture().addListener {
-            connections--
-            idle.remove(channel)
+            connectionCount--
+            idleConnections.remove(channel)
         }
         channel
             .pipeline()
-            .addLast(IdleStateHandler(if (refused) REFUSED_READ_TIMEOUT_SECONDS else READ_TIMEOUT_SECONDS, 0, 0))
+            .addLast(IdleStateHandler(if (isRefused) REFUSED_READ_TIMEOUT_SECONDS else READ_TIMEOUT_SECONDS, 0, 0))
             .addLast(HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
             .addLast(BoundedAggregator())
-            .addLast(ServerConnection(refused))
+            .addLast(ServerConnection(isRefused))
     }
 
     private fun closeLongestIdle() {
-        val longest = idle.longestIdle(MIN_IDLE_NANOS) ?: return
-        idle.remove(longest)
-        longest.close()
+        val longestIdle = idleConnections.longestIdle(MIN_IDLE_NANOS) ?: return
+        idleConnections.remove(longestIdle)
+        longestIdle.close()
     }
 
-    /** A body over the limit gets a plain 400, and the connection ends. */
+    /** Answers a request whose body exceeds the limit with 400, and closes the connection. */
     private inner class BoundedAggregator : HttpObjectAggregator(maxBodyBytes) {
         override fun handleOversizedMessage(context: ChannelHandlerContext, oversized: HttpMessage) {
             val response =
                 encode(
                     Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("body over ${maxBodyBytes / BYTES_PER_KIB} KiB", "body")),
-                    keep = false,
+                    keepAlive = false,
                 )
             context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE)
         }
     }
 
-    /** Decodes the requests of a connection; all are answered with 503 where it is [refused]. */
-    private inner class ServerConnection(private val refused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
+    /** Decodes the requests of a connection; where [isRefused], all requests are answered with 503. */
+    private inner class ServerConnection(private val isRefused: Boolean) : SimpleChannelInboundHandler<FullHttpRequest>() {
         override fun channelRead0(context: ChannelHandlerContext, message: FullHttpRequest) {
-            val keep = HttpUtil.isKeepAlive(message)
+            val keepAlive = HttpUtil.isKeepAlive(message)
             val channel = context.channel()
-            idle.remove(channel)
+            idleConnections.remove(channel)
             when {
                 message.decoderResult().isFailure ->
-                    answer(channel, Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keep = false)
-                refused -> answer(channel, tooManyConnections(), keep = false)
+                    answer(channel, Reply(HttpStatus.BAD_REQUEST, UserApiCodec.encodeError("not HTTP")), keepAlive = false)
+                isRefused -> answer(channel, tooManyConnections(), keepAlive = false)
                 else -> {
                     val request = Request(methodOf(message), message.uri(), ByteBufUtil.getBytes(message.content()))
-                    loop.barrier.run { handler.handle(request) { answer(channel, it, keep) } }
+                    loop.barrier.run { handler.handle(request) { answer(channel, it, keepAlive) } }
                 }
             }
         }
@@ -143,35 +145,35 @@
         }
     }
 
-    /** Sends [reply]; nothing is sent where the connection is gone. */
-    private fun answer(channel: Channel, reply: Reply, keep: Boolean) {
+    /** Sends [reply]; does nothing where the connection is closed. */
+    private fun answer(channel: Channel, reply: Reply, keepAlive: Boolean) {
         if (!channel.isActive) return
-        val written = channel.writeAndFlush(encode(reply, keep))
-        if (keep) idle.add(channel) else written.addListener(ChannelFutureListener.CLOSE)
+        val written = channel.writeAndFlush(encode(reply, keepAlive))
+        if (keepAlive) idleConnections.add(channel) else written.addListener(ChannelFutureListener.CLOSE)
     }
 
     companion object {
         private const val READ_TIMEOUT_SECONDS = 40
         private const val REFUSED_READ_TIMEOUT_SECONDS = 5
 
-        /** How many connections may be refused at a time, as a share of the limit. */
+        /** The maximum number of refused connections that are open at a time, as a share of the limit. */
         private const val REFUSED_SHARE = 0.1
         private const val MAX_REQUEST_LINE_BYTES = 4096
         private const val MAX_HEADER_BYTES = 8192
         private const val MAX_CHUNK_BYTES = 8192
         private const val BYTES_PER_KIB = 1024
 
-        /** The largest body by the protocol with users and workers. */
+        /** The maximum size of a request body in the protocol with users and workers. */
         const val MAX_PROTOCOL_BODY_BYTES = 64 * BYTES_PER_KIB
 
-        /** Guards against closing a connection that has just been answered, and whose next request may be on its way. */
+        /** The minimum idle time before a connection is closed: the next request on a connection just answered may be in flight. */
         private const val MIN_IDLE_NANOS = 300_000_000L
         private val log = LoggerFactory.getLogger("transport")
 
         private fun tooManyConnections() =
             Reply(HttpStatus.SERVICE_UNAVAILABLE, UserApiCodec.encodeError("too many connections"), retryAfterSeconds = 1)
 
-        private fun encode(reply: Reply, keep: Boolean): DefaultFullHttpResponse {
+        private fun encode(reply: Reply, keepAlive: Boolean): DefaultFullHttpResponse {
             val response = DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status),
@@ -181,7 +183,7 @@
             headers.setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body.size)
             if (reply.body.isNotEmpty()) headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
             reply.retryAfterSeconds?.let { headers.setInt(HttpHeaderNames.RETRY_AFTER, it) }
-            if (!keep) headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
+            if (!keepAlive) headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
             return response
         }
     }
