--- a/src/test/kotlin/copperglade/sim/NetworkFaults.kt
+++ b/src/test/kotlin/copperglade/sim/NetworkFaults.kt
@@ -32,9 +32,9 @@
     /** Ends all cuts, and transmits the messages that were held back, however old they are. */
     fun heal() {
         cuts.clear()
-        val released = heldMessages.toList()
+        val messages = heldMessages.toList()
         heldMessages.clear()
-        released.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
+        messages.forEach { transmit(it.from, it.to, 0.0, it.deliver) }
     }
 
     /** Whether a request is lost as soon as it is sent. */
--- a/src/test/kotlin/copperglade/sim/SimNetwork.kt
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -81,14 +81,14 @@
             val appliesLate = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
             if (appliesLate) return applyLate(request)
             // A restarted process may have replaced the listener while the request was in transit.
-            hosts[to]?.let { receiver -> receiver.loop.whenNotFrozen { handle(host, receiver, path, request) } }
+            hosts[to]?.let { currentHost -> currentHost.loop.whenNotFrozen { handle(host, currentHost, path, request) } }
         }
 
-        private fun handle(host: Host, receiver: Host, path: String, request: Request) {
-            if (!receiver.loop.alive) return
-            observe(WireStep.REQUEST_DELIVERED, from, receiver.name, request)
-            receiver.loop.guard {
-                receiver.handler.handle(Request(request.method, request.path, request.body)) { reply ->
+        private fun handle(host: Host, currentHost: Host, path: String, request: Request) {
+            if (!currentHost.loop.alive) return
+            observe(WireStep.REQUEST_DELIVERED, from, currentHost.name, request)
+            currentHost.loop.guard {
+                currentHost.handler.handle(Request(request.method, request.path, request.body)) { reply ->
                     if (host.name == STATE && isRefused(from)) {
                         withholdAnswer(from) { answer(host, path, request, reply) }
                     } else {
@@ -108,12 +108,12 @@
 
         private fun duplicate(request: Request) {
             sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMillis)) {
-                val receiver = hosts[to]
-                if (receiver != null && receiver.loop.alive) {
+                val currentHost = hosts[to]
+                if (currentHost != null && currentHost.loop.alive) {
                     duplicatesDelivered++
                     val copy = Request(request.method, request.path, tamperDuplicate(request.body))
-                    observe(WireStep.COPY_DELIVERED, from, receiver.name, copy)
-                    receiver.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, receiver.name, from, copy, it) }
+                    observe(WireStep.COPY_DELIVERED, from, currentHost.name, copy)
+                    currentHost.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, currentHost.name, from, copy, it) }
                 }
             }
         }
