--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -100,7 +100,7 @@
     @Test
     fun `a job left waiting despite free capacity`() {
         // Controllers believe that the team is at its limit.
-        val site = SimSite(Simulation(406), configuredCpusMax = 2.0)
+        val site = SimSite(Simulation(406), configuredMaxCpus = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         site.submit(SimSite.job(2, tasks = 4)) { 5.0 }
         site.faultFreeSinceMillis = site.sim.nowMillis
@@ -110,7 +110,7 @@
 
     @Test
     fun `a class of which less than half is served`() {
-        val site = SimSite(Simulation(407), configuredCpusMax = 2.0)
+        val site = SimSite(Simulation(407), configuredMaxCpus = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         repeat(4) { number -> site.submit(SimSite.job(2 + number, tasks = 4)) { 5.0 } }
         site.run(100.0)
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/RulesTest.kt
@@ -79,7 +79,7 @@
 
     @Test
     fun `the referee sees a team beyond its limit`() {
-        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredCpusMax = 60.0)
+        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredMaxCpus = 60.0)
         site.submit(SimSite.job(1, tasks = 20)) { 30.0 }
         site.run(30.0)
         assertTrue(site.breaches.any { it.startsWith("quota") }, "${site.breaches}")
--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -37,7 +37,7 @@
     slowMachine: String? = null,
     /** The lease that is configured at the controllers. It differs from that of the workers only in tests of the referee. */
     private val configuredLeaseSeconds: Double = scale.leaseSeconds,
-    private val configuredCpusMax: Double = scale.teamCpus,
+    private val configuredMaxCpus: Double = scale.teamCpus,
     private val configuredCancelSeconds: Double = scale.cancelSeconds,
     /** The number of controllers. */
     val nodes: Int = 3,
@@ -82,7 +82,7 @@
         cloud = SimAddresses.CLOUD,
         state = SimAddresses.STATE,
         zones = ZONES,
-        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
+        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredMaxCpus, 0.0, 0.0), otherTeam).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
         heartbeatIntervalSeconds = scale.heartbeatIntervalSeconds,
         workerLeaseSeconds = configuredLeaseSeconds,
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -25,10 +25,10 @@
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, SimUser>()
     private val pipelineReferee = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
-    private val runningOn = HashMap<TaskId, StandInWorker>()
+    private val workerByTask = HashMap<TaskId, StandInWorker>()
 
     /** The zones of each job's running tasks. */
-    private val zonesOf = HashMap<JobId, HashMap<TaskId, String>>()
+    private val zonesOfTasks = HashMap<JobId, HashMap<TaskId, String>>()
 
     /** The CPUs that the running tasks of each team use. */
     private val usedCpus = HashMap<TeamName, Double>()
@@ -47,7 +47,7 @@
     /** The number of starts of tasks on each machine. */
     val startsOn = HashMap<String, Int>()
 
-    val runningTasks: Map<TaskId, StandInWorker> get() = runningOn
+    val runningTasks: Map<TaskId, StandInWorker> get() = workerByTask
 
     /** Whether all controllers reach each other, so that each of them receives a cancellation before it is confirmed to its user. */
     var cancellationsReplicatedAtOnce = false
@@ -75,9 +75,9 @@
         starts++
         startsOf.merge(task.job, 1, Int::plus)
         startsOn.merge(worker.name, 1, Int::plus)
-        val before = runningOn[task]
+        val before = workerByTask[task]
         if (before != null && before !== worker) breach("ran_twice", "$task on ${worker.name} and ${before.name}")
-        runningOn[task] = worker
+        workerByTask[task] = worker
         val user = users.getValue(task.job)
         if (!user.spec.allows(worker.type, worker.zone, worker.spot)) breach("wrong_place", "$task on ${worker.name}")
         user.waitingSinceMillis = null
@@ -91,7 +91,7 @@
     }
 
     private fun checkZones(user: SimUser, task: TaskId, worker: StandInWorker) {
-        val zones = zonesOf.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
+        val zones = zonesOfTasks.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
         if (user.spec.oneZone && zones.distinct().size > 1) breach("wrong_place", "$task not in one zone")
         if (zones.count { it == worker.zone } > user.spec.maxTasksPerZone) breach("wrong_place", "$task not spread")
     }
@@ -99,10 +99,10 @@
     private fun limitOf(team: TeamName): Double = otherTeam?.takeIf { it.name == team }?.maxCpus ?: scale.teamCpus
 
     override fun ended(worker: StandInWorker, task: TaskId, done: Boolean) {
-        if (runningOn[task] === worker) {
-            runningOn.remove(task)
+        if (workerByTask[task] === worker) {
+            workerByTask.remove(task)
             val spec = users.getValue(task.job).spec
-            zonesOf.getValue(task.job).remove(task)
+            zonesOfTasks.getValue(task.job).remove(task)
             usedCpus.merge(spec.team, -spec.request.cpus, Double::plus)
         }
         if (done) {
@@ -118,7 +118,7 @@
 
     /** Checks that no task runs for longer than the cancellation timeout after its job was cancelled. To be called periodically. */
     fun checkCancelled() {
-        runningOn.keys.forEach(::checkCancelled)
+        workerByTask.keys.forEach(::checkCancelled)
     }
 
     private fun checkCancelled(task: TaskId) {
@@ -131,8 +131,8 @@
      * received the cancellation or have stopped starting tasks. To be called for each such message.
      */
     fun checkCommands(body: ByteArray) {
-        val node = Json.read(body) ?: return
-        for (command in node.get("dispatches") ?: return) {
+        val message = Json.read(body) ?: return
+        for (command in message.get("dispatches") ?: return) {
             if (command.stringOrNull("order") != "start") continue
             val task = TaskId.parse(command.stringOrNull("box")!!)!!
             val cancelledAtMillis = users[task.job]?.let(pipelineReferee::cancelledAtMillis) ?: continue
@@ -193,7 +193,7 @@
     /** Whether a machine that the job may use has capacity for one more of its tasks, within the team's limit. */
     private fun couldStart(user: SimUser): Boolean {
         val spec = user.spec
-        val running = zonesOf[spec.id].orEmpty()
+        val running = zonesOfTasks[spec.id].orEmpty()
         if (user.doneTasks.size + running.size >= spec.tasks) return false
         if ((usedCpus[spec.team] ?: 0.0) + spec.request.cpus > limitOf(spec.team) + CPU_TOLERANCE) return false
         return workers().any { worker ->
