--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -163,13 +163,13 @@
     }
 
     /**
-     * Checks that each accepted job that was not reported cancelled has been answered for within the last [MAX_UNANSWERED_SECONDS]. To be
+     * Checks that each accepted job that was not reported cancelled has been answered for within the last [ANSWER_LIMIT_SECONDS]. To be
      * called when there have been no faults for that long.
      */
     fun checkAnswered() {
         for (user in users.values) {
             if (!user.accepted || user.status == "aborted") continue
-            if (sim.nowMillis - user.lastAnswerAtMillis > MAX_UNANSWERED_SECONDS * 1000) breach("forgotten", "${user.spec.id} unanswered")
+            if (sim.nowMillis - user.lastAnswerAtMillis > ANSWER_LIMIT_SECONDS * 1000) breach("forgotten", "${user.spec.id} gets no answer")
         }
     }
 
@@ -229,7 +229,7 @@
     private companion object {
         const val FAILS_AFTER_SECONDS = 1.0
         const val CPU_TOLERANCE = 1e-6
-        const val MAX_UNANSWERED_SECONDS = 75.0
+        const val ANSWER_LIMIT_SECONDS = 75.0
         const val MAX_WAIT_WITH_CAPACITY_SECONDS = 90.0
         const val MAX_START_DELAY_SECONDS = 240.0
         const val LARGEST_JOBS_ONE_IN = 5
