--- a/src/test/kotlin/copperglade/app/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/copperglade/app/ConnectionLimitsTest.kt
@@ -9,8 +9,8 @@
 class ConnectionLimitsTest {
     @Test
     fun `a limit that leaves no connection for the other controllers is refused by name`() {
-        val problem = assertThrows(InvalidSettingException::class.java) { ConnectionLimits.of(fileDescriptorLimit = 99, peerCount = 4) }
-        assertTrue(problem.message!!.startsWith("deployment.resources.fd_limit:"))
+        val exception = assertThrows(InvalidSettingException::class.java) { ConnectionLimits.of(fileDescriptorLimit = 99, peerCount = 4) }
+        assertTrue(exception.message!!.startsWith("deployment.resources.fd_limit:"))
     }
 
     @Test
--- a/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
+++ b/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
@@ -30,12 +30,12 @@
         val heap = FakeHeap(4096 * MIB, liveMib * MIB)
         HeapMonitor(SimLoop(sim), heap, 112 * MIB).start()
         sim.run(1_000.0)
-        val before = heap.collections
+        val collectionsAtStart = heap.collections
         heap.usedBytes = 111 * MIB
         sim.run(40_000.0)
         // Live data of 108 MiB are over the limit from the start: one collection at once, one more after the long rest.
         assertEquals(collections, heap.collections)
-        assertEquals(if (liveMib > 104) 1 else 0, before)
+        assertEquals(if (liveMib > 104) 1 else 0, collectionsAtStart)
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
@@ -27,7 +27,7 @@
     @Test
     fun `every peer status is written again with the same bytes`() {
         val statuses = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
-        assertEquals(KINDS_OF_STATUS, statuses.size, "${statuses.keys}")
+        assertEquals(STATUS_KINDS, statuses.size, "${statuses.keys}")
         statuses.forEach { (kind, bytes) ->
             assertArrayEquals(bytes, PeerMessageCodec.encodeStatus(PeerMessageCodec.decodeStatus(bytes)!!), kind)
         }
@@ -96,7 +96,7 @@
             text("m")
             listOf(3L, 9L, 12L).forEach(::writeLong)
             writeBoolean(true)
-            texts("a", "z", "img-1")
+            writeTexts("a", "z", "img-1")
             writeInt(1)
             text("z.0")
             writeLong(4)
@@ -110,8 +110,8 @@
             writeBoolean(true)
             listOf(6.0, 7.0, 8.0).forEach(::writeDouble)
             listOf(1, 2).forEach(::writeInt)
-            texts("z.1")
-            texts("i-2")
+            writeTexts("z.1")
+            writeTexts("i-2")
             writeDouble(12.5)
         }
         val status = PeerMessageCodec.decodeStatus(bytes.toByteArray())!!
@@ -140,12 +140,12 @@
         writeBytes(value)
     }
 
-    private fun DataOutputStream.texts(vararg values: String) {
+    private fun DataOutputStream.writeTexts(vararg values: String) {
         writeInt(values.size)
         values.forEach { text(it) }
     }
 
     private companion object {
-        const val KINDS_OF_STATUS = 10
+        const val STATUS_KINDS = 10
     }
 }
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -34,18 +34,18 @@
 fun main(arguments: Array<String>) {
     val directory = File(arguments.single()).apply { mkdirs() }
     val recorder = SampleRecorder()
-    mixedDay(recorder)
-    recallDay(recorder)
-    stragglerDay(recorder)
-    longAbsenceDay(recorder)
+    runMixedScenario(recorder)
+    runPreemptionScenario(recorder)
+    runStragglerScenario(recorder)
+    runLongOutageScenario(recorder)
     File(directory, "records.json").writeText(recorder.recordsJson())
     File(directory, "peer-messages.json").writeText(recorder.messagesJson())
 }
 
 /** Arrays and services, placement limits, cancellations, and most of the failures that the controllers know. */
-private fun mixedDay(recorder: SampleRecorder) {
+private fun runMixedScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 71), scale = SiteScale(machinesPerZone = 2, valueKb = 2.0), slowMachine = "i-000002")
-    recorder.listenTo(site)
+    recorder.attachTo(site)
     site.services(jobs = 2, tasks = 3)
     site.arrays(jobs = 12, tasks = 6)
     site.submit(SimSite.job(601, tasks = 3, oneZone = true)) { 30.0 }
@@ -53,37 +53,37 @@
     site.submit(SimSite.job(603, tasks = 2, zone = "south", spot = false)) { 20.0 }
     site.submit(jobOnNamedTypes()) { 20.0 }
     site.submit(SimSite.job(605, tasks = 300, cpus = 0.25, image = 2)) { 12.0 }
-    step(site, 20.0, recorder)
+    runInSteps(site, 20.0, recorder)
     listOf("job-602", "job-501", "job-605").forEach { site.cancel(JobId(it)) }
-    step(site, 5.0, recorder)
+    runInSteps(site, 5.0, recorder)
     site.arrays(jobs = 8, tasks = 12, first = 20)
     site.killMachine(0)
-    step(site, 15.0, recorder)
+    runInSteps(site, 15.0, recorder)
     site.cutPeers()
-    step(site, 8.0, recorder)
+    runInSteps(site, 8.0, recorder)
     site.heal()
     site.crash(site.leader() ?: 0)
-    step(site, 15.0, recorder)
+    runInSteps(site, 15.0, recorder)
     site.state.outage = true
-    step(site, 4.0, recorder)
+    runInSteps(site, 4.0, recorder)
     site.state.outage = false
     site.cutController(1, from = "workers")
-    step(site, 15.0, recorder)
+    runInSteps(site, 15.0, recorder)
     site.heal()
     repeat(site.nodes) { site.crash(it) }
-    step(site, 60.0, recorder)
+    runInSteps(site, 60.0, recorder)
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
 /** A team takes back what another one has borrowed, so that assignments are recalled. */
-private fun recallDay(recorder: SampleRecorder) {
+private fun runPreemptionScenario(recorder: SampleRecorder) {
     val lender = TeamName("lender")
     val site = SimSite(
         Simulation(seed = 21),
         scale = SiteScale(machinesPerZone = 1, teamCpus = 100.0),
         otherTeam = Team(lender, 32.0, 100.0, 0.0, 0.0),
     )
-    recorder.listenTo(site)
+    recorder.attachTo(site)
     site.submit(SimSite.job(701, tasks = 240)) { 600.0 }
     site.run(40.0)
     site.submit(SimSite.job(702, tasks = 16, team = lender)) { 20.0 }
@@ -92,9 +92,9 @@
 }
 
 /** One machine is slow, so that some of its tasks are restarted on another one of its shard. */
-private fun stragglerDay(recorder: SampleRecorder) {
+private fun runStragglerScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), nodes = 1, scale = SiteScale(machinesPerZone = 12, teamCpus = 400.0), slowMachine = "i-000002")
-    recorder.listenTo(site)
+    recorder.attachTo(site)
     repeat(60) { number ->
         site.sim.after(number * 4000.0) { site.submit(SimSite.job(801 + number, tasks = 16, etaS = 15.0)) { task -> 12.0 + task } }
     }
@@ -103,9 +103,9 @@
 }
 
 /** A controller is away for long, so that shards are moved to it when it is back. */
-private fun longAbsenceDay(recorder: SampleRecorder) {
+private fun runLongOutageScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), scale = SiteScale(machinesPerZone = 3))
-    recorder.listenTo(site)
+    recorder.attachTo(site)
     site.arrays(jobs = 20)
     site.run(20.0)
     site.crash(1, backAfterMs = 20_000.0)
@@ -113,9 +113,9 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-private fun step(site: SimSite, seconds: Double, recorder: SampleRecorder) = repeat((seconds / STEP_S).toInt()) {
-    site.run(STEP_S)
-    recorder.look(site)
+private fun runInSteps(site: SimSite, seconds: Double, recorder: SampleRecorder) = repeat((seconds / STEP_SECONDS).toInt()) {
+    site.run(STEP_SECONDS)
+    recorder.updateSnapshot(site)
 }
 
 /** A job with every field that may be left out. */
@@ -126,7 +126,7 @@
     return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedSubmission.Valid).spec
 }
 
-private const val STEP_S = 0.25
+private const val STEP_SECONDS = 0.25
 
 /** Keeps one or a few of each kind of record and of peer message. */
 private class SampleRecorder {
@@ -137,37 +137,37 @@
     private var snapshot = emptyList<Record>()
     private var snapshotKinds = 0
 
-    fun listenTo(site: SimSite) {
-        site.network.tamperRequest = { _, request -> request.also(::heard) }
+    fun attachTo(site: SimSite) {
+        site.network.tamperRequest = { _, request -> request.also(::record) }
     }
 
-    private fun heard(request: Request) = when (request.path) {
-        "/multi" -> heardTransaction(request.body)
+    private fun record(request: Request) = when (request.path) {
+        "/multi" -> recordTransaction(request.body)
         PeerMessageCodec.STATUS_PATH -> keepShortest(statusKind(PeerMessageCodec.decodeStatus(request.body)!!), request.body)
         PeerMessageCodec.ENDORSEMENT_PATH -> keepShortest("vouch", request.body)
         PeerMessageCodec.CANCELLATIONS_PATH -> keepShortest("cancelled", request.body)
         else -> Unit
     }
 
-    private fun heardTransaction(body: ByteArray) {
+    private fun recordTransaction(body: ByteArray) {
         val text = body.decodeToString()
         for (write in Json.read(body)!!.get("writes")) {
             val key = write.get("set")?.asText() ?: continue
             val value = write.get("data")
             // The tree's text is what was sent, byte for byte.
             check("\"data\":$value" in text) { "$value is not in $text" }
-            val kept = records.getOrPut(recordKind(key, value)) { ArrayList() }
-            if (kept.size < MAX_PER_KIND) kept += Record(key, value)
+            val keptSoFar = records.getOrPut(recordKind(key, value)) { ArrayList() }
+            if (keptSoFar.size < MAX_PER_KIND) keptSoFar += Record(key, value)
         }
     }
 
     private fun keepShortest(kind: String, body: ByteArray) {
-        val kept = messages[kind]
-        if (kept == null || body.size < kept.size) messages[kind] = body
+        val keptSoFar = messages[kind]
+        if (keptSoFar == null || body.size < keptSoFar.size) messages[kind] = body
     }
 
     /** Keeps the whole contents of the state service at the moment at which they are the most varied. */
-    fun look(site: SimSite) {
+    fun updateSnapshot(site: SimSite) {
         val all = site.state.keys(Keys.ROOT).map { Record(it, Json.read(site.state.text(it)!!.toByteArray())!!) }
         // A capacity status stays where it is once it was written, so it says nothing about the moment.
         val kinds = all
@@ -229,7 +229,7 @@
     return listOfNotNull(
         "no group".takeIf { groups.any { it.isEmpty } },
         "several groups".takeIf { groups.any { it.size() > 1 } },
-        "later generation".takeIf { groups.any { its -> its.any { it[2].asInt() > 1 } } },
+        "later generation".takeIf { groups.any { entries -> entries.any { it[2].asInt() > 1 } } },
     )
 }
 
@@ -244,7 +244,7 @@
         "usable".takeIf { machines.any { it.usable } },
         "to replace".takeIf { machines.any { !it.worthKeeping } },
         "images".takeIf { machines.any { it.images.isNotEmpty() } },
-        "yielding".takeIf { machines.any { room -> room.preemptible.any { it.cpus > 0.0 } } },
+        "yielding".takeIf { machines.any { machine -> machine.preemptible.any { it.cpus > 0.0 } } },
     )
     return "note ${parts.joinToString(" ")}"
 }
--- a/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
@@ -60,15 +60,15 @@
     @ParameterizedTest
     @MethodSource("recordsWithNamedFields")
     fun `a field that is not known yet is ignored`(sample: RecordSample) {
-        val later = when (sample.directory) {
+        val valueOfLaterVersion = when (sample.directory) {
             "task", "work" -> withFieldInEachPart(sample)
-            else -> sample.with(UNKNOWN, LATER_VALUE)
+            else -> sample.with(UNKNOWN_FIELD, LATER_VALUE)
         }
-        assertEquals(sample.text, rewritten(sample.directory, later).decodeToString())
+        assertEquals(sample.text, rewritten(sample.directory, valueOfLaterVersion).decodeToString())
     }
 
     private fun withFieldInEachPart(sample: RecordSample): JsonNode = sample.value.deepCopy<ObjectNode>().also { record ->
-        record.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE) }
+        record.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN_FIELD, LATER_VALUE) }
     }
 
     /** What the present code writes for a record that it has read. */
@@ -159,53 +159,53 @@
     @Test
     fun `a field that is not known yet is ignored in the description of a job`() {
         val sample = ProductionFiles.inSnapshot("cg/now/live/job-604")
-        val later = sample.value.deepCopy<ObjectNode>()
-        (later.get("spec") as ObjectNode).set<JsonNode>(UNKNOWN, LATER_VALUE)
-        assertEquals(sample.text, rewritten("live", later).decodeToString())
+        val valueOfLaterVersion = sample.value.deepCopy<ObjectNode>()
+        (valueOfLaterVersion.get("spec") as ObjectNode).set<JsonNode>(UNKNOWN_FIELD, LATER_VALUE)
+        assertEquals(sample.text, rewritten("live", valueOfLaterVersion).decodeToString())
     }
 
     @Test
     fun `a packed record of assignments`() {
-        val pages = ProductionFiles.inSnapshot("cg/now/task/array/0").value
-        assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), pages.fieldNames().asSequence().toList())
-        val page = RecordCodec.decodeAssignmentRange(pages.get("job-605/0"))
+        val ranges = ProductionFiles.inSnapshot("cg/now/task/array/0").value
+        assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), ranges.fieldNames().asSequence().toList())
+        val range = RecordCodec.decodeAssignmentRange(ranges.get("job-605/0"))
         assertEquals(
             listOf("north.2 baton 11 generation 1: 0-47", "north.1 baton 6 generation 1: 48-111", "south.1 baton 10 generation 2: 112-159"),
-            groups(page),
+            groups(range),
         )
-        assertEquals(listOf(2, 160, 2), listOf(page.lastGeneration, page.assignedEnd, page.version))
-        assertTrue(page.preemptedForGuarantee.isEmpty)
+        assertEquals(listOf(2, 160, 2), listOf(range.lastGeneration, range.assignedEnd, range.version))
+        assertTrue(range.preemptedForGuarantee.isEmpty)
     }
 
     @Test
     fun `an assignment that is preempted for a guarantee`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
-        val page = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
-        assertEquals("0-15", TaskIndexRanges.format(page.preemptedForGuarantee))
-        assertEquals("north.2 baton 7 generation 1: 0-7", groups(page).first())
-        assertEquals(listOf(2, 32, 2), listOf(page.lastGeneration, page.assignedEnd, page.version))
+        val range = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
+        assertEquals("0-15", TaskIndexRanges.format(range.preemptedForGuarantee))
+        assertEquals("north.2 baton 7 generation 1: 0-7", groups(range).first())
+        assertEquals(listOf(2, 32, 2), listOf(range.lastGeneration, range.assignedEnd, range.version))
     }
 
-    private fun groups(page: AssignmentRange) =
-        page.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${TaskIndexRanges.format(it.tasks)}" }
+    private fun groups(range: AssignmentRange) =
+        range.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${TaskIndexRanges.format(it.tasks)}" }
 
     @Test
     fun `packed records of work with done, returned and restarted tasks`() {
-        val done = work(ProductionFiles.inSnapshot("cg/now/work/south.1/0"), "job-1/0")
-        assertEquals("done 0-5, returned {}, restarted , version 1", described(done))
-        val returned = work(ProductionFiles.inSnapshot("cg/now/work/north.1/0"), "job-605/0")
-        assertEquals("done , returned {1=48-111}, restarted , version 1", described(returned))
-        val restarted = work(ProductionFiles.written("cg/now/work/south.0/0", part = "\"x\":"), "job-859/0")
-        assertEquals("done 1,3, returned {}, restarted 5, version 3", described(restarted))
+        val done = outcomeOf(ProductionFiles.inSnapshot("cg/now/work/south.1/0"), "job-1/0")
+        assertEquals("done 0-5, returned {}, restarted , version 1", describe(done))
+        val returned = outcomeOf(ProductionFiles.inSnapshot("cg/now/work/north.1/0"), "job-605/0")
+        assertEquals("done , returned {1=48-111}, restarted , version 1", describe(returned))
+        val restarted = outcomeOf(ProductionFiles.written("cg/now/work/south.0/0", part = "\"x\":"), "job-859/0")
+        assertEquals("done 1,3, returned {}, restarted 5, version 3", describe(restarted))
     }
 
-    private fun work(record: RecordSample, page: String) = RecordCodec.decodeOutcome(record.value.get(page))
+    private fun outcomeOf(record: RecordSample, range: String) = RecordCodec.decodeOutcome(record.value.get(range))
 
-    private fun described(work: OutcomeRecord): String {
-        val returned = work.returned.mapValues { TaskIndexRanges.format(it.value) }
+    private fun describe(outcome: OutcomeRecord): String {
+        val returned = outcome.returned.mapValues { TaskIndexRanges.format(it.value) }
         return "done ${TaskIndexRanges.format(
-            work.done,
-        )}, returned $returned, restarted ${TaskIndexRanges.format(work.restarted)}, version ${work.version}"
+            outcome.done,
+        )}, returned $returned, restarted ${TaskIndexRanges.format(outcome.restarted)}, version ${outcome.version}"
     }
 
     @Test
@@ -221,9 +221,9 @@
         val owned = RecordCodec.decodeShard(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
         assertEquals(ShardRecord(MemberId("lorry-2"), Incarnation(2)), owned)
         assertFalse(owned.released)
-        val givenUp = RecordCodec.decodeShard(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
-        assertEquals(ShardRecord.releasedBy(MemberId("lorry-1")), givenUp)
-        assertTrue(givenUp.released)
+        val releasedShard = RecordCodec.decodeShard(ProductionFiles.written("cg/now/block/south.0", part = "\"inc\":0").value)!!
+        assertEquals(ShardRecord.releasedBy(MemberId("lorry-1")), releasedShard)
+        assertTrue(releasedShard.released)
         val member = RecordCodec.decodeMember(ProductionFiles.inSnapshot("cg/now/member/lorry-0").value)
         assertEquals(MemberRecord(Incarnation(3)), member)
         val leader = RecordCodec.decodeLeader(ProductionFiles.inSnapshot("cg/now/lead").value)
@@ -251,7 +251,7 @@
     private fun live(key: String): LiveRecord = RecordCodec.decodeLive(ProductionFiles.inSnapshot(key).value)!!
 
     private companion object {
-        const val UNKNOWN = "fieldOfALaterVersion"
+        const val UNKNOWN_FIELD = "fieldOfALaterVersion"
         val LATER_VALUE: JsonNode = Json.read("""{"any":["thing",1]}""".toByteArray())!!
 
         @JvmStatic
--- a/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
@@ -83,8 +83,10 @@
             .getValue(JobId(job))
             .assignments()
             .groupBy { "${it.shard} ${it.fencingToken} ${it.generation}" }
-            .map { (group, its) ->
-                "$group: ${its.first().task}-${its.last().task}".also { assertEquals(its.size, span(its.map { it.task })) }
+            .map { (group, taskAssignments) ->
+                "$group: ${taskAssignments.first().task}-${taskAssignments.last().task}".also {
+                    assertEquals(taskAssignments.size, span(taskAssignments.map { it.task }))
+                }
             }
 
     private fun span(tasks: List<Int>) = tasks.last() - tasks.first() + 1
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -46,31 +46,31 @@
 
     @Test
     fun `what a key names`() {
-        assertEquals("Live job-7", parsed("cg/now/live/job-7"))
-        assertEquals("Over job-7", parsed("cg/over/job-7"))
-        assertEquals("Assignments", parsed("cg/now/task/array/3"))
-        assertEquals("Assignments", parsed("cg/now/task/service/3"))
-        assertEquals("Outcomes north.0", parsed("cg/now/work/north.0/3"))
-        assertEquals("Block north.0", parsed("cg/now/block/north.0"))
-        assertEquals("Images north.0", parsed("cg/now/images/north.0"))
-        assertEquals("Room lorry-0", parsed("cg/now/room/lorry-0"))
-        assertEquals("Member lorry-0", parsed("cg/now/member/lorry-0"))
-        assertEquals("Leader", parsed("cg/now/lead"))
+        assertEquals("Live job-7", parse("cg/now/live/job-7"))
+        assertEquals("Over job-7", parse("cg/over/job-7"))
+        assertEquals("Assignments", parse("cg/now/task/array/3"))
+        assertEquals("Assignments", parse("cg/now/task/service/3"))
+        assertEquals("Outcomes north.0", parse("cg/now/work/north.0/3"))
+        assertEquals("Block north.0", parse("cg/now/block/north.0"))
+        assertEquals("Images north.0", parse("cg/now/images/north.0"))
+        assertEquals("Room lorry-0", parse("cg/now/room/lorry-0"))
+        assertEquals("Member lorry-0", parse("cg/now/member/lorry-0"))
+        assertEquals("Leader", parse("cg/now/lead"))
         // A later version may write keys of other kinds.
-        assertNull(parsed("cg/now/later/job-7"))
-        assertNull(parsed("cg/later/job-7"))
+        assertNull(parse("cg/now/later/job-7"))
+        assertNull(parse("cg/later/job-7"))
     }
 
-    private fun parsed(key: String): String? = when (val known = Keys.parse(key)) {
+    private fun parse(key: String): String? = when (val parsedKey = Keys.parse(key)) {
         null -> null
-        is ParsedKey.Live -> "Live ${known.job}"
-        is ParsedKey.Ended -> "Over ${known.job}"
+        is ParsedKey.Live -> "Live ${parsedKey.job}"
+        is ParsedKey.Ended -> "Over ${parsedKey.job}"
         ParsedKey.Assignments -> "Assignments"
-        is ParsedKey.Outcomes -> "Outcomes ${known.shard}"
-        is ParsedKey.Shard -> "Block ${known.name}"
-        is ParsedKey.Images -> "Images ${known.shard}"
-        is ParsedKey.PeerStatus -> "Room ${known.id}"
-        is ParsedKey.Member -> "Member ${known.id}"
+        is ParsedKey.Outcomes -> "Outcomes ${parsedKey.shard}"
+        is ParsedKey.Shard -> "Block ${parsedKey.name}"
+        is ParsedKey.Images -> "Images ${parsedKey.shard}"
+        is ParsedKey.PeerStatus -> "Room ${parsedKey.id}"
+        is ParsedKey.Member -> "Member ${parsedKey.id}"
         ParsedKey.Leader -> "Leader"
     }
 
--- a/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
@@ -24,8 +24,8 @@
             "unknown property hold.limit",
             assertThrows(InvalidSettingException::class.java) { parse("hold.limit" to "1") }.message,
         )
-        val fault = assertThrows(InvalidSettingException::class.java) { parse("fleet.headroom" to "lots") }
-        assertEquals(true, fault.message!!.startsWith("fleet.headroom"))
+        val exception = assertThrows(InvalidSettingException::class.java) { parse("fleet.headroom" to "lots") }
+        assertEquals(true, exception.message!!.startsWith("fleet.headroom"))
         assertThrows(InvalidSettingException::class.java) { parse("profiles.nearest" to "0") }
     }
 }
--- a/src/test/kotlin/copperglade/settings/PlatformSettingsParserTest.kt
+++ b/src/test/kotlin/copperglade/settings/PlatformSettingsParserTest.kt
@@ -7,11 +7,11 @@
 class PlatformSettingsParserTest {
     @Test
     fun `a bad setting is named`() {
-        val fault =
+        val exception =
             assertThrows(
                 InvalidSettingException::class.java,
             ) { PlatformSettingsParser.parse("""{"outside":{},"deployment":{}}""".toByteArray()) }
-        assertTrue(fault.message!!.contains("workers"))
+        assertTrue(exception.message!!.contains("workers"))
         assertThrows(InvalidSettingException::class.java) { PlatformSettingsParser.parse("no".toByteArray()) }
     }
 }
--- a/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
@@ -20,17 +20,17 @@
 
     @Test
     fun `the latest end of a job follows from its aims on starting and finishing`() {
-        val stated = settings(
+        val parsed = settings(
             """[{"kind":"wait","class":"render","within_s":150,"share":0.9},{"kind":"finished","class":"render","within_s":250},
             {"kind":"finished","class":"check","within_s":180},{"kind":"of another day","class":7},
             {"kind":"deadline","class":"render","times":1.5},{"kind":"deadline","class":"render"},{"kind":"guarantee","within_s":3}]""",
         )
-        assertEquals(170.0, stated.latestEndSeconds("render", 20.0))
-        assertEquals(250.0, stated.latestEndSeconds("render", 120.0))
-        assertEquals(180.0, stated.latestEndSeconds("check", 20.0))
-        assertNull(stated.latestEndSeconds("web", 20.0))
-        assertEquals(listOf(1.0, 1.5), stated.deadlineMultiples["render"])
-        assertEquals(3.0, stated.guaranteeWithinSeconds)
+        assertEquals(170.0, parsed.latestEndSeconds("render", 20.0))
+        assertEquals(250.0, parsed.latestEndSeconds("render", 120.0))
+        assertEquals(180.0, parsed.latestEndSeconds("check", 20.0))
+        assertNull(parsed.latestEndSeconds("web", 20.0))
+        assertEquals(listOf(1.0, 1.5), parsed.deadlineMultiples["render"])
+        assertEquals(3.0, parsed.guaranteeWithinSeconds)
     }
 
     @Test
@@ -44,8 +44,8 @@
         "'{\"kind\":\"deadline\",\"class\":\"render\",\"times\":0}', times",
         "'{\"kind\":\"guarantee\",\"within_s\":\"soon\"}', within_s",
     )
-    fun `bad aims are named`(aim: String, field: String) {
-        val fault = assertThrows(InvalidSettingException::class.java) { settings("[$aim]") }
-        assertTrue(field in fault.message!!, fault.message)
+    fun `bad aims are named`(objective: String, field: String) {
+        val exception = assertThrows(InvalidSettingException::class.java) { settings("[$objective]") }
+        assertTrue(field in exception.message!!, exception.message)
     }
 }
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -29,10 +29,10 @@
 
     @Test
     fun `without announced limits the present ones hold`() {
-        val present = listOf(100.0, 50.0, 4.0, 12)
-        assertEquals(present, limits(""))
-        assertEquals(present, limits(""","next":null"""))
-        assertEquals(present, limits(""","next":{}"""))
+        val currentLimits = listOf(100.0, 50.0, 4.0, 12)
+        assertEquals(currentLimits, limits(""))
+        assertEquals(currentLimits, limits(""","next":null"""))
+        assertEquals(currentLimits, limits(""","next":{}"""))
     }
 
     @ParameterizedTest
@@ -46,7 +46,7 @@
         "'{\"txn_ops\":0.5}', txn_ops",
     )
     fun `bad announced limits are named`(next: String, field: String) {
-        val fault = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
-        assertTrue(field in fault.message!!, fault.message)
+        val exception = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
+        assertTrue(field in exception.message!!, exception.message)
     }
 }
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -18,32 +18,32 @@
     fun `after a fault nothing is decided any more`() {
         val faults = ArrayList<Throwable>()
         val barrier = FaultBarrier { faults += it }
-        var decided = 0
-        barrier.run { decided++ }
+        var runs = 0
+        barrier.run { runs++ }
         barrier.run { throw OutOfMemoryError("injected") }
-        barrier.run { decided++ }
+        barrier.run { runs++ }
         barrier.fail(IllegalStateException("later"))
-        assertEquals(1, decided)
+        assertEquals(1, runs)
         assertEquals(listOf("injected"), faults.map { it.message })
         assertTrue(barrier.hasFailed)
     }
 
     @Test
     fun `a fault in a timer, a request or an answer reaches the barrier of the loop`() {
-        for (place in listOf("timer", "request", "answer")) {
-            val broken = CountDownLatch(1)
-            val loop = NettyEventLoop(FaultBarrier { broken.countDown() })
-            val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
-            val at = freeEndpoint()
-            NettyHttpServer(loop, CONNECTIONS) { _, responder ->
-                if (place == "request") error("injected")
+        for (faultySite in listOf("timer", "request", "answer")) {
+            val faultReported = CountDownLatch(1)
+            val loop = NettyEventLoop(FaultBarrier { faultReported.countDown() })
+            val client = NettyHttpClient(loop, ProcessHeap.maxBytes)
+            val endpoint = freeEndpoint()
+            NettyHttpServer(loop, CONNECTION_LIMIT) { _, responder ->
+                if (faultySite == "request") error("injected")
                 responder.send(Reply(HttpStatus.OK))
-            }.listen(at)
+            }.listen(endpoint)
             loop.after(1.milliseconds) {
-                if (place == "timer") error("injected")
-                caller.call(at, Request(Method.GET, "/"), 2.seconds) { if (place == "answer") error("injected") }
+                if (faultySite == "timer") error("injected")
+                client.call(endpoint, Request(Method.GET, "/"), 2.seconds) { if (faultySite == "answer") error("injected") }
             }
-            assertTrue(broken.await(5, TimeUnit.SECONDS), "no fault seen in the $place")
+            assertTrue(faultReported.await(5, TimeUnit.SECONDS), "no fault seen in the $faultySite")
             loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
         }
     }
@@ -52,7 +52,7 @@
     fun `malformed input is no fault`() {
         assertNull(Decoding.orNull<String>("test") { error("malformed") })
         val random = Random(1)
-        repeat(MANY) {
+        repeat(RANDOM_INPUTS) {
             val bytes = ByteArray(random.nextInt(60)).also(random::nextBytes)
             WorkerMessageCodec.decodeHeartbeat(bytes)
         }
@@ -61,7 +61,7 @@
     }
 
     private companion object {
-        const val CONNECTIONS = 10
-        const val MANY = 2_000
+        const val CONNECTION_LIMIT = 10
+        const val RANDOM_INPUTS = 2_000
     }
 }
--- a/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
+++ b/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
@@ -38,47 +38,47 @@
     fun `more peers than sockets are all answered, and only so many connections stay`() {
         val loop = NettyEventLoop()
         val limit = 4
-        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes, limit)
-        val places = freeEndpoints(20)
+        val client = NettyHttpClient(loop, ProcessHeap.maxBytes, limit)
+        val servers = freeEndpoints(20)
         val answered = AtomicInteger()
-        val all = CountDownLatch(2 * places.size)
-        places.forEach { NettyHttpServer(loop, 10) { _, responder -> responder.send(Reply(200)) }.listen(it) }
+        val allReplied = CountDownLatch(2 * servers.size)
+        servers.forEach { NettyHttpServer(loop, 10) { _, responder -> responder.send(Reply(200)) }.listen(it) }
         repeat(2) {
             loop.after(0.seconds) {
-                places.forEach { to ->
-                    caller.call(to, Request(Method.GET, "/"), 10.seconds) { reply ->
+                servers.forEach { to ->
+                    client.call(to, Request(Method.GET, "/"), 10.seconds) { reply ->
                         if (reply?.status == 200) answered.incrementAndGet()
-                        assertTrue(caller.connectionCount <= limit)
-                        all.countDown()
+                        assertTrue(client.connectionCount <= limit)
+                        allReplied.countDown()
                     }
                 }
             }
         }
-        assertTrue(all.await(20, TimeUnit.SECONDS))
-        assertEquals(2 * places.size, answered.get())
+        assertTrue(allReplied.await(20, TimeUnit.SECONDS))
+        assertEquals(2 * servers.size, answered.get())
         loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
     }
 
     @Test
     fun `a connection beyond the server's limit is told to come back later`() {
         val loop = NettyEventLoop()
-        val at = freeEndpoint()
-        val held = ArrayList<Responder>()
-        val server = NettyHttpServer(loop, 10) { _, responder -> held += responder }
-        server.listen(at)
-        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
+        val endpoint = freeEndpoint()
+        val openRequests = ArrayList<Responder>()
+        val server = NettyHttpServer(loop, 10) { _, responder -> openRequests += responder }
+        server.listen(endpoint)
+        val client = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val statuses = ArrayList<Int?>()
-        val last = CountDownLatch(11)
+        val allAnswered = CountDownLatch(11)
         loop.after(0.seconds) {
             repeat(11) {
-                caller.call(at, Request(Method.GET, "/"), 10.seconds) { reply ->
+                client.call(endpoint, Request(Method.GET, "/"), 10.seconds) { reply ->
                     statuses += reply?.status
-                    if (reply?.status == 503) held.forEach { it.send(Reply(200)) }
-                    last.countDown()
+                    if (reply?.status == 503) openRequests.forEach { it.send(Reply(200)) }
+                    allAnswered.countDown()
                 }
             }
         }
-        assertTrue(last.await(20, TimeUnit.SECONDS))
+        assertTrue(allAnswered.await(20, TimeUnit.SECONDS))
         assertEquals(mapOf<Int?, Int>(503 to 1, 200 to 10), statuses.groupingBy { it }.eachCount())
         loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
     }
@@ -86,22 +86,24 @@
     @Test
     fun `more callers than connections take turns, and none is refused for long`() {
         val loop = NettyEventLoop()
-        val at = freeEndpoint()
-        NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(at)
-        val callers = List(CALLERS) { NettyHttpClient(loop, ProcessHeap.maxBytes) }
-        val rounds = CALLERS * ROUNDS
-        val answered = CountDownLatch(rounds)
+        val endpoint = freeEndpoint()
+        NettyHttpServer(loop, CONNECTION_LIMIT) { _, responder -> responder.send(Reply(200)) }.listen(endpoint)
+        val clients = List(CLIENT_COUNT) { NettyHttpClient(loop, ProcessHeap.maxBytes) }
+        val requests = CLIENT_COUNT * REQUESTS_PER_CLIENT
+        val answered = CountDownLatch(requests)
 
-        fun ask(caller: NettyHttpClient, left: Int) {
-            if (left == 0) return
-            caller.call(at, Request(Method.GET, "/"), 2.seconds) { reply ->
-                val served = reply?.status == 200
-                if (served) answered.countDown()
-                loop.after(if (served) 1.seconds else 100.milliseconds) { ask(caller, if (served) left - 1 else left) }
+        fun sendRequests(client: NettyHttpClient, remaining: Int) {
+            if (remaining == 0) return
+            client.call(endpoint, Request(Method.GET, "/"), 2.seconds) { reply ->
+                val isAnswered = reply?.status == 200
+                if (isAnswered) answered.countDown()
+                loop.after(
+                    if (isAnswered) 1.seconds else 100.milliseconds,
+                ) { sendRequests(client, if (isAnswered) remaining - 1 else remaining) }
             }
         }
-        loop.after(0.seconds) { callers.forEach { ask(it, ROUNDS) } }
-        assertTrue(answered.await(20, TimeUnit.SECONDS), "${answered.count} of $rounds requests were never served")
+        loop.after(0.seconds) { clients.forEach { sendRequests(it, REQUESTS_PER_CLIENT) } }
+        assertTrue(answered.await(20, TimeUnit.SECONDS), "${answered.count} of $requests requests were never served")
         loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
     }
 
@@ -112,23 +114,23 @@
         val status = PeerMessageCodec.encodeStatus(statusOf(machines = 4000))
         assertTrue(status.size > NettyHttpServer.MAX_PROTOCOL_BODY_BYTES)
         val received = ArrayList<PeerStatus?>()
-        NettyHttpServer(loop, CONNECTIONS, ControllerLauncher.MAX_PEER_MESSAGE_BYTES) { request, responder ->
+        NettyHttpServer(loop, CONNECTION_LIMIT, ControllerLauncher.MAX_PEER_MESSAGE_BYTES) { request, responder ->
             received += PeerMessageCodec.decodeStatus(request.body)
             responder.send(Reply(200))
         }.listen(peers)
-        NettyHttpServer(loop, CONNECTIONS) { _, responder -> responder.send(Reply(200)) }.listen(users)
-        val caller = NettyHttpClient(loop, ProcessHeap.maxBytes)
+        NettyHttpServer(loop, CONNECTION_LIMIT) { _, responder -> responder.send(Reply(200)) }.listen(users)
+        val client = NettyHttpClient(loop, ProcessHeap.maxBytes)
         val statuses = HashMap<Endpoint, Int?>()
-        val both = CountDownLatch(2)
+        val bothReplied = CountDownLatch(2)
         loop.after(0.seconds) {
             for (to in listOf(peers, users)) {
-                caller.call(to, Request(Method.POST, PeerMessageCodec.STATUS_PATH, status), 5.seconds) { reply ->
+                client.call(to, Request(Method.POST, PeerMessageCodec.STATUS_PATH, status), 5.seconds) { reply ->
                     statuses[to] = reply?.status
-                    both.countDown()
+                    bothReplied.countDown()
                 }
             }
         }
-        assertTrue(both.await(20, TimeUnit.SECONDS))
+        assertTrue(bothReplied.await(20, TimeUnit.SECONDS))
         assertEquals(200, statuses[peers])
         assertEquals(
             4000,
@@ -143,7 +145,7 @@
     }
 
     private fun statusOf(machines: Int): PeerStatus {
-        val rooms = List(machines) { number ->
+        val machineAvailabilities = List(machines) { number ->
             MachineAvailability(
                 MachineName("i-%06d".format(number)),
                 "type",
@@ -157,13 +159,13 @@
                 images = listOf(ImageName("img-1"), ImageName("img-2")),
             )
         }
-        val shard = ShardCapacity(ShardName("zone.0"), FencingToken(7), rooms)
+        val shard = ShardCapacity(ShardName("zone.0"), FencingToken(7), machineAvailabilities)
         return PeerStatus(MemberId("one"), Incarnation(1), Revision(1), 0, false, listOf(shard), emptyList(), emptyList(), 0.0)
     }
 
     private companion object {
-        const val CONNECTIONS = 4
-        const val CALLERS = 10
-        const val ROUNDS = 3
+        const val CONNECTION_LIMIT = 4
+        const val CLIENT_COUNT = 10
+        const val REQUESTS_PER_CLIENT = 3
     }
 }
