--- a/src/test/kotlin/copperglade/app/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/copperglade/app/ConnectionLimitsTest.kt
@@ -8,13 +8,13 @@
 
 class ConnectionLimitsTest {
     @Test
-    fun `a limit that leaves no connection for the other controllers is refused by name`() {
+    fun `a file descriptor limit that leaves no connection for each peer is refused with the setting in the message`() {
         val exception = assertThrows(InvalidSettingException::class.java) { ConnectionLimits.of(fileDescriptorLimit = 99, peerCount = 4) }
         assertTrue(exception.message!!.startsWith("deployment.resources.fd_limit:"))
     }
 
     @Test
-    fun `the shares grow with the limit and leave some for everything else`() {
+    fun `the limits are shares of the file descriptor limit and leave a remainder`() {
         val limits = ConnectionLimits.of(fileDescriptorLimit = 12_000, peerCount = 4)
         assertEquals(listOf(6240, 480, 4080), listOf(limits.inboundClients, limits.inboundPeers, limits.outboundWorkers))
     }
--- a/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
+++ b/src/test/kotlin/copperglade/app/HeapBudgetTest.kt
@@ -19,13 +19,16 @@
 
     @ParameterizedTest
     @CsvSource("210, 112", "268, 170", "455, 357", "2408, 2310", "8000, 4096", ", 4096", "100, 64")
-    fun `the heap may take what the machine has beside everything else`(memoryMb: Double?, expectedMib: Long) {
+    fun `the budget is the machine's memory less the memory outside the heap`(memoryMb: Double?, expectedMib: Long) {
         assertEquals(expectedMib * MIB, HeapBudget.bytes(memoryMb, FakeHeap(4096 * MIB, 0)))
     }
 
     @ParameterizedTest
     @CsvSource("40, 1", "90, 1", "108, 2")
-    fun `garbage is collected before the budget is used up, and no more often where all of it is needed`(liveMib: Long, collections: Int) {
+    fun `garbage is collected before the heap exceeds its budget, and rarely while live data alone exceeds the threshold`(
+        liveMib: Long,
+        collections: Int,
+    ) {
         val sim = Simulation(1)
         val heap = FakeHeap(4096 * MIB, liveMib * MIB)
         HeapMonitor(SimLoop(sim), heap, 112 * MIB).start()
@@ -33,7 +36,7 @@
         val collectionsAtStart = heap.collections
         heap.usedBytes = 111 * MIB
         sim.run(40_000.0)
-        // Live data of 108 MiB are over the limit from the start: one collection at once, one more after the long rest.
+        // Live data of 108 MiB exceed the threshold from the start: one collection at once, another after the longer interval.
         assertEquals(collections, heap.collections)
         assertEquals(if (liveMib > 104) 1 else 0, collectionsAtStart)
     }
--- a/src/test/kotlin/copperglade/architecture/ArchitecturePageTest.kt
+++ b/src/test/kotlin/copperglade/architecture/ArchitecturePageTest.kt
@@ -7,7 +7,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** The names in `docs/architecture.md` and `docs/packages.md` are those of classes and packages that exist. */
+/** Checks that the class and package names in `docs/architecture.md` and `docs/packages.md` exist, and that no package is missing. */
 class ArchitecturePageTest {
     private val classes = ClassFileImporter().importPackages("copperglade")
     private val simpleNames = classes.mapTo(HashSet()) { it.simpleName }
@@ -15,29 +15,29 @@
     private val page = Files.readString(Path.of("docs/architecture.md"))
 
     @Test
-    fun `each class and package on the page exists`() {
+    fun `each class and package on the architecture page exists`() {
         assertEquals(emptyList<String>(), unknownNames(page))
     }
 
     @Test
-    fun `each package is on the page`() {
+    fun `each package is on the architecture page`() {
         val production = ClassFileImporter().importPath(Path.of("target/classes")).mapTo(HashSet()) { it.packageName }
         assertEquals(emptyList<String>(), production.filterNot { "`$it`" in page })
     }
 
     @Test
-    fun `a name that does not exist is found`() {
+    fun `a name that does not exist is reported`() {
         val names = unknownNames("`Controller` and `NoSuchClass` in `copperglade.app` and `copperglade.none`, `cg/now/lead`, `audit`")
         assertEquals(listOf("NoSuchClass", "copperglade.none"), names)
     }
 
     @Test
-    fun `the page names classes`() {
+    fun `the architecture page names more than 30 classes`() {
         assertTrue(CLASS_NAME.findAll(page).count() > 30)
     }
 
     @Test
-    fun `each package has its paragraph on the page of packages`() {
+    fun `each package has a paragraph on the packages page`() {
         val paragraphs = Files.readAllLines(Path.of("docs/packages.md")).filter { it.startsWith(PACKAGE_HEADING) }
         val production = ClassFileImporter().importPath(Path.of("target/classes")).mapTo(HashSet()) { it.packageName }
         assertEquals(production, paragraphs.mapTo(HashSet()) { it.removePrefix(PACKAGE_HEADING) })
--- a/src/test/kotlin/copperglade/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/copperglade/architecture/PackageDependenciesTest.kt
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The allowed dependencies between packages, checked over the compiled classes. */
+/** Checks the allowed dependencies between packages in the compiled classes. */
 class PackageDependenciesTest {
     private val classes: JavaClasses = ClassFileImporter()
         .withImportOption(ImportOption.DoNotIncludeTests())
         .importPackages(ROOT)
 
     @Test
-    fun `packages use only what is below them`() {
+    fun `packages use only allowed packages`() {
         assertEquals(emptyList<String>(), forbiddenDependencies(ALLOWED))
     }
 
@@ -36,14 +36,14 @@
     }
 
     @Test
-    fun `a dependency that is not allowed is found`() {
+    fun `a dependency that is not allowed is reported`() {
         val withoutOwnership = ALLOWED + ("controller" to ALLOWED.getValue("controller") - "ownership")
         val found = forbiddenDependencies(withoutOwnership)
         assertTrue(found.isNotEmpty() && found.all { "controller -> ownership" in it }, "$found")
     }
 
     @Test
-    fun `words of the wire are declared in no package but protocol`() {
+    fun `wire terms are declared only in the protocol package`() {
         val declared = classes
             .filterNot { packageOf(it) == "protocol" }
             .flatMap { declarations(it) }
@@ -53,7 +53,7 @@
     }
 
     @Test
-    fun `a word of the wire is found inside a name`() {
+    fun `names are split into words`() {
         assertEquals(listOf("parse", "truck", "name"), wordsOf("parseTruckName"))
         assertEquals(listOf("last", "tally"), wordsOf("LAST_TALLY"))
     }
@@ -86,7 +86,7 @@
         const val ROOT = "copperglade"
         val WORD = Regex("[A-Z]+(?![a-z])|[A-Z]?[a-z]+")
 
-        /** Field and path names of the wire that stand for a standard term inside the program. */
+        /** Field and path names on the wire for which the program uses a standard term. */
         val WIRE_WORDS = setOf(
             "baton",
             "boxes",
@@ -108,7 +108,7 @@
             "waypoint",
         )
 
-        /** From the lowest package to the highest, and what each may use. */
+        /** The packages that each package may use, from the lowest package to the highest. */
         val ALLOWED: Map<String, Set<String>> = linkedMapOf(
             "protocol" to setOf(),
             "transport" to setOf("protocol"),
--- a/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/PeerMessageCompatibilityTest.kt
@@ -17,15 +17,13 @@
 import java.io.DataOutputStream
 
 /**
- * The version in production and this one run side by side: each must read what the other has written, and write what the
- * other can read. Here: the messages between controllers. The samples are what production wrote; the expectations are literals, so that a
- * rename shows.
+ * Checks the compatibility of messages between controllers. The version in production and this version run side by side, so each must
+ * read what the other writes. The samples were written by the production version; the expected values are literals, so that renaming
+ * code doesn't change them.
  */
 class PeerMessageCompatibilityTest {
-    // ---- messages between controllers ----
-
     @Test
-    fun `every peer status is written again with the same bytes`() {
+    fun `a decoded peer status is encoded to the same bytes`() {
         val statuses = ProductionFiles.messages.filterKeys { it.startsWith("note ") }
         assertEquals(STATUS_KINDS, statuses.size, "${statuses.keys}")
         statuses.forEach { (kind, bytes) ->
@@ -34,7 +32,7 @@
     }
 
     @Test
-    fun `a full status`() {
+    fun `a full status is decoded with all fields`() {
         val status = peerStatus("note full machines to replace images yielding")
         assertEquals(MemberId("lorry-2"), status.member)
         assertEquals(Incarnation(2), status.incarnation)
@@ -59,14 +57,14 @@
     }
 
     @Test
-    fun `an idle machine on loan`() {
+    fun `an idle spot machine is decoded`() {
         val machine = peerStatus("note full machines usable").shards.flatMap { it.machines }.single()
         assertEquals(listOf(true, true, true), listOf(machine.spot, machine.usable, machine.worthKeeping))
         assertEquals(142, machine.idleMillis)
     }
 
     @Test
-    fun `brief statuses, and what the leader adds`() {
+    fun `brief statuses and the fields that the leader adds are decoded`() {
         val brief = peerStatus("note brief")
         assertEquals(listOf("lorry-2", "2", "5"), listOf(brief.member.text, brief.incarnation.toString(), brief.knownRevision.toString()))
         assertEquals(emptyList<Any>(), brief.shards)
@@ -79,7 +77,7 @@
     private fun peerStatus(kind: String): PeerStatus = PeerMessageCodec.decodeStatus(ProductionFiles.message(kind))!!
 
     @Test
-    fun `a request for an endorsement and the notice of a cancellation`() {
+    fun `an endorsement request and a cancellation notice are decoded`() {
         assertEquals("lorry-2", ProductionFiles.message("vouch").decodeToString())
         val bytes = ProductionFiles.message("cancelled")
         val cancellation = PeerMessageCodec.decodeCancellations(bytes)!!.single()
@@ -87,9 +85,9 @@
         assertArrayEquals(bytes, PeerMessageCodec.encodeCancellations(listOf(cancellation)))
     }
 
-    /** Written field by field in the order of the wire, with values that occur nowhere else in it. */
+    /** The status is written field by field in wire order, with values that identify their fields. */
     @Test
-    fun `each field of a peer status has its own place`() {
+    fun `each field of a peer status has its own position`() {
         val bytes = ByteArrayOutputStream()
         with(DataOutputStream(bytes)) {
             writeByte(2)
--- a/src/test/kotlin/copperglade/compat/ProductionFiles.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionFiles.kt
@@ -5,28 +5,28 @@
 import copperglade.protocol.Json
 import java.util.Base64
 
-/** A value that the version in production wrote to the state service. */
+/** A record that the production version wrote to the state service. */
 class RecordSample(val key: String, val value: JsonNode) {
-    /** The bytes that were written, as text. */
+    /** The written bytes, as text. */
     val text: String get() = value.toString()
 
-    /** The directory of the key, such as `live`; `lead` is a key by itself, and ends of jobs are `over`. */
+    /** The directory of the key, such as `live`; `lead` for the leader key, and `over` for end records of jobs. */
     val directory: String get() = key.removePrefix("cg/").removePrefix("now/").substringBefore('/')
 
-    /** The same value with a field more, as a later version may write it. */
+    /** The value with an additional field, as a later version may write it. */
     fun with(field: String, content: JsonNode): JsonNode = value.deepCopy<ObjectNode>().set(field, content)
 
     override fun toString() = "$key $text"
 }
 
-/** The samples in `src/test/resources/production`; the README there tells how they were made. */
+/** The samples in `src/test/resources/production`; the README in that directory describes how they are recorded. */
 object ProductionFiles {
     private val records = read("records.json")
 
-    /** All records at one moment. */
+    /** All records of the state service at one point in time. */
     val snapshot: List<RecordSample> = samples("snapshot")
 
-    /** One value of each kind that was written. */
+    /** One sample of each kind of record. */
     val writes: List<RecordSample> = samples("writes")
 
     val all: List<RecordSample> = snapshot + writes
@@ -35,10 +35,10 @@
     val messages: Map<String, ByteArray> =
         read("peer-messages.json").properties().associate { (kind, body) -> kind to Base64.getDecoder().decode(body.textValue()) }
 
-    /** The only value in the snapshot with this [key]. */
+    /** The record in the snapshot with this [key]. */
     fun inSnapshot(key: String): RecordSample = snapshot.single { it.key == key }
 
-    /** The first value that was written to [key] and holds [part]. */
+    /** The first record that was written to [key] and whose text contains [part]. */
     fun written(key: String, part: String): RecordSample = writes.first { it.key == key && part in it.text }
 
     fun message(kind: String): ByteArray = messages.getValue(kind)
--- a/src/test/kotlin/copperglade/compat/ProductionSamples.kt
+++ b/src/test/kotlin/copperglade/compat/ProductionSamples.kt
@@ -27,9 +27,9 @@
 import java.util.TreeMap
 
 /**
- * Runs simulated scenarios at the commit that is checked out and keeps a small set of what its controllers write to the state
- * service and send to each other, as the files that the tests of this package read. It is not a test and runs in no build;
- * `src/test/resources/production/README.md` tells when and how to run it. The only argument is the directory to write to.
+ * Runs simulated scenarios and records samples of what the controllers write to the state service and send to each other, in the files
+ * that the tests of this package read. This program is not a test and is not run by the build;
+ * `src/test/resources/production/README.md` describes when and how to run it. The only argument is the output directory.
  */
 fun main(arguments: Array<String>) {
     val directory = File(arguments.single()).apply { mkdirs() }
@@ -42,7 +42,7 @@
     File(directory, "peer-messages.json").writeText(recorder.messagesJson())
 }
 
-/** Arrays and services, placement limits, cancellations, and most of the failures that the controllers know. */
+/** Arrays and services, placement constraints, cancellations, and most of the failures that the controllers handle. */
 private fun runMixedScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 71), scale = SiteScale(machinesPerZone = 2, valueKb = 2.0), slowMachine = "i-000002")
     recorder.attachTo(site)
@@ -75,7 +75,7 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-/** A team takes back what another one has borrowed, so that assignments are recalled. */
+/** A team claims its guarantee while another team uses it, so that assignments are preempted. */
 private fun runPreemptionScenario(recorder: SampleRecorder) {
     val lender = TeamName("lender")
     val site = SimSite(
@@ -91,7 +91,7 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-/** One machine is slow, so that some of its tasks are restarted on another one of its shard. */
+/** One machine is slow, so that some of its tasks are restarted on another machine of its shard. */
 private fun runStragglerScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), nodes = 1, scale = SiteScale(machinesPerZone = 12, teamCpus = 400.0), slowMachine = "i-000002")
     recorder.attachTo(site)
@@ -102,7 +102,7 @@
     check(site.breaches.isEmpty()) { site.breaches.toString() }
 }
 
-/** A controller is away for long, so that shards are moved to it when it is back. */
+/** A controller is down for long, so that shards are moved to it after its restart. */
 private fun runLongOutageScenario(recorder: SampleRecorder) {
     val site = SimSite(Simulation(seed = 5), scale = SiteScale(machinesPerZone = 3))
     recorder.attachTo(site)
@@ -118,7 +118,7 @@
     recorder.updateSnapshot(site)
 }
 
-/** A job with every field that may be left out. */
+/** A job with all optional fields. */
 private fun jobOnNamedTypes(): JobSpec {
     val text = """{"nameId":"job-604","load":"batch","crew":"team","haul":"array","urgency":"best_effort","boxes":2,"vcpus":1.5,
         "gpus":0.0,"memoryGb":2.25,"manifest":"img-3","pullGb":0.5,"fleets":["box"],"depot":"north","oneZone":false,
@@ -128,7 +128,7 @@
 
 private const val STEP_SECONDS = 0.25
 
-/** Keeps one or a few of each kind of record and of peer message. */
+/** Keeps up to [MAX_PER_KIND] records of each kind, and the shortest peer message of each kind. */
 private class SampleRecorder {
     private class Record(val key: String, val value: JsonNode)
 
@@ -154,7 +154,7 @@
         for (write in Json.read(body)!!.get("writes")) {
             val key = write.get("set")?.asText() ?: continue
             val value = write.get("data")
-            // The tree's text is what was sent, byte for byte.
+            // The text of the parsed value must equal the bytes that were sent.
             check("\"data\":$value" in text) { "$value is not in $text" }
             val keptSoFar = records.getOrPut(recordKind(key, value)) { ArrayList() }
             if (keptSoFar.size < MAX_PER_KIND) keptSoFar += Record(key, value)
@@ -166,10 +166,10 @@
         if (keptSoFar == null || body.size < keptSoFar.size) messages[kind] = body
     }
 
-    /** Keeps the whole contents of the state service at the moment at which they are the most varied. */
+    /** Replaces the snapshot with all records of the state service if they are of more kinds than those in the snapshot. */
     fun updateSnapshot(site: SimSite) {
         val all = site.state.keys(Keys.ROOT).map { Record(it, Json.read(site.state.text(it)!!.toByteArray())!!) }
-        // A capacity status stays where it is once it was written, so it says nothing about the moment.
+        // A stored peer status remains once it is written, so its kind says nothing about this point in time.
         val kinds = all
             .filter { "/room/" !in it.key }
             .map { recordKind(it.key, it.value) }
@@ -196,7 +196,7 @@
     }
 }
 
-/** Says by the key and by the fields that are there which kind of record it is. */
+/** Returns the kind of a record, derived from its key and from the fields that are present. */
 private fun recordKind(key: String, value: JsonNode): String {
     val directory = key.removePrefix(Keys.CURRENT).substringBefore('/')
     val features = when (directory) {
--- a/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/RecordCompatibilityTest.kt
@@ -31,15 +31,13 @@
 import org.junit.jupiter.params.provider.MethodSource
 
 /**
- * The version in production and this one run side by side: each must read what the other has written, and write what the
- * other can read. Here: the stored records. The samples are what production wrote; the expectations are literals, so that a
- * rename shows.
+ * Checks the compatibility of stored records. The version in production and this version run side by side, so each must
+ * read what the other writes. The samples were written by the production version; the expected values are literals, so that renaming
+ * code doesn't change them.
  */
 class RecordCompatibilityTest {
-    // ---- records ----
-
     @Test
-    fun `the samples hold every kind of record`() {
+    fun `the samples contain every kind of record`() {
         val directories = ProductionFiles.writes.map { it.directory }.toSet()
         assertEquals(setOf("live", "task", "work", "over", "block", "member", "lead", "images", "room"), directories)
         assertEquals(setOf("g", "r", "n", "f", "v"), fieldsOfParts("task"))
@@ -53,13 +51,13 @@
 
     @ParameterizedTest
     @MethodSource("records")
-    fun `a record that is read and written again is the same, byte for byte`(sample: RecordSample) {
+    fun `a decoded record is encoded to the same bytes`(sample: RecordSample) {
         assertEquals(sample.text, rewritten(sample.directory, sample.value).decodeToString())
     }
 
     @ParameterizedTest
     @MethodSource("recordsWithNamedFields")
-    fun `a field that is not known yet is ignored`(sample: RecordSample) {
+    fun `an unknown field is ignored`(sample: RecordSample) {
         val valueOfLaterVersion = when (sample.directory) {
             "task", "work" -> withFieldInEachPart(sample)
             else -> sample.with(UNKNOWN_FIELD, LATER_VALUE)
@@ -71,7 +69,7 @@
         record.forEach { part -> (part as ObjectNode).set<JsonNode>(UNKNOWN_FIELD, LATER_VALUE) }
     }
 
-    /** What the present code writes for a record that it has read. */
+    /** Decodes a record and encodes it again. */
     private fun rewritten(directory: String, value: JsonNode): ByteArray = when (directory) {
         "live" -> RecordCodec.encode(RecordCodec.decodeLive(value)!!)
         "task" -> packedRecord(value) { RecordCodec.encode(RecordCodec.decodeAssignmentRange(it)) }
@@ -91,7 +89,7 @@
         RecordCodec.encodePackedRecord(value.properties().associate { (name, node) -> TaskRange.parse(name)!! to part(node) })
 
     @Test
-    fun `a live array with all optional fields`() {
+    fun `a live array with all optional fields is decoded`() {
         val live = live("cg/now/live/job-604")
         assertEquals(1_001_007, live.acceptedAtMillis)
         assertFalse(live.cancelled)
@@ -113,7 +111,7 @@
     }
 
     @Test
-    fun `a live service without optional fields`() {
+    fun `a live service without optional fields is decoded`() {
         val live = live("cg/now/live/job-500")
         with(live.spec) {
             assertEquals(JobKind.SERVICE, kind)
@@ -126,7 +124,7 @@
     }
 
     @Test
-    fun `the cancelled mark and the placement limits of live records`() {
+    fun `the cancellation flag and the placement constraints of live records are decoded`() {
         assertTrue(live("cg/now/live/job-602").cancelled)
         assertTrue(live("cg/now/live/job-602").spec.spread)
         assertFalse(live("cg/now/live/job-602").spec.oneZone)
@@ -136,7 +134,7 @@
     }
 
     @Test
-    fun `a live record that awaits no other job has the old form`() {
+    fun `a live record without awaited jobs is encoded in the former format`() {
         val old = """{"spec":{"nameId":"job-2","load":"batch","crew":"team","haul":"array","urgency":"normal","boxes":6,""" +
             """"vcpus":2.0,"gpus":0.0,"memoryGb":1.0,"manifest":"img-1","pullGb":1.5,"oneZone":false,"spread":false,""" +
             """"borrowed":true,"etaS":8.0,"waypointS":0.0,"unloadS":0.0,"dueS":60.0},"at":1003003}"""
@@ -147,7 +145,7 @@
     private fun cancelled(live: LiveRecord) = LiveRecord(live.spec, live.acceptedAtMillis, cancelled = true)
 
     @Test
-    fun `a live record with awaited jobs is read with all its other fields`() {
+    fun `a live record with awaited jobs is decoded with all its other fields`() {
         val sample = ProductionFiles.inSnapshot("cg/now/live/job-602")
         val live = RecordCodec.decodeLive(sample.with("awaits", Json.read("""["job-1","job-2"]""".toByteArray())!!))!!
         assertEquals(JobId("job-602"), live.spec.id)
@@ -157,7 +155,7 @@
     }
 
     @Test
-    fun `a field that is not known yet is ignored in the description of a job`() {
+    fun `an unknown field in a job description is ignored`() {
         val sample = ProductionFiles.inSnapshot("cg/now/live/job-604")
         val valueOfLaterVersion = sample.value.deepCopy<ObjectNode>()
         (valueOfLaterVersion.get("spec") as ObjectNode).set<JsonNode>(UNKNOWN_FIELD, LATER_VALUE)
@@ -165,7 +163,7 @@
     }
 
     @Test
-    fun `a packed record of assignments`() {
+    fun `a packed record of assignments is decoded`() {
         val ranges = ProductionFiles.inSnapshot("cg/now/task/array/0").value
         assertEquals(listOf("job-602/0", "job-605/0", "job-601/0"), ranges.fieldNames().asSequence().toList())
         val range = RecordCodec.decodeAssignmentRange(ranges.get("job-605/0"))
@@ -178,7 +176,7 @@
     }
 
     @Test
-    fun `an assignment that is preempted for a guarantee`() {
+    fun `the tasks that are preempted for a guarantee are decoded`() {
         val sample = ProductionFiles.written("cg/now/task/array/0", part = "\"r\":")
         val range = RecordCodec.decodeAssignmentRange(sample.value.get("job-701/0"))
         assertEquals("0-15", TaskIndexRanges.format(range.preemptedForGuarantee))
@@ -190,7 +188,7 @@
         range.groups.map { "${it.shard} baton ${it.fencingToken} generation ${it.generation}: ${TaskIndexRanges.format(it.tasks)}" }
 
     @Test
-    fun `packed records of work with done, returned and restarted tasks`() {
+    fun `packed records of outcomes with done, returned and restarted tasks are decoded`() {
         val done = outcomeOf(ProductionFiles.inSnapshot("cg/now/work/south.1/0"), "job-1/0")
         assertEquals("done 0-5, returned {}, restarted , version 1", describe(done))
         val returned = outcomeOf(ProductionFiles.inSnapshot("cg/now/work/north.1/0"), "job-605/0")
@@ -209,7 +207,7 @@
     }
 
     @Test
-    fun `ends of jobs`() {
+    fun `end records of jobs are decoded`() {
         val done = RecordCodec.decodeEnd(ProductionFiles.inSnapshot("cg/over/job-1").value)!!
         assertEquals(JobStatus.DONE to 6, done.status to done.tasksDone)
         val cancelled = RecordCodec.decodeEnd(ProductionFiles.inSnapshot("cg/over/job-501").value)!!
@@ -217,7 +215,7 @@
     }
 
     @Test
-    fun `shards that are owned and released, members and the leader`() {
+    fun `owned and released shards, members and the leader are decoded`() {
         val owned = RecordCodec.decodeShard(ProductionFiles.inSnapshot("cg/now/block/north.1").value)!!
         assertEquals(ShardRecord(MemberId("lorry-2"), Incarnation(2)), owned)
         assertFalse(owned.released)
@@ -231,13 +229,13 @@
     }
 
     @Test
-    fun `images that machines hold`() {
+    fun `the images that machines cache are decoded`() {
         val images = RecordCodec.decodeImages(ProductionFiles.inSnapshot("cg/now/images/north.2").value)
         assertEquals(mapOf(MachineName("i-000002") to listOf(ImageName("img-1"), ImageName("img-2"))), images.byMachine)
     }
 
     @Test
-    fun `a peer status that went through the state service`() {
+    fun `a stored peer status is decoded`() {
         val sample = ProductionFiles.writes.first { it.directory == "room" }
         assertEquals("cg/now/room/lorry-0", sample.key)
         val status = PeerMessageCodec.decodeStatus(RecordCodec.decodePeerStatus(sample.value)!!)!!
@@ -257,7 +255,7 @@
         @JvmStatic
         fun records(): List<RecordSample> = ProductionFiles.all
 
-        /** All but the images: their fields are names of machines, so a further one is a machine. */
+        /** All records except images, whose field names are machine names, so that an additional field would be a machine. */
         @JvmStatic
         fun recordsWithNamedFields(): List<RecordSample> = ProductionFiles.all.filter { it.directory != "images" }
     }
--- a/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
+++ b/src/test/kotlin/copperglade/compat/ReplicaCompatibilityTest.kt
@@ -18,13 +18,11 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The version in production and this one run side by side: each must read what the other has written, and write what the
- * other can read. Here: a replica of what production left. The samples are what production wrote; the expectations are literals, so that a
- * rename shows.
+ * Checks a replica that is loaded from records of the production version. The version in production and this version run side by side, so
+ * each must read what the other writes. The samples were written by the production version; the expected values are literals, so that
+ * renaming code doesn't change them.
  */
 class ReplicaCompatibilityTest {
-    // ---- a replica of what production left ----
-
     private fun loadedReplica(): Replica {
         val simulation = Simulation(seed = 1)
         val network = SimNetwork(simulation)
@@ -41,7 +39,7 @@
     }
 
     @Test
-    fun `a replica has the jobs that production left`() {
+    fun `a replica contains the jobs of the production version`() {
         val replica = loadedReplica()
         val live = replica.jobs.values
             .filter { it.live != null }
@@ -55,7 +53,7 @@
             "job-605" to JobStatus.CANCELLED,
         ) + (2..7).associate { "job-$it" to JobStatus.QUEUED }
         assertEquals(expected, live)
-        // Parts of jobs that are over stay in their packed records until these are written again.
+        // Ranges of ended jobs stay in their packed records until these records are written again.
         assertEquals(
             setOf("job-1", "job-501"),
             replica.jobs.keys
@@ -68,7 +66,7 @@
     }
 
     @Test
-    fun `a replica has the assignments that production left, without what was given back`() {
+    fun `a replica contains the assignments of the production version without the returned tasks`() {
         val replica = loadedReplica()
         assertEquals(listOf("south.0 9 1: 0-2"), assignments(replica, "job-500"))
         assertEquals(listOf("south.1 10 1: 0-2"), assignments(replica, "job-601"))
@@ -92,7 +90,7 @@
     private fun span(tasks: List<Int>) = tasks.last() - tasks.first() + 1
 
     @Test
-    fun `a replica has the shards, members, images and the leader that production left`() {
+    fun `a replica contains the shards, members, images and leader of the production version`() {
         val replica = loadedReplica()
         val owners = replica.shards.entries.associate { (name, record) ->
             name.text to "${record.value.member} ${record.value.incarnation}"
--- a/src/test/kotlin/copperglade/compat/WireNamesTest.kt
+++ b/src/test/kotlin/copperglade/compat/WireNamesTest.kt
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** All names that other processes or stored records rely on, as literals: renaming code must not rename them. */
+/** Checks the names in messages, keys and stored records against literals, since renaming code must not change these names. */
 class WireNamesTest {
     @Test
-    fun `the keys of the state service`() {
+    fun `keys of the state service have their stored names`() {
         assertEquals(listOf("cg/", "cg/now/", "cg/over/", "cg/now/lead"), listOf(Keys.ROOT, Keys.CURRENT, Keys.ENDED, Keys.LEADER))
         assertEquals("cg/now/live/job-000412", Keys.live(JobId("job-000412")))
         assertEquals("cg/over/job-000412", Keys.ended(JobId("job-000412")))
@@ -42,10 +42,10 @@
     }
 
     @Test
-    fun `a task range is 256 tasks`() = assertEquals(256, Keys.TASKS_PER_RANGE)
+    fun `a task range has 256 tasks`() = assertEquals(256, Keys.TASKS_PER_RANGE)
 
     @Test
-    fun `what a key names`() {
+    fun `keys are parsed to their kinds, and unknown keys to null`() {
         assertEquals("Live job-7", parse("cg/now/live/job-7"))
         assertEquals("Over job-7", parse("cg/over/job-7"))
         assertEquals("Assignments", parse("cg/now/task/array/3"))
@@ -75,12 +75,12 @@
     }
 
     @Test
-    fun `ends of jobs are stored by these names`() {
+    fun `statuses in end records have their stored names`() {
         assertTrue(JobStatus.entries.map { it.name }.containsAll(listOf("DONE", "CANCELLED")))
     }
 
     @Test
-    fun `paths between controllers`() {
+    fun `paths between controllers have their wire names`() {
         assertEquals(
             listOf("/note", "/vouch", "/cancelled"),
             listOf(PeerMessageCodec.STATUS_PATH, PeerMessageCodec.ENDORSEMENT_PATH, PeerMessageCodec.CANCELLATIONS_PATH),
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `paths of users and workers`() {
+    fun `paths of users and workers have their wire names`() {
         assertEquals(
             listOf("/submissions", "/healthz", "cancel"),
             listOf(UserApiCodec.JOBS_PATH, UserApiCodec.HEALTH_PATH, UserApiCodec.CANCEL_SUFFIX),
@@ -97,13 +97,13 @@
     }
 
     @Test
-    fun `words of the job descriptions`() {
+    fun `job kinds and priorities have their wire names`() {
         assertEquals(listOf("array", "daemon", "ensemble"), JobKind.entries.map { it.wireName })
         assertEquals(listOf("prod", "urgent", "normal", "best_effort"), Priority.entries.map { it.wireName })
     }
 
     @Test
-    fun `answers to users`() {
+    fun `answers to users have their wire names`() {
         val id = JobId("job-7")
         assertEquals(listOf("queued", "running", "done", "aborted"), JobStatus.entries.map { it.wireName })
         assertEquals(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    fun `answers and commands to workers`() {
+    fun `answers and commands to workers have their wire names`() {
         val task = TaskId(JobId("job-7"), 3)
         val commands =
             listOf(Command.Start(task, Attempt(9)), Command.Stop(task, Attempt(8), graceSeconds = 2.5), Command.Remove(task, Attempt(7)))
@@ -132,7 +132,7 @@
     }
 
     @Test
-    fun `heartbeats of workers`() {
+    fun `heartbeats of workers are decoded from their wire names`() {
         assertEquals(listOf("pulling", "waiting", "running", "saving", "ended"), ReportedTaskState.entries.map { it.wireName })
         assertEquals(listOf("done", "halted", "error", "full", "busy", "no_such", "other"), ExitCause.entries.map { it.wireName })
         val text = """{"truck":"i-1","addr":"10.0.0.1:9000","fleet":"g","depot":"a","borrowed":true,"shift":1,"tally":8,
@@ -149,12 +149,12 @@
         assertEquals(ReportedTaskState.EXITED to ExitCause.STOPPED, reportedTask.state to reportedTask.cause)
     }
 
-    /** An attempt's number must tell whose it is, whichever version chose it. */
+    /** The number of an attempt must identify the shard ownership by its fencing token, whichever version chose the number. */
     @Test
-    fun `the number of an attempt begins with the fencing token`() = assertEquals(5L * 1_048_576 + 3, Attempt.of(FencingToken(5), 3).number)
+    fun `the number of an attempt starts with the fencing token`() = assertEquals(5L * 1_048_576 + 3, Attempt.of(FencingToken(5), 3).number)
 
     @Test
-    fun `requests to the cloud`() {
+    fun `requests to the cloud have their wire names`() {
         assertEquals(
             """{"hire":"r-1","fleet":"box","depot":"north","borrowed":true,"howMany":3}""",
             CloudApiCodec.encodeRental("r-1", "box", "north", spot = true, count = 3).decodeToString(),
--- a/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
+++ b/src/test/kotlin/copperglade/settings/OperatorPropertiesTest.kt
@@ -11,7 +11,7 @@
         OperatorProperties.parse(Properties().apply { entries.forEach { setProperty(it.first, it.second) } })
 
     @Test
-    fun `keys are read, and what is left out keeps its default`() {
+    fun `properties are read, and missing properties keep their defaults`() {
         val operatorSettings = parse("lead.hold.s" to "2.5", "fleet.headroom" to "1.5")
         assertEquals(2.5.seconds, operatorSettings.leaderLease)
         assertEquals(1.5, operatorSettings.headroomFactor)
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `unknown keys and bad values are refused by name`() {
+    fun `unknown keys and invalid values are refused with the key in the message`() {
         assertEquals(
             "unknown property hold.limit",
             assertThrows(InvalidSettingException::class.java) { parse("hold.limit" to "1") }.message,
--- a/src/test/kotlin/copperglade/settings/PlatformSettingsParserTest.kt
+++ b/src/test/kotlin/copperglade/settings/PlatformSettingsParserTest.kt
@@ -6,7 +6,7 @@
 
 class PlatformSettingsParserTest {
     @Test
-    fun `a bad setting is named`() {
+    fun `the error for a missing section names the section`() {
         val exception =
             assertThrows(
                 InvalidSettingException::class.java,
--- a/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
+++ b/src/test/kotlin/copperglade/settings/ServiceLevelObjectivesTest.kt
@@ -19,7 +19,7 @@
         ).objectives
 
     @Test
-    fun `the latest end of a job follows from its aims on starting and finishing`() {
+    fun `the latest end of a job follows from its objectives for starting and finishing`() {
         val parsed = settings(
             """[{"kind":"wait","class":"render","within_s":150,"share":0.9},{"kind":"finished","class":"render","within_s":250},
             {"kind":"finished","class":"check","within_s":180},{"kind":"of another day","class":7},
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `without objectives nothing has a latest end`() = assertNull(settings(null).latestEndSeconds("render", 20.0))
+    fun `without objectives no job has a latest end`() = assertNull(settings(null).latestEndSeconds("render", 20.0))
 
     @ParameterizedTest
     @CsvSource(
@@ -44,7 +44,7 @@
         "'{\"kind\":\"deadline\",\"class\":\"render\",\"times\":0}', times",
         "'{\"kind\":\"guarantee\",\"within_s\":\"soon\"}', within_s",
     )
-    fun `bad aims are named`(objective: String, field: String) {
+    fun `the error for an invalid objective names the field`(objective: String, field: String) {
         val exception = assertThrows(InvalidSettingException::class.java) { settings("[$objective]") }
         assertTrue(field in exception.message!!, exception.message)
     }
--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -22,13 +22,13 @@
     ) { listOf(stateRequestsPerSecond, stateWritesPerSecond, maxValueKb, maxTransactionWrites) }
 
     @Test
-    fun `the lower one of present and announced limits holds, field by field`() {
+    fun `for each field the lower of the current and the announced limit applies`() {
         assertEquals(listOf(80.0, 25.5, 2.0, 4), limits(""","next":{"rps":80,"write_rps":25.5,"value_kb":2,"txn_ops":4}"""))
         assertEquals(listOf(100.0, 50.0, 2.0, 12), limits(""","next":{"rps":200,"value_kb":2,"txn_ops":null,"other":"x"}"""))
     }
 
     @Test
-    fun `without announced limits the present ones hold`() {
+    fun `without announced limits the current limits apply`() {
         val currentLimits = listOf(100.0, 50.0, 4.0, 12)
         assertEquals(currentLimits, limits(""))
         assertEquals(currentLimits, limits(""","next":null"""))
@@ -45,7 +45,7 @@
         "'{\"txn_ops\":false}', state.next.txn_ops",
         "'{\"txn_ops\":0.5}', txn_ops",
     )
-    fun `bad announced limits are named`(next: String, field: String) {
+    fun `the error for an invalid announced limit names the field`(next: String, field: String) {
         val exception = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
         assertTrue(field in exception.message!!, exception.message)
     }
--- a/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
+++ b/src/test/kotlin/copperglade/transport/FaultBarrierTest.kt
@@ -15,7 +15,7 @@
 
 class FaultBarrierTest {
     @Test
-    fun `after a fault nothing is decided any more`() {
+    fun `no action runs after an action has thrown`() {
         val faults = ArrayList<Throwable>()
         val barrier = FaultBarrier { faults += it }
         var runs = 0
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `a fault in a timer, a request or an answer reaches the barrier of the loop`() {
+    fun `an exception in a timer, a request handler or a reply callback reaches the barrier of the loop`() {
         for (faultySite in listOf("timer", "request", "answer")) {
             val faultReported = CountDownLatch(1)
             val loop = NettyEventLoop(FaultBarrier { faultReported.countDown() })
@@ -43,20 +43,20 @@
                 if (faultySite == "timer") error("injected")
                 client.call(endpoint, Request(Method.GET, "/"), 2.seconds) { if (faultySite == "answer") error("injected") }
             }
-            assertTrue(faultReported.await(5, TimeUnit.SECONDS), "no fault seen in the $faultySite")
+            assertTrue(faultReported.await(5, TimeUnit.SECONDS), "the exception in the $faultySite did not reach the barrier")
             loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
         }
     }
 
     @Test
-    fun `malformed input is no fault`() {
+    fun `decoders do not throw on malformed input`() {
         assertNull(Decoding.orNull<String>("test") { error("malformed") })
         val random = Random(1)
         repeat(RANDOM_INPUTS) {
             val bytes = ByteArray(random.nextInt(60)).also(random::nextBytes)
             WorkerMessageCodec.decodeHeartbeat(bytes)
         }
-        // UTF-32, as its first bytes say, and not valid as such.
+        // The first bytes indicate UTF-32, and the rest is not valid UTF-32.
         assertNull(WorkerMessageCodec.decodeHeartbeat(byteArrayOf(0, 0, 0, '{'.code.toByte(), 0x7f, 0x7f, 0x7f, 0x7f)))
     }
 
--- a/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
+++ b/src/test/kotlin/copperglade/transport/HttpConnectionsTest.kt
@@ -26,16 +26,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** All held until the last is known: a port that is closed again may be given out once more. */
+/**
+ * Returns [number] endpoints with free ports. All sockets stay open until the last port is chosen, since the system may assign a port
+ * again once its socket is closed.
+ */
 internal fun freeEndpoints(number: Int): List<Endpoint> =
     List(number) { ServerSocket(0) }.onEach { it.close() }.map { Endpoint("127.0.0.1", it.localPort) }
 
 internal fun freeEndpoint(): Endpoint = freeEndpoints(1).single()
 
-/** Real sockets on loopback: a fleet's workers must not take the sockets that everything else needs. */
+/**
+ * Connection limits over loopback sockets. They guard against connections from and to the workers of a large fleet using up the file
+ * descriptors that the rest of the process needs.
+ */
 class HttpConnectionsTest {
     @Test
-    fun `more peers than sockets are all answered, and only so many connections stay`() {
+    fun `requests to more servers than the connection limit are all answered within the limit`() {
         val loop = NettyEventLoop()
         val limit = 4
         val client = NettyHttpClient(loop, ProcessHeap.maxBytes, limit)
@@ -60,7 +66,7 @@
     }
 
     @Test
-    fun `a connection beyond the server's limit is told to come back later`() {
+    fun `a connection beyond the server's limit is answered with 503`() {
         val loop = NettyEventLoop()
         val endpoint = freeEndpoint()
         val openRequests = ArrayList<Responder>()
@@ -84,7 +90,7 @@
     }
 
     @Test
-    fun `more callers than connections take turns, and none is refused for long`() {
+    fun `more clients than the connection limit take turns, and each is served eventually`() {
         val loop = NettyEventLoop()
         val endpoint = freeEndpoint()
         NettyHttpServer(loop, CONNECTION_LIMIT) { _, responder -> responder.send(Reply(200)) }.listen(endpoint)
@@ -103,12 +109,12 @@
             }
         }
         loop.after(0.seconds) { clients.forEach { sendRequests(it, REQUESTS_PER_CLIENT) } }
-        assertTrue(answered.await(20, TimeUnit.SECONDS), "${answered.count} of $requests requests were never served")
+        assertTrue(answered.await(20, TimeUnit.SECONDS), "${answered.count} of $requests requests were not served")
         loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
     }
 
     @Test
-    fun `the status of a controller with four thousand machines reaches its peers`() {
+    fun `a status message with 4000 machines is accepted from peers and refused from users`() {
         val loop = NettyEventLoop()
         val (peers, users) = freeEndpoints(2)
         val status = PeerMessageCodec.encodeStatus(statusOf(machines = 4000))
@@ -140,7 +146,7 @@
                 .single()
                 .machines.size,
         )
-        assertNotEquals(200, statuses[users], "a body beyond the protocol's limit was taken")
+        assertNotEquals(200, statuses[users], "a body over the protocol's limit was accepted")
         loop.group.shutdownGracefully(0, 0, TimeUnit.SECONDS)
     }
 
