--- a/src/test/kotlin/copperglade/sim/SimSite.kt
+++ b/src/test/kotlin/copperglade/sim/SimSite.kt
@@ -26,29 +26,31 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A whole site in simulated time: controllers of the real code, stand-ins for everything around them, users, and a referee that checks the
- * protocol's rules whenever something starts, ends or is answered. Its faults are in `SimSiteFaults.kt`.
+ * A whole site in simulated time: the program's own controllers, stand-ins for the state service, the cloud and the workers, and users.
+ * A referee checks the protocol's rules whenever a task starts or ends, a command is sent or a user is answered. The site's faults are in
+ * `SimSiteFaults.kt`.
  */
 class SimSite(
     val sim: Simulation,
     private val operatorSettings: OperatorSettings = OperatorSettings(),
     private val scale: SiteScale = SiteScale(),
     slowMachine: String? = null,
-    /** The lease that is configured at the controllers; other than the workers' own only to see the referee at work. */
-    private val configuredLeaseS: Double = scale.leaseSeconds,
-    private val configuredCpusMax: Double = scale.teamCpus,
-    private val configuredCancelS: Double = scale.cancelSeconds,
+    /** The lease that is configured at the controllers. It differs from that of the workers only in tests of the referee. */
+    private val configuredLeaseSeconds: Double = scale.leaseSeconds,
+    private val configuredMaxCpus: Double = scale.teamCpus,
+    private val configuredCancelSeconds: Double = scale.cancelSeconds,
+    /** The number of controllers. */
     val nodes: Int = 3,
     private val otherTeam: Team? = null,
-    /** Another staleness limit for the controllers of the first zone, only to see the referee at work. */
-    private val stalenessLimitOverrideS: Double? = null,
-    /** The state service's limits as they are configured at each controller when it starts. */
+    /** Another staleness limit for the controllers of the first zone, for tests of the referee. */
+    private val stalenessLimitOverrideSeconds: Double? = null,
+    /** Returns the limits of the state service that are configured at a controller when it starts. */
     private val limitsOf: (node: Int) -> StateLimits = { scale.stateLimits },
-    /** The number of jobs that were over before the scenario began. */
+    /** The number of jobs that were done before the scenario began. */
     endedBefore: Int = 0,
-    /** Whether a fault in a decision ends the controller as it ends a real process; else the test fails with it. */
+    /** Whether an error in a decision terminates the controller, as it does a real process; otherwise the test fails. */
     faultsEndProcess: Boolean = false,
-    /** Sees every message between the processes and users of this site. */
+    /** Observes every message between the processes and users of this site. */
     wireObserver: WireObserver = WireObserver {},
 ) {
     val network = SimNetwork(sim, wireObserver)
@@ -56,13 +58,13 @@
     val state = StandInState(externalLoop)
     private val referee = SiteReferee(sim, scale, otherTeam, ::workers)
     internal val machines = SimMachines(sim, network, externalLoop, scale, referee, slowMachine, nodes)
-    private val userAgents = SimUsers(sim, network, externalLoop, nodes, referee)
+    private val simUsers = SimUsers(sim, network, externalLoop, nodes, referee)
     internal val controllers = SimControllers(sim, network, ::settings, ::operatorSettingsOf, faultsEndProcess) { violation ->
         referee.breach("invariant", "${violation.invariant}: ${violation.detail}")
     }
 
     init {
-        network.commandsSent = referee::checkCommands
+        network.onCommandsSent = referee::checkCommands
         network.listen(SimAddresses.STATE, "state", externalLoop, state)
         network.listen(SimAddresses.CLOUD, "cloud", externalLoop, machines.cloud)
         repeat(endedBefore) {
@@ -80,11 +82,11 @@
         cloud = SimAddresses.CLOUD,
         state = SimAddresses.STATE,
         zones = ZONES,
-        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredCpusMax, 0.0, 0.0), otherTeam).associateBy { it.name },
+        teams = listOfNotNull(Team(TEAM, scale.guaranteedCpus, configuredMaxCpus, 0.0, 0.0), otherTeam).associateBy { it.name },
         objectives = ServiceLevelObjectives(),
         heartbeatIntervalSeconds = scale.heartbeatIntervalSeconds,
-        workerLeaseSeconds = configuredLeaseS,
-        cancellationDeadlineSeconds = configuredCancelS,
+        workerLeaseSeconds = configuredLeaseSeconds,
+        cancellationDeadlineSeconds = configuredCancelSeconds,
         stateRequestsPerSecond = limitsOf(node).requestsPerSecond,
         stateWritesPerSecond = limitsOf(node).writesPerSecond,
         maxValueKb = limitsOf(node).valueKb,
@@ -97,8 +99,8 @@
     private fun peer(node: Int) = Peer(MemberId(SimAddresses.controllerName(node)), zoneOfController(node), SimAddresses.cluster(node))
 
     private fun operatorSettingsOf(node: Int): OperatorSettings =
-        if (stalenessLimitOverrideS != null && node % 2 == 0) {
-            OperatorSettings(stalenessLimit = stalenessLimitOverrideS.seconds)
+        if (stalenessLimitOverrideSeconds != null && node % 2 == 0) {
+            OperatorSettings(stalenessLimit = stalenessLimitOverrideSeconds.seconds)
         } else {
             operatorSettings
         }
@@ -107,17 +109,15 @@
 
     private fun workers(): Collection<StandInWorker> = machines.workers
 
-    // ---- controllers and machines ----
-
-    /** The leader by the state service's own records; null while there is none. */
+    /** Returns the leader according to the records in the state service; null while there is none. */
     fun leader(): Int? = state.leaderAmong((0 until nodes).map(SimAddresses::controllerName))
 
-    /** The controller that the worker reports to. */
+    /** Returns the controller to which the worker reports. */
     fun ownerOf(workerName: String): Int = machines.worker(workerName).reportsTo
 
     fun zoneOf(workerName: String): String = machines.worker(workerName).zone
 
-    fun workerNames(): List<String> = machines.names.toList()
+    fun workerNames(): List<String> = machines.workerNames.toList()
 
     fun workerCount() = machines.workers.size
 
@@ -127,7 +127,7 @@
 
     fun checkpointingTasks(): Map<TaskId, StandInWorker> = machines.checkpointingTasks()
 
-    /** How many times as long as usual the machine of this number takes to boot; null: it never does. */
+    /** Returns by which factor the boot of the machine with the given number is slower than usual; null if the machine never boots. */
     var bootTimeFactor: (Int) -> Double?
         get() = machines.cloud.bootTimeFactor
         set(factor) {
@@ -137,42 +137,38 @@
     /** Requests that the cloud refused for exceeding its rate limit. */
     val cloudRefusals: Int get() = machines.cloud.refused
 
-    // ---- users ----
-
     val users: HashMap<JobId, SimUser> get() = referee.users
 
     /** Jobs whose cancellation was confirmed to their users. */
-    val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMs != null }
-
-    /** Submits a job that depends on [dependencies], which were submitted before; [work] is as in [SimUser]. */
-    fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), work: (Int) -> Double?) =
-        userAgents.submit(spec, dependencies, work)
+    val confirmedCancellations: Int get() = users.values.count { it.cancelledAtMillis != null }
 
-    fun cancel(id: JobId) = userAgents.cancel(id)
+    /** Submits a job with [dependencies], all of which must have been submitted before. [workSeconds] is described at [SimUser]. */
+    fun submit(spec: JobSpec, dependencies: List<JobId> = emptyList(), workSeconds: (Int) -> Double?) =
+        simUsers.submit(spec, dependencies, workSeconds)
 
-    fun repeatSubmission(user: SimUser) = userAgents.repeatSubmission(user)
+    fun cancel(id: JobId) = simUsers.cancel(id)
 
-    /** One poll in addition to the periodic ones, through a random controller. */
-    fun poll(id: JobId) = userAgents.poll(id)
+    fun repeatSubmission(user: SimUser) = simUsers.repeatSubmission(user)
 
-    fun poll(id: JobId, node: Int) = userAgents.poll(id, node)
+    /** Sends a poll in addition to the periodic ones, through a random controller. */
+    fun poll(id: JobId) = simUsers.poll(id)
 
-    fun oddRequest() = userAgents.oddRequest()
+    fun poll(id: JobId, node: Int) = simUsers.poll(id, node)
 
-    /** Sends one request through a random controller, as the load balancer would. */
-    fun request(request: Request, done: (Reply?) -> Unit) = userAgents.request(request, done)
+    fun sendOddRequest() = simUsers.sendOddRequest()
 
-    fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) = userAgents.requestAt(node, request, done)
+    /** Sends a request through a random controller, as the load balancer would. */
+    fun request(request: Request, done: (Reply?) -> Unit) = simUsers.request(request, done)
 
-    // ---- referee ----
+    fun requestAt(node: Int, request: Request, done: (Reply?) -> Unit) = simUsers.requestAt(node, request, done)
 
     val breaches: List<String> get() = referee.breaches
     val starts: Int get() = referee.starts
     val completions: Int get() = referee.completions
     val startsOf: Map<JobId, Int> get() = referee.startsOf
     val startsOn: Map<String, Int> get() = referee.startsOn
-    var cancellationsKnownImmediately: Boolean by referee::cancellationsKnownImmediately
-    var faultFreeSinceMs: Double? by referee::faultFreeSinceMs
+    var cancellationsReplicatedAtOnce: Boolean by referee::cancellationsReplicatedAtOnce
+    var faultFreeSinceMillis: Double? by referee::faultFreeSinceMillis
     var onJobComplete: (SimUser) -> Unit by referee::onJobComplete
     var fails: (task: TaskId, machine: String) -> Boolean by referee::fails
 
@@ -184,31 +180,31 @@
 
     fun checkCancelledDependents() = referee.checkCancelledDependents()
 
-    /** Lets simulated time pass, and checks periodically what only time can break. */
+    /** Lets [seconds] of simulated time pass, and periodically checks the rules that set a time limit. */
     fun run(seconds: Double) {
-        var nextCheckMs = 0.0
+        var nextCheckMillis = 0.0
         sim.run(seconds * 1000) {
-            if (sim.nowMs >= nextCheckMs) {
-                nextCheckMs = sim.nowMs + CHECK_INTERVAL_MS
+            if (sim.nowMillis >= nextCheckMillis) {
+                nextCheckMillis = sim.nowMillis + CHECK_INTERVAL_MILLIS
                 referee.checkCancelled()
                 referee.checkWaiting()
-                referee.overdue().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
+                referee.overdueCancellations().forEach { user -> repeat(nodes) { poll(user.spec.id, it) } }
             }
         }
     }
 
     companion object {
-        const val LEASE_S = 10.0
-        const val CANCEL_S = 30.0
+        const val LEASE_SECONDS = 10.0
+        const val CANCEL_SECONDS = 30.0
 
-        /** The number of the first of the jobs that were over before the scenario began. */
+        /** The number of the first of the jobs that were done before the scenario began. */
         const val FIRST_ENDED_JOB = 100_000
         val ZONES = listOf("north", "south")
         val TEAM = TeamName("team")
-        private const val CHECK_INTERVAL_MS = 500
-        private const val CHECKPOINT_INTERVAL_S = 20.0
+        private const val CHECK_INTERVAL_MILLIS = 500
+        private const val CHECKPOINT_INTERVAL_SECONDS = 20.0
 
-        /** The spec of `job-[number]`; an array without limits of placement unless said otherwise. */
+        /** Returns the spec of `job-[number]`; by default an array without placement constraints. */
         fun job(
             number: Int,
             tasks: Int,
@@ -220,18 +216,20 @@
             image: Int = 1,
             team: TeamName = TEAM,
             zone: String? = null,
-            etaS: Double = 8.0,
+            estimatedSeconds: Double = 8.0,
             priority: String = if (service) "urgent" else "normal",
-            dueS: Double? = if (service) null else 60.0,
-            saveS: Double = 0.0,
+            deadlineSeconds: Double? = if (service) null else 60.0,
+            checkpointSeconds: Double = 0.0,
         ): JobSpec {
             val text = """{"nameId":"job-$number","load":"${if (service) "web" else "batch"}","crew":"$team",
                 "haul":"${if (service) "daemon" else "array"}","urgency":"$priority",
                 "boxes":$tasks,"vcpus":$cpus,"gpus":0.0,"memoryGb":1.0,"manifest":"img-$image","pullGb":1.5,"fleets":null,
                 "depot":${zone?.let {
                 "\"$it\""
-            }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else etaS},
-                "waypointS":${if (saveS > 0.0) CHECKPOINT_INTERVAL_S else 0.0},"unloadS":$saveS,"dueS":$dueS}"""
+            }},"oneZone":$oneZone,"spread":$spread,"borrowed":$spot,"etaS":${if (service) 0.0 else estimatedSeconds},
+                "waypointS":${if (checkpointSeconds > 0.0) CHECKPOINT_INTERVAL_SECONDS else 0.0},"unloadS":$checkpointSeconds,"dueS":${
+                deadlineSeconds
+            }}"""
             return (JobSpecCodec.parse(Json.read(text.toByteArray())) as ParsedSubmission.Valid).spec
         }
     }
--- a/src/test/kotlin/copperglade/sim/Simulation.kt
+++ b/src/test/kotlin/copperglade/sim/Simulation.kt
@@ -6,86 +6,89 @@
 import java.util.Random
 import kotlin.time.Duration
 
-/** Simulated time: a queue of events whose order depends on the seed alone. */
+/** A discrete-event simulation: a clock and a queue of events whose order depends on the seed alone. */
 class Simulation(seed: Long) {
-    private class Event(val at: Double, val order: Long, val action: () -> Unit)
+    private class Event(val atMillis: Double, val order: Long, val action: () -> Unit)
 
-    private val queue = PriorityQueue(compareBy<Event>({ it.at }, { it.order }))
+    private val queue = PriorityQueue(compareBy<Event>({ it.atMillis }, { it.order }))
     private var order = 0L
     val random = Random(seed)
-    var nowMs = 1_000_000.0
+    var nowMillis = 1_000_000.0
         private set
 
-    fun after(ms: Double, action: () -> Unit) {
-        queue += Event(nowMs + ms.coerceAtLeast(0.0), order++, action)
+    /** Schedules [action] after [delayMillis]; a negative delay counts as 0. Events of the same time run in the order of the calls. */
+    fun after(delayMillis: Double, action: () -> Unit) {
+        queue += Event(nowMillis + delayMillis.coerceAtLeast(0.0), order++, action)
     }
 
-    fun run(forMs: Double, each: () -> Unit = {}) {
-        val end = nowMs + forMs
-        while (queue.isNotEmpty() && queue.peek().at <= end) {
+    /** Lets [forMillis] pass, and calls [afterEachEvent] after each event. */
+    fun run(forMillis: Double, afterEachEvent: () -> Unit = {}) {
+        val endMillis = nowMillis + forMillis
+        while (queue.isNotEmpty() && queue.peek().atMillis <= endMillis) {
             val event = queue.remove()
-            nowMs = event.at
+            nowMillis = event.atMillis
             event.action()
-            each()
+            afterEachEvent()
         }
-        nowMs = end
+        nowMillis = endMillis
     }
 }
 
-/** The event loop of a simulated process: its clock, which may run a little fast, and its timers, which end with it. */
+/** The event loop of a simulated process. Its clock is fast by the fraction [drift]. No timer fires once the process is not [alive]. */
 class SimLoop(private val sim: Simulation, drift: Double = 0.0) : EventLoop {
     var alive = true
     private var rate = 1.0 + drift
-    private var baseMs = 0.0
-    private var clockAtBase = 0.0
+    private var baseMillis = 0.0
+    private var clockAtBaseMillis = 0.0
 
-    /** From now on the clock goes [factor] times as fast as it should. */
-    fun slowDown(factor: Double) {
-        clockAtBase = clockMs()
-        baseMs = sim.nowMs
+    /** Runs the clock at [factor] times simulated time from now on. */
+    fun setClockRate(factor: Double) {
+        clockAtBaseMillis = clockMillis()
+        baseMillis = sim.nowMillis
         rate = factor
     }
 
-    private fun clockMs() = clockAtBase + (sim.nowMs - baseMs) * rate
+    private fun clockMillis() = clockAtBaseMillis + (sim.nowMillis - baseMillis) * rate
 
-    /** The number of clock readings before one throws an out-of-memory error; negative: none does. */
-    var faultIn = -1
+    /** The number of clock readings before the one that throws an [OutOfMemoryError]; negative: none throws. */
+    var readingsUntilFault = -1
 
-    private fun mayFail() {
-        if (faultIn >= 0 && faultIn-- == 0) throw OutOfMemoryError("injected")
+    private fun failIfDue() {
+        if (readingsUntilFault >= 0 && readingsUntilFault-- == 0) throw OutOfMemoryError("injected")
     }
 
     override fun now(): MonotonicTime {
-        mayFail()
-        return MonotonicTime(clockMs().toLong())
+        failIfDue()
+        return MonotonicTime(clockMillis().toLong())
     }
 
-    /** Runs each decision of the process; by default a fault propagates and the test fails. */
+    /** Runs each decision of the process. By default an error propagates and the test fails. */
     var guard: (action: () -> Unit) -> Unit = { it() }
 
-    /** Whether the next reading of the time of day throws such an error. */
-    var faultAtWallClock = false
+    /** Whether the next reading of the time of day throws an [OutOfMemoryError]. */
+    var faultAtWallClockReading = false
 
     override fun wallMillis(): Long {
-        mayFail()
-        if (faultAtWallClock) {
-            faultAtWallClock = false
+        failIfDue()
+        if (faultAtWallClockReading) {
+            faultAtWallClockReading = false
             throw OutOfMemoryError("injected")
         }
-        return sim.nowMs.toLong()
+        return sim.nowMillis.toLong()
     }
 
-    private var frozenUntilMs = 0.0
+    private var frozenUntilMillis = 0.0
 
-    /** Pauses the process for [ms] while its clock runs on. Events that come meanwhile wait for it. */
-    fun freeze(ms: Double) {
-        frozenUntilMs = sim.nowMs + ms
+    /** Pauses the process for [durationMillis] while its clock continues. Events of that time are delayed until the process resumes. */
+    fun freeze(durationMillis: Double) {
+        frozenUntilMillis = sim.nowMillis + durationMillis
     }
 
-    fun whenAwake(action: () -> Unit) {
-        if (sim.nowMs >= frozenUntilMs) action() else sim.after(frozenUntilMs - sim.nowMs) { whenAwake(action) }
+    /** Runs [action] now, or once the process resumes if it is frozen. */
+    fun whenNotFrozen(action: () -> Unit) {
+        if (sim.nowMillis >= frozenUntilMillis) action() else sim.after(frozenUntilMillis - sim.nowMillis) { whenNotFrozen(action) }
     }
 
     override fun after(delay: Duration, action: () -> Unit) =
-        sim.after(delay.inWholeMicroseconds / 1000.0 / rate) { whenAwake { if (alive) guard(action) } }
+        sim.after(delay.inWholeMicroseconds / 1000.0 / rate) { whenNotFrozen { if (alive) guard(action) } }
 }
--- a/src/test/kotlin/copperglade/sim/SiteReferee.kt
+++ b/src/test/kotlin/copperglade/sim/SiteReferee.kt
@@ -10,8 +10,8 @@
 import copperglade.standin.World
 
 /**
- * The referee of a simulated site: it sees what starts and ends on machines and what users are answered, and records each broken rule of
- * the protocol in [breaches].
+ * Checks the protocol's rules at a simulated site. The referee observes the starts and ends of tasks on machines, the commands of
+ * controllers and the answers to users, and records each broken rule in [breaches].
  *
  * @param workers the workers of the machines that are up.
  */
@@ -21,64 +21,68 @@
     private val otherTeam: Team?,
     private val workers: () -> Collection<StandInWorker>,
 ) : World {
-    /** Every broken rule: its name, the time in seconds, and what was seen. */
+    /** Every broken rule: its name, the time in seconds, and the observation. */
     val breaches = ArrayList<String>()
     val users = HashMap<JobId, SimUser>()
-    private val pipelines = PipelineReferee(users, { sim.nowMs }, scale.cancelSeconds * 1000, ::breach)
-    private val runningOn = HashMap<TaskId, StandInWorker>()
+    private val pipelineReferee = PipelineReferee(users, { sim.nowMillis }, scale.cancelSeconds * 1000, ::breach)
+    private val workerByTask = HashMap<TaskId, StandInWorker>()
 
-    /** The zones of each job's running tasks, and the CPUs that each team's use. */
-    private val zonesOf = HashMap<JobId, HashMap<TaskId, String>>()
+    /** The zones of each job's running tasks. */
+    private val zonesOfTasks = HashMap<JobId, HashMap<TaskId, String>>()
+
+    /** The CPUs that the running tasks of each team use. */
     private val usedCpus = HashMap<TeamName, Double>()
 
-    /** How often any task has started, and how often any has been done. */
+    /** The number of starts of tasks. */
     var starts = 0
         private set
+
+    /** The number of tasks that were done; a task that was done twice counts twice. */
     var completions = 0
         private set
 
-    /** How often a task of the job has started, and how often any task has on the machine. */
+    /** The number of starts of tasks of each job. */
     val startsOf = HashMap<JobId, Int>()
+
+    /** The number of starts of tasks on each machine. */
     val startsOn = HashMap<String, Int>()
 
-    val runningTasks: Map<TaskId, StandInWorker> get() = runningOn
+    val runningTasks: Map<TaskId, StandInWorker> get() = workerByTask
 
-    /** Whether all controllers reach each other, so that each knows of a cancellation before its user does. */
-    var cancellationsKnownImmediately = false
+    /** Whether all controllers reach each other, so that each of them receives a cancellation before it is confirmed to its user. */
+    var cancellationsReplicatedAtOnce = false
 
-    /** Since when there have been no faults, so that nothing may be left waiting; null while there are some. */
-    var faultFreeSinceMs: Double? = null
+    /** Since when the site has been free of faults, so that no job may be left waiting; null while there are faults. */
+    var faultFreeSinceMillis: Double? = null
 
-    /** What users do when the last task of a job ends. */
+    /** Called when the last task of a job is done. */
     var onJobComplete: (SimUser) -> Unit = {}
 
-    /** Whether a task fails on a machine some time after it has started there. */
+    /** Whether a task fails on a machine, [FAILS_AFTER_SECONDS] after its start. */
     var fails: (task: TaskId, machine: String) -> Boolean = { _, _ -> false }
 
-    fun breach(rule: String, what: String) {
-        breaches += "$rule at ${"%.1f".format(sim.nowMs / 1000)}: $what"
+    fun breach(rule: String, detail: String) {
+        breaches += "$rule at ${"%.1f".format(sim.nowMillis / 1000)}: $detail"
     }
 
-    // ---- tasks on machines ----
-
     override fun spec(task: TaskId) = users[task.job]?.spec?.takeIf { task.index < it.tasks }
 
-    override fun workS(task: TaskId) = users[task.job]?.work?.invoke(task.index)
+    override fun workS(task: TaskId) = users[task.job]?.workSeconds?.invoke(task.index)
 
-    override fun failsAfterS(worker: StandInWorker, task: TaskId): Double? = FAILS_AFTER_S.takeIf { fails(task, worker.name) }
+    override fun failsAfterS(worker: StandInWorker, task: TaskId): Double? = FAILS_AFTER_SECONDS.takeIf { fails(task, worker.name) }
 
     override fun started(worker: StandInWorker, task: TaskId) {
         starts++
         startsOf.merge(task.job, 1, Int::plus)
         startsOn.merge(worker.name, 1, Int::plus)
-        val before = runningOn[task]
+        val before = workerByTask[task]
         if (before != null && before !== worker) breach("ran_twice", "$task on ${worker.name} and ${before.name}")
-        runningOn[task] = worker
+        workerByTask[task] = worker
         val user = users.getValue(task.job)
         if (!user.spec.allows(worker.type, worker.zone, worker.spot)) breach("wrong_place", "$task on ${worker.name}")
-        user.waitingSinceMs = null
-        pipelines.checkStart(user, task)
-        if (user.firstStartAtMs == null) user.firstStartAtMs = sim.nowMs
+        user.waitingSinceMillis = null
+        pipelineReferee.checkStart(user, task)
+        if (user.firstStartAtMillis == null) user.firstStartAtMillis = sim.nowMillis
         checkZones(user, task, worker)
         if (before == null) usedCpus.merge(user.spec.team, user.spec.request.cpus, Double::plus)
         val used = usedCpus.getValue(user.spec.team)
@@ -87,7 +91,7 @@
     }
 
     private fun checkZones(user: SimUser, task: TaskId, worker: StandInWorker) {
-        val zones = zonesOf.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
+        val zones = zonesOfTasks.getOrPut(task.job) { HashMap() }.also { it[task] = worker.zone }.values
         if (user.spec.oneZone && zones.distinct().size > 1) breach("wrong_place", "$task not in one zone")
         if (zones.count { it == worker.zone } > user.spec.maxTasksPerZone) breach("wrong_place", "$task not spread")
     }
@@ -95,10 +99,10 @@
     private fun limitOf(team: TeamName): Double = otherTeam?.takeIf { it.name == team }?.maxCpus ?: scale.teamCpus
 
     override fun ended(worker: StandInWorker, task: TaskId, done: Boolean) {
-        if (runningOn[task] === worker) {
-            runningOn.remove(task)
+        if (workerByTask[task] === worker) {
+            workerByTask.remove(task)
             val spec = users.getValue(task.job).spec
-            zonesOf.getValue(task.job).remove(task)
+            zonesOfTasks.getValue(task.job).remove(task)
             usedCpus.merge(spec.team, -spec.request.cpus, Double::plus)
         }
         if (done) {
@@ -106,82 +110,82 @@
             val user = users.getValue(task.job)
             user.doneTasks += task.index
             if (user.doneTasks.size == user.spec.tasks) {
-                if (user.completedAtMs == null) user.completedAtMs = sim.nowMs
+                if (user.completedAtMillis == null) user.completedAtMillis = sim.nowMillis
                 onJobComplete(user)
             }
         }
     }
 
-    // ---- cancellations ----
-
-    /** To be called periodically: no task may run for longer than the cancellation timeout after its job was cancelled. */
+    /** Checks that no task runs for longer than the cancellation timeout after its job was cancelled. To be called periodically. */
     fun checkCancelled() {
-        runningOn.keys.forEach(::checkCancelled)
+        workerByTask.keys.forEach(::checkCancelled)
     }
 
     private fun checkCancelled(task: TaskId) {
-        val cancelledAtMs = pipelines.cancelledAtMs(users.getValue(task.job)) ?: return
-        if (sim.nowMs - cancelledAtMs > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
+        val cancelledAtMillis = pipelineReferee.cancelledAtMillis(users.getValue(task.job)) ?: return
+        if (sim.nowMillis - cancelledAtMillis > scale.cancelSeconds * 1000) breach("ran_cancelled", "$task")
     }
 
-    /** To be called for each command sent: no start may follow the confirmed cancellation, once the sender must know or step down. */
+    /**
+     * Checks that a message with commands starts no task of a job whose cancellation was confirmed to its user, once the sender must have
+     * received the cancellation or have stopped starting tasks. To be called for each such message.
+     */
     fun checkCommands(body: ByteArray) {
-        val node = Json.read(body) ?: return
-        for (command in node.get("dispatches") ?: return) {
+        val message = Json.read(body) ?: return
+        for (command in message.get("dispatches") ?: return) {
             if (command.stringOrNull("order") != "start") continue
             val task = TaskId.parse(command.stringOrNull("box")!!)!!
-            val cancelledAtMs = users[task.job]?.let(pipelines::cancelledAtMs) ?: continue
-            val sinceMs = sim.nowMs - cancelledAtMs
-            if (cancellationsKnownImmediately || sinceMs > MAX_START_AFTER_CANCELLATION_S * 1000) breach("started_cancelled", "$task")
+            val cancelledAtMillis = users[task.job]?.let(pipelineReferee::cancelledAtMillis) ?: continue
+            val sinceMillis = sim.nowMillis - cancelledAtMillis
+            if (cancellationsReplicatedAtOnce || sinceMillis > MAX_START_AFTER_CANCEL_SECONDS * 1000) breach("started_cancelled", "$task")
         }
     }
 
-    /** Users to ask at every controller now, since their jobs must be reported cancelled from here on. */
-    fun overdue(): List<SimUser> = pipelines.overdue()
+    /** Returns the users who have to poll every controller now, since their jobs must be reported cancelled from now on. */
+    fun overdueCancellations(): List<SimUser> = pipelineReferee.overdueCancellations()
 
-    /** To be called when there have been no faults for longer than a cancellation may take. */
-    fun checkCancelledDependents() = pipelines.checkEnd()
-
-    // ---- answers to users ----
+    /** Checks the dependents of cancelled jobs. To be called when there have been no faults for longer than the cancellation timeout. */
+    fun checkCancelledDependents() = pipelineReferee.checkCancelledDependents()
 
     /**
-     * Checks and records [status], which the user got in answer to a request sent at [requestedAtMs]. Of two requests in flight, the one
-     * sent before the final answer may still be answered with an earlier status.
+     * Checks and records [status], which [user] received in answer to a request sent at [requestedAtMillis]. Of two requests in flight,
+     * the one sent before the final answer may still be answered with an earlier status.
      */
-    fun recordStatus(user: SimUser, status: String, requestedAtMs: Double) {
+    fun recordStatus(user: SimUser, status: String, requestedAtMillis: Double) {
         val final = status == "done" || status == "aborted"
-        if (user.finished && !final && requestedAtMs < user.finishedAtMs) return
+        if (user.finished && !final && requestedAtMillis < user.finishedAtMillis) return
         if (user.finished && status != user.status) breach("went_back", "${user.spec.id}: ${user.status}, then $status")
-        if (!user.finished) user.finishedAtMs = sim.nowMs
+        if (!user.finished) user.finishedAtMillis = sim.nowMillis
         if (status == "done" && user.doneTasks.size < user.spec.tasks) breach("not_done", "${user.spec.id}")
-        if (status == "aborted" && user.cancelledAtMs == null) user.cancelledAtMs = sim.nowMs
+        if (status == "aborted" && user.cancelledAtMillis == null) user.cancelledAtMillis = sim.nowMillis
         user.status = status
-        pipelines.checkAnswer(user)
+        pipelineReferee.checkAnswer(user)
     }
 
-    /** To be called when there have been no faults for [MAX_UNANSWERED_S]: each job must have had an answer since. */
+    /**
+     * Checks that each accepted job that was not reported cancelled has been answered for within the last [MAX_UNANSWERED_SECONDS]. To be
+     * called when there have been no faults for that long.
+     */
     fun checkAnswered() {
         for (user in users.values) {
             if (!user.accepted || user.status == "aborted") continue
-            if (sim.nowMs - user.lastAnswerAtMs > MAX_UNANSWERED_S * 1000) breach("forgotten", "${user.spec.id} gets no answer")
+            if (sim.nowMillis - user.lastAnswerAtMillis > MAX_UNANSWERED_SECONDS * 1000) breach("forgotten", "${user.spec.id} unanswered")
         }
     }
 
-    // ---- waiting jobs ----
-
-    /** To be called periodically: no job may wait for [MAX_WAIT_WITH_CAPACITY_S] while it could start. */
+    /** Checks that no job waits for [MAX_WAIT_WITH_CAPACITY_SECONDS] while it could start. To be called periodically. */
     fun checkWaiting() {
-        val faultFreeSinceMs = faultFreeSinceMs ?: return
+        val faultFreeSinceMillis = faultFreeSinceMillis ?: return
         for (user in users.values) {
-            val blocked = pipelines.releasedAtMs(user) == null || pipelines.dependencyCancelRequested(user)
-            if (!user.accepted || user.finished || user.cancelRequestedAtMs != null || blocked || !couldStart(user)) {
-                user.waitingSinceMs = null
+            val blocked = pipelineReferee.releasedAtMillis(user) == null || pipelineReferee.dependencyCancelRequested(user)
+            if (!user.accepted || user.finished || user.cancelRequestedAtMillis != null || blocked || !couldStart(user)) {
+                user.waitingSinceMillis = null
                 continue
             }
-            val since = user.waitingSinceMs ?: sim.nowMs.also { user.waitingSinceMs = it }
-            if (sim.nowMs - maxOf(since, faultFreeSinceMs) > MAX_WAIT_WITH_CAPACITY_S * 1000) {
+            val since = user.waitingSinceMillis ?: sim.nowMillis.also { user.waitingSinceMillis = it }
+            if (sim.nowMillis - maxOf(since, faultFreeSinceMillis) > MAX_WAIT_WITH_CAPACITY_SECONDS * 1000) {
                 breach("left_waiting", "${user.spec.id}")
-                user.waitingSinceMs = null
+                user.waitingSinceMillis = null
             }
         }
     }
@@ -189,7 +193,7 @@
     /** Whether a machine that the job may use has capacity for one more of its tasks, within the team's limit. */
     private fun couldStart(user: SimUser): Boolean {
         val spec = user.spec
-        val running = zonesOf[spec.id].orEmpty()
+        val running = zonesOfTasks[spec.id].orEmpty()
         if (user.doneTasks.size + running.size >= spec.tasks) return false
         if ((usedCpus[spec.team] ?: 0.0) + spec.request.cpus > limitOf(spec.team) + CPU_TOLERANCE) return false
         return workers().any { worker ->
@@ -200,33 +204,37 @@
         }
     }
 
-    /** Of each class, each team and each class's largest jobs, half must have started within [MAX_START_DELAY_S] of their release. */
+    /**
+     * Checks that at least half of the jobs of each class, of each team, and of the largest jobs of each class have started within
+     * [MAX_START_DELAY_SECONDS] of their release.
+     */
     fun checkStartDelays() {
         val counted = users.values.filter {
-            it.accepted && it.cancelRequestedAtMs == null && pipelines.releasedAtMs(it) != null && !pipelines.dependencyCancelRequested(it)
+            it.accepted && it.cancelRequestedAtMillis == null && pipelineReferee.releasedAtMillis(it) != null &&
+                !pipelineReferee.dependencyCancelRequested(it)
         }
         val groups = counted.groupBy { "class ${it.spec.workloadClass}" } + counted.groupBy { "team ${it.spec.team}" } +
-            counted.groupBy { it.spec.workloadClass }.map { (load, members) ->
+            counted.groupBy { it.spec.workloadClass }.map { (workloadClass, members) ->
                 val largest = (members.size + LARGEST_JOBS_ONE_IN - 1) / LARGEST_JOBS_ONE_IN
-                "largest of $load" to members.sortedByDescending { it.spec.tasks }.take(largest)
+                "largest of $workloadClass" to members.sortedByDescending { it.spec.tasks }.take(largest)
             }
         for ((group, members) in groups) {
             val served = members.count { user ->
-                user.firstStartAtMs?.let { it - pipelines.releasedAtMs(user)!! <= MAX_START_DELAY_S * 1000 } ?: false
+                user.firstStartAtMillis?.let { it - pipelineReferee.releasedAtMillis(user)!! <= MAX_START_DELAY_SECONDS * 1000 } ?: false
             }
             if (served * 2 < members.size) breach("unserved", "$served of ${members.size} of $group")
         }
     }
 
     private companion object {
-        const val FAILS_AFTER_S = 1.0
+        const val FAILS_AFTER_SECONDS = 1.0
         const val CPU_TOLERANCE = 1e-6
-        const val MAX_UNANSWERED_S = 75.0
-        const val MAX_WAIT_WITH_CAPACITY_S = 90.0
-        const val MAX_START_DELAY_S = 240.0
+        const val MAX_UNANSWERED_SECONDS = 75.0
+        const val MAX_WAIT_WITH_CAPACITY_SECONDS = 90.0
+        const val MAX_START_DELAY_SECONDS = 240.0
         const val LARGEST_JOBS_ONE_IN = 5
 
-        /** A controller that neither reads the state service nor hears its peers stops starting tasks this soon; clock drift included. */
-        const val MAX_START_AFTER_CANCELLATION_S = 3.2
+        /** Within this time a controller without contact to the state service and its peers stops starting tasks, clock drift included. */
+        const val MAX_START_AFTER_CANCEL_SECONDS = 3.2
     }
 }
