--- a/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
+++ b/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
@@ -19,12 +19,12 @@
         assertEquals(600, site.users.values.count { it.accepted })
         (0 until nodes).forEach { site.crash(it, 3000.0) }
         site.run(3.0)
-        val began = site.sim.nowMs
+        val restartedAtMillis = site.sim.nowMs
         site.run(15.0)
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.lastAnswerAtMs < began }
+                .filter { it.lastAnswerAtMs < restartedAtMillis }
                 .map { it.spec.id },
         )
         assertEquals(emptyList<String>(), site.breaches)
@@ -35,16 +35,16 @@
         val site = SimSite(Simulation(33), nodes = 5, endedBefore = 3000)
         site.run(5.0)
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
-        val asked = HashMap<Int, Boolean>()
+        val answered = HashMap<Int, Boolean>()
 
-        fun ask(number: Int) {
+        fun poll(number: Int) {
             site.request(Request(Method.GET, "/submissions/job-${SimSite.FIRST_ENDED_JOB + number}")) { reply ->
-                if (reply?.status == 200) asked[number] = true else site.sim.after(5000.0) { ask(number) }
+                if (reply?.status == 200) answered[number] = true else site.sim.after(5000.0) { poll(number) }
             }
         }
-        repeat(3000) { site.sim.after(1000.0 + it) { ask(it) } }
+        repeat(3000) { site.sim.after(1000.0 + it) { poll(it) } }
         site.run(30.0)
-        assertEquals(3000, asked.size)
+        assertEquals(3000, answered.size)
         assertEquals(emptyList<String>(), site.breaches)
     }
 
--- a/src/test/kotlin/copperglade/sim/BlockedJobTest.kt
+++ b/src/test/kotlin/copperglade/sim/BlockedJobTest.kt
@@ -10,15 +10,15 @@
 /** What a job that waits for others takes from its team and from other jobs, and what it passes on to them. */
 class BlockedJobTest {
     /** When the first of a chain begins, in seconds after its submission, while there is more normal work than room. */
-    private fun chainBeginsAfterS(seed: Long, lastPriority: String): Double {
+    private fun chainStartDelaySeconds(seed: Long, lastJobPriority: String): Double {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
         repeat(12) { site.submit(SimSite.job(100 + it, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 } }
         site.await(40.0) { site.runningTasks().size >= 16 }
         site.submit(SimSite.job(1, tasks = 32, etaS = 10.0, dueS = 600.0)) { 10.0 }
-        site.submit(SimSite.job(2, tasks = 2, etaS = 5.0, dueS = 600.0, priority = lastPriority), listOf(id(1))) { 5.0 }
+        site.submit(SimSite.job(2, tasks = 2, etaS = 5.0, dueS = 600.0, priority = lastJobPriority), listOf(id(1))) { 5.0 }
         site.assertRulesHold(300.0)
-        val first = site.user(1)
-        return (first.firstStartAtMs!! - first.requestedAtMs) / 1000
+        val firstJobUser = site.user(1)
+        return (firstJobUser.firstStartAtMs!! - firstJobUser.requestedAtMs) / 1000
     }
 
     @ParameterizedTest
@@ -28,14 +28,14 @@
         site.submit(SimSite.job(1, tasks = 1, etaS = 90.0)) { 90.0 }
         site.awaitRunning(1)
         site.run(10.0)
-        val rented = site.machinesLaunched
+        val launchedBefore = site.machinesLaunched
         site.submit(SimSite.job(2, tasks = 6, cpus = 8.0, etaS = 40.0), listOf(id(1))) { 40.0 }
         site.run(45.0)
         assertTrue(site.isRunning(1) && site.user(2).accepted)
         site.assertStatus("queued", listOf(2))
-        assertEquals(rented, site.machinesLaunched)
+        assertEquals(launchedBefore, site.machinesLaunched)
         site.assertRulesHold()
-        assertTrue(site.machinesLaunched > rented, "it would have needed no machine anyway")
+        assertTrue(site.machinesLaunched > launchedBefore, "it would have needed no machine anyway")
     }
 
     @ParameterizedTest
@@ -57,30 +57,36 @@
     @ParameterizedTest
     @ValueSource(longs = [628, 629])
     fun `a blocked job preempts nothing that another team has borrowed`(seed: Long) {
-        val other = Team(TeamName("others"), 0.0, 200.0, 0.0, 0.0)
-        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, guaranteedCpus = 16.0), otherTeam = other)
+        val borrowingTeam = Team(TeamName("others"), 0.0, 200.0, 0.0, 0.0)
+        val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, guaranteedCpus = 16.0), otherTeam = borrowingTeam)
         site.submit(SimSite.job(1, tasks = 1, etaS = 150.0)) { 150.0 }
         site.awaitRunning(1)
-        site.submit(SimSite.job(3, tasks = 60, etaS = 110.0, team = other.name)) { 110.0 }
+        site.submit(SimSite.job(3, tasks = 60, etaS = 110.0, team = borrowingTeam.name)) { 110.0 }
         // All machines that there are, each with room for eight tasks.
         site.await(60.0) { site.runningTasks().size == 4 * 8 }
         site.submit(SimSite.job(2, tasks = 6, etaS = 5.0), listOf(id(1))) { 5.0 }
-        val borrowed = site.runningTasks().filterKeys { it.job == id(3) }
+        val borrowedAssignments = site.runningTasks().filterKeys { it.job == id(3) }
         site.run(45.0)
         assertTrue(site.isRunning(1) && site.user(2).accepted)
-        assertEquals(borrowed, site.runningTasks().filterKeys { it in borrowed.keys }, "some were recalled")
+        assertEquals(borrowedAssignments, site.runningTasks().filterKeys { it in borrowedAssignments.keys }, "some were recalled")
         // The same work without anything before it does have some recalled.
         site.submit(SimSite.job(4, tasks = 6, etaS = 5.0)) { 5.0 }
         site.await(15.0) { site.isRunning(4) }
-        assertTrue(borrowed.keys.any { it !in site.runningTasks() && it.index !in site.user(3).doneTasks }, "there was room for it")
+        assertTrue(
+            borrowedAssignments.keys.any { it !in site.runningTasks() && it.index !in site.user(3).doneTasks },
+            "there was room for it",
+        )
         site.assertRulesHold(300.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [631, 632])
     fun `an urgent last job makes its chain go before other normal work`(seed: Long) {
-        val normal = chainBeginsAfterS(seed, "normal")
-        val urgent = chainBeginsAfterS(seed, "urgent")
-        assertTrue(urgent + 10.0 < normal, "after $urgent s where the last job is urgent, else after $normal s")
+        val normalDelaySeconds = chainStartDelaySeconds(seed, "normal")
+        val urgentDelaySeconds = chainStartDelaySeconds(seed, "urgent")
+        assertTrue(
+            urgentDelaySeconds + 10.0 < normalDelaySeconds,
+            "after $urgentDelaySeconds s where the last job is urgent, else after $normalDelaySeconds s",
+        )
     }
 }
--- a/src/test/kotlin/copperglade/sim/CatchUpTest.kt
+++ b/src/test/kotlin/copperglade/sim/CatchUpTest.kt
@@ -12,35 +12,35 @@
  * on can't take such an answer in; it must come back all the same, by loading the records in pages.
  */
 class CatchUpTest {
-    private fun SimSite.awayForLong(node: Int) {
+    private fun SimSite.partitionUntilAnswersTooLarge(node: Int) {
         repeat(30) { number -> sim.after(number * 1_500.0) { submit(SimSite.job(number, tasks = 6, etaS = 10.0)) { 10.0 } } }
         run(15.0)
         cutController(node)
         run(35.0)
-        var refused = 0
+        var rejectedAnswers = 0
         network.tamperAnswer = { passage, request, reply ->
-            val tooLarge = passage.to == "lorry-$node" && request.path.startsWith("/changes") && reply.body.size > MAX_ANSWER
-            if (tooLarge) refused++
+            val tooLarge = passage.to == "lorry-$node" && request.path.startsWith("/changes") && reply.body.size > MAX_ANSWER_BYTES
+            if (tooLarge) rejectedAnswers++
             if (tooLarge) Reply(GATEWAY_TIMEOUT) else reply
         }
         heal()
         run(20.0)
-        assertTrue(refused > 0, "every answer was small enough")
+        assertTrue(rejectedAnswers > 0, "every answer was small enough")
     }
 
     @Test
     fun `a controller that can't apply the changes it missed reloads all records`() {
         val site = SimSite(Simulation(81))
-        site.awayForLong(node = 1)
-        var answered = 0
-        site.requestAt(1, Request(Method.GET, "/submissions/${JobId("job-1")}")) { if (it?.status == 200) answered++ }
+        site.partitionUntilAnswersTooLarge(node = 1)
+        var okAnswers = 0
+        site.requestAt(1, Request(Method.GET, "/submissions/${JobId("job-1")}")) { if (it?.status == 200) okAnswers++ }
         site.run(5.0)
-        assertTrue(answered > 0, "it knows nothing new for good")
+        assertTrue(okAnswers > 0, "it knows nothing new for good")
         site.assertRulesHold()
     }
 
     private companion object {
-        const val MAX_ANSWER = 8_000
+        const val MAX_ANSWER_BYTES = 8_000
         const val GATEWAY_TIMEOUT = 504
     }
 }
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -8,24 +8,24 @@
 
 /** Jobs are cancelled while their tasks checkpoint because more important work preempts them. */
 class CheckpointTest {
-    private val checkpointing = JobId("job-1")
+    private val checkpointingJob = JobId("job-1")
 
     /** All machines are full of tasks that take a while to checkpoint, then services need their capacity. */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
-        site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_S)) { 300.0 }
+        site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_SECONDS)) { 300.0 }
         site.await(60.0) { site.runningTasks().size == 16 }
         site.submit(SimSite.job(2, tasks = 3, cpus = 8.0, service = true, spot = false)) { null }
         site.await(30.0) { site.checkpointingTasks().size > 1 }
         return site
     }
 
-    private fun cancelAndAwaitEnd(site: SimSite, withinS: Double) {
+    private fun cancelAndAwaitEnd(site: SimSite, timeoutSeconds: Double) {
         assertTrue(site.checkpointingTasks().isNotEmpty(), "nothing saves any more")
-        site.cancel(checkpointing)
-        site.await(10.0) { site.users.getValue(checkpointing).status == "aborted" }
+        site.cancel(checkpointingJob)
+        site.await(10.0) { site.users.getValue(checkpointingJob).status == "aborted" }
         assertTrue(site.checkpointingTasks().isNotEmpty(), "all was saved before the cancellation")
-        site.await(withinS) { site.runningTasks().keys.none { it.job == checkpointing } }
+        site.await(timeoutSeconds) { site.runningTasks().keys.none { it.job == checkpointingJob } }
         site.assertRulesHold()
     }
 
@@ -34,7 +34,7 @@
     fun `a cancellation ends checkpointing at once`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.cancellationsKnownImmediately = true
-        cancelAndAwaitEnd(site, withinS = 3.0)
+        cancelAndAwaitEnd(site, timeoutSeconds = 3.0)
     }
 
     @ParameterizedTest
@@ -42,7 +42,7 @@
     fun `a cancellation ends checkpointing in time where the leader crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(site.leader()!!)
-        cancelAndAwaitEnd(site, withinS = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_S)
     }
 
     @ParameterizedTest
@@ -58,19 +58,19 @@
                     .name,
             ),
         )
-        cancelAndAwaitEnd(site, withinS = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_S)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [2331, 2332])
     fun `tasks that were checkpointed and preempted are done elsewhere or later`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
-        site.await(CHECKPOINT_DURATION_S + 5.0) { site.checkpointingTasks().isEmpty() }
+        site.await(CHECKPOINT_DURATION_SECONDS + 5.0) { site.checkpointingTasks().isEmpty() }
         site.assertRulesHold(900.0)
-        assertEquals("done", site.users.getValue(checkpointing).status)
+        assertEquals("done", site.users.getValue(checkpointingJob).status)
     }
 
     private companion object {
-        const val CHECKPOINT_DURATION_S = 15.0
+        const val CHECKPOINT_DURATION_SECONDS = 15.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
@@ -18,39 +18,39 @@
      * The state service refuses the leader alone, other controllers confirm cancellations, then it is down for everybody for longer than a
      * cancellation may take, while workers send their heartbeats to the old leader.
      */
-    private fun refuseLeaderThenEverybody(site: SimSite, peersInformed: Boolean, leader: Int) {
+    private fun refuseLeaderThenStopStateService(site: SimSite, peersReachable: Boolean, leader: Int) {
         val cancelled = onMachinesOf(site, leader)
         assertTrue(cancelled.size > 1, "it has no such tasks")
-        val refusals = site.network.refusals
+        val refusalsBefore = site.network.refusals
         site.refuseController(leader)
-        if (!peersInformed) site.cutPeers()
+        if (!peersReachable) site.cutPeers()
         site.run(0.6)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 1.4)
-        assertTrue(site.network.refusals > refusals, "the leader was not refused")
-        val outage = site.state.refusedInOutage
+        val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 1.4)
+        assertTrue(site.network.refusals > refusalsBefore, "the leader was not refused")
+        val refusedInOutageBefore = site.state.refusedInOutage
         site.state.outage = true
         site.run(3.0)
-        if (!peersInformed) assertTrue(runningOf(site, confirmed) > 0, "the old leader's workers had heard of it")
+        if (!peersReachable) assertTrue(runningOf(site, confirmedJobs) > 0, "the old leader's workers had heard of it")
         site.sim.after(12_000.0) { site.serveController(leader) }
         site.run(SimSite.CANCEL_S + 6.0)
-        assertTrue(site.state.refusedInOutage > outage, "nobody met the outage")
-        assertEquals(0, runningOf(site, confirmed))
+        assertTrue(site.state.refusedInOutage > refusedInOutageBefore, "nobody met the outage")
+        assertEquals(0, runningOf(site, confirmedJobs))
         site.state.outage = false
         site.heal()
     }
 
     @ParameterizedTest
     @CsvSource("201,true", "202,true", "203,false", "204,false", "205,false", "206,false")
-    fun `cancelled tasks end in time when the state service refuses the leader, then everybody`(seed: Long, peersInformed: Boolean) {
+    fun `cancelled tasks end in time when the state service refuses the leader, then everybody`(seed: Long, peersReachable: Boolean) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
-        refuseLeaderThenEverybody(site, peersInformed, site.leader()!!)
+        refuseLeaderThenStopStateService(site, peersReachable, site.leader()!!)
 
         // Once more, as soon as somebody leads again: what is known may be only partly caught up.
-        fun busiest() = (0 until site.nodes).maxBy { onMachinesOf(site, it).size }
-        site.await(60.0) { site.leader() != null && onMachinesOf(site, busiest()).size > 1 }
-        refuseLeaderThenEverybody(site, peersInformed, busiest())
+        fun nodeWithMostJobs() = (0 until site.nodes).maxBy { onMachinesOf(site, it).size }
+        site.await(60.0) { site.leader() != null && onMachinesOf(site, nodeWithMostJobs()).size > 1 }
+        refuseLeaderThenStopStateService(site, peersReachable, nodeWithMostJobs())
         site.assertRulesHold()
     }
 
@@ -65,20 +65,20 @@
         assertTrue(cancelled.isNotEmpty())
         // It ends before it hears of the cancellations, and is back in time to endorse the others' shards.
         site.crash(owner, 8_000.0)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.4)
-        var granted = false
+        val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 2.4)
+        var shardsGranted = false
         // The grant of its shards is the last that anybody hears from the state service.
         site.network.tamperAnswer = { passage, _, reply ->
-            if (!granted && passage.path == "/changes" && "cg/now/block/" in reply.body.decodeToString()) {
-                granted = true
+            if (!shardsGranted && passage.path == "/changes" && "cg/now/block/" in reply.body.decodeToString()) {
+                shardsGranted = true
                 site.state.outage = true
             }
             reply
         }
-        site.await(12.0) { granted }
-        assertTrue(runningOf(site, confirmed) > 0, "they were gone already")
+        site.await(12.0) { shardsGranted }
+        assertTrue(runningOf(site, confirmedJobs) > 0, "they were gone already")
         site.run(SimSite.CANCEL_S + 6.0)
-        assertEquals(0, runningOf(site, confirmed))
+        assertEquals(0, runningOf(site, confirmedJobs))
         site.assertRulesHold(200.0)
     }
 
@@ -154,10 +154,10 @@
         assertTrue(site.network.delayed > 0)
         val leader = site.leader()
         leader?.let(site::refuseController)
-        val before = site.confirmedCancellations
+        val confirmedBefore = site.confirmedCancellations
         (1..6).forEach { site.cancel(id(it)) }
         site.run(5.0)
-        assertTrue(site.confirmedCancellations > before, "no cancellation was confirmed")
+        assertTrue(site.confirmedCancellations > confirmedBefore, "no cancellation was confirmed")
         site.state.outage = true
         repeat(20) { site.sim.after(it * 700.0) { site.oddRequest() } }
         (7..9).forEach { site.cancel(id(it)) }
@@ -171,32 +171,32 @@
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 3, teamCpus = 200.0))
         val zone = SimSite.ZONES[(seed % 2).toInt()]
         repeat(6) { number ->
-            val bound = number % 3 == 0
+            val zoneConstrained = number % 3 == 0
             val spec = SimSite.job(
                 number + 1,
                 tasks = 6,
                 service = number % 2 == 1,
-                oneZone = !bound,
+                oneZone = !zoneConstrained,
                 spot = number % 2 == 0,
-                zone = zone.takeIf { bound },
+                zone = zone.takeIf { zoneConstrained },
             )
             site.submit(spec) { if (number % 2 == 1) null else 25.0 }
         }
         site.run(30.0)
-        val before = site.runningTasks().size
-        repeat(3) { killed ->
-            site.sim.after(killed * 6000.0) {
+        val runningBefore = site.runningTasks().size
+        repeat(3) { killIndex ->
+            site.sim.after(killIndex * 6000.0) {
                 // Where tasks run, in the zone that they are bound to.
-                val busy = site
+                val machine = site
                     .runningTasks()
                     .values
                     .filter { it.zone == zone }
                     .randomOrNull(site)
-                busy?.let { site.killWorker(it.name) }
+                machine?.let { site.killWorker(it.name) }
             }
         }
         site.run(14.0)
-        assertTrue(site.leasesOrMachinesLost > 0 && before > 0, "no machine was lost")
+        assertTrue(site.leasesOrMachinesLost > 0 && runningBefore > 0, "no machine was lost")
         site.assertRulesHold(150.0)
     }
 
@@ -235,15 +235,15 @@
         site.arrays(20)
         site.run(20.0)
         val leaders = LinkedHashSet<String>()
-        repeat(14) { turn ->
-            if (turn == 5) site.state.outage = true
-            if (turn == 7) site.state.outage = false
+        repeat(14) { iteration ->
+            if (iteration == 5) site.state.outage = true
+            if (iteration == 7) site.state.outage = false
             site.state.text(Keys.LEADER)?.let { leaders += it }
             site.leader()?.let { leader ->
-                if (turn % 3 == 2) site.refuseController(leader) else site.crash(leader, 200.0 + site.sim.random.nextInt(4000))
+                if (iteration % 3 == 2) site.refuseController(leader) else site.crash(leader, 200.0 + site.sim.random.nextInt(4000))
                 site.sim.after(7000.0) { site.serveController(leader) }
             }
-            if (turn % 4 == 1) site.cancel(id(turn))
+            if (iteration % 4 == 1) site.cancel(id(iteration))
             site.run(8.5)
         }
         assertTrue(leaders.size >= 10, "${leaders.size} leaders")
--- a/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -15,25 +15,29 @@
         SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
 
     /** Submits one job a second, each with the one that [dependencyOf] names as its dependency and a run time of [workS] a task. */
-    private fun SimSite.submitPipelines(maxTasks: Int, dependencyOf: (Int) -> Int?, workS: (Int) -> Double) = repeat(JOBS) { number ->
+    private fun SimSite.submitPipelines(
+        maxTasks: Int,
+        dependencyOf: (Int) -> Int?,
+        workSeconds: (Int) -> Double,
+    ) = repeat(JOB_COUNT) { number ->
         sim.after(number * 1_000.0) {
             val dependencies = listOfNotNull(dependencyOf(number)).map { JobId("job-$it") }
-            val taskS = workS(number)
-            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), etaS = 10.0), dependencies) { taskS }
+            val taskSeconds = workSeconds(number)
+            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), etaS = 10.0), dependencies) { taskSeconds }
         }
     }
 
     @ParameterizedTest
-    @MethodSource("anywhereSeeds")
+    @MethodSource("anyDecisionSeeds")
     fun `no rule is broken where decisions end in faults`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
-        repeat(JOBS) { number ->
+        repeat(JOB_COUNT) { number ->
             site.sim.after(number * 2_000.0) {
-                val before = if (number % 3 == 0) emptyList() else listOf(JobId("job-$number"))
+                val dependencies = if (number % 3 == 0) emptyList() else listOf(JobId("job-$number"))
                 val spec = SimSite.job(number + 1, tasks = 1 + random.nextInt(8), etaS = 12.0)
-                val workS = 3.0 + random.nextDouble() * 20
-                site.submit(spec, before) { workS }
+                val workSeconds = 3.0 + random.nextDouble() * 20
+                site.submit(spec, dependencies) { workSeconds }
             }
             site.sim.after(number * 2_000.0 + 1_000 + random.nextInt(25_000)) {
                 if (number % 3 == 0) site.cancel(JobId("job-${number + 1}"))
@@ -41,10 +45,10 @@
         }
         site.run(15.0)
         var faults = 0
-        repeat(FAULTS) {
-            site.injectFault(random.nextInt(site.nodes), random.nextInt(MAX_READINGS))
+        repeat(FAULT_COUNT) {
+            site.injectFault(random.nextInt(site.nodes), random.nextInt(MAX_CLOCK_READS))
             faults++
-            site.run(FAULT_INTERVAL_S)
+            site.run(FAULT_INTERVAL_SECONDS)
         }
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
         site.assertRulesHold(240.0)
@@ -55,37 +59,37 @@
      * between two attempts.
      */
     @ParameterizedTest
-    @MethodSource("halvesSeeds")
+    @MethodSource("partialCancellationSeeds")
     fun `no rule is broken where cancellations are only partly applied`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
         var faults = 0
         site.fails = { task, _ -> task.job.isFailing() }
-        site.onReadingsOf(CANCELLED_MARK) { node ->
+        site.onStateReadsContaining(CANCELLED_FIELD) { node ->
             if (random.nextInt(FAULT_ONE_IN) == 0) {
                 faults++
-                site.injectFault(node, random.nextInt(READINGS_PER_TURN))
+                site.injectFault(node, random.nextInt(UPDATE_CLOCK_READS))
             }
         }
-        val cancelled = (0 until JOBS).filter { it % 4 == 1 || JobId("job-$it").isFailing() }
+        val cancelled = (0 until JOB_COUNT).filter { it % 4 == 1 || JobId("job-$it").isFailing() }
         site.submitPipelines(
             maxTasks = 6,
             dependencyOf = { number -> (number - 1).takeUnless { number % 4 == 0 || JobId("job-$number").isFailing() } },
-            workS = { 4.0 + random.nextDouble() * 20 },
+            workSeconds = { 4.0 + random.nextDouble() * 20 },
         )
         // Many cancellations come at the moment at which another job ends, so that one reading tells of both.
-        site.onJobComplete = { ended ->
-            val next = cancelled.firstOrNull {
+        site.onJobComplete = { completed ->
+            val nextCancelled = cancelled.firstOrNull {
                 site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMs == null }
                     ?: false
             }
-            if (next != null) site.sim.after(random.nextInt(600).toDouble()) { site.cancel(JobId("job-$next")) }
+            if (nextCancelled != null) site.sim.after(random.nextInt(600).toDouble()) { site.cancel(JobId("job-$nextCancelled")) }
         }
         site.run(100.0)
         cancelled.forEach { site.cancel(JobId("job-$it")) }
         site.run(20.0)
         assertTrue(faults > 0 && site.confirmedCancellations > 0)
-        site.ignoreReadings()
+        site.stopWatchingStateReads()
         site.assertRulesHold(400.0)
     }
 
@@ -94,98 +98,98 @@
      * in a fault. The dependents of the second must be reported cancelled in time all the same.
      */
     @ParameterizedTest
-    @MethodSource("releaseSeeds")
+    @MethodSource("dependentReleaseSeeds")
     fun `no job is left waiting where releasing another ends in a fault`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
         var faults = 0
-        site.onReadingsOf(CANCELLED_MARK, OUTCOME_RECORD) { node ->
+        site.onStateReadsContaining(CANCELLED_FIELD, OUTCOME_KEY_PREFIX) { node ->
             faults++
             site.injectFaultAtRelease(node)
         }
         site.submitPipelines(
             maxTasks = 3,
             dependencyOf = { number -> (number - 2).takeUnless { number % 4 < 2 } },
-            workS = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
+            workSeconds = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
         )
         // Each fourth job is cancelled at about the moment at which the end of the one before it is written down.
-        site.onJobComplete = { ended ->
-            val number = ended.spec.id.text
+        site.onJobComplete = { completed ->
+            val number = completed.spec.id.text
                 .substringAfter('-')
                 .toInt()
             if (number % 4 == 0) site.sim.after(random.nextInt(2_000).toDouble()) { site.cancel(JobId("job-${number + 1}")) }
         }
         site.run(80.0)
-        (1 until JOBS step 4).forEach { site.cancel(JobId("job-$it")) }
+        (1 until JOB_COUNT step 4).forEach { site.cancel(JobId("job-$it")) }
         site.run(80.0)
-        site.ignoreReadings()
+        site.stopWatchingStateReads()
         site.assertRulesHold(240.0)
     }
 
     /** Jobs that fail on every machine are cancelled while their tasks wait for a retry, and the cancellation is only partly applied. */
     @ParameterizedTest
-    @MethodSource("retrySeeds")
+    @MethodSource("retryDelaySeeds")
     fun `no task of a cancelled job is retried after a fault`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
-        val faulty = HashSet<Int>()
+        val faultyNodes = HashSet<Int>()
         site.fails = { task, _ -> task.job.isFailing() }
-        site.onReadingsOf(CANCELLED_MARK) { node ->
-            if (random.nextInt(FAULT_ONE_IN) == 0 && faulty.add(node)) site.injectFault(node, random.nextInt(READINGS_PER_SMALL_TURN))
+        site.onStateReadsContaining(CANCELLED_FIELD) { node ->
+            if (random.nextInt(FAULT_ONE_IN) == 0 && faultyNodes.add(node)) site.injectFault(node, random.nextInt(SMALL_UPDATE_CLOCK_READS))
         }
-        repeat(JOBS) { number ->
+        repeat(JOB_COUNT) { number ->
             val tasks = if (JobId("job-$number").isFailing()) 1 else 6
             site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, etaS = 10.0)) { 10.0 } }
         }
         site.run(45.0)
         // So that owners learn of cancellations by their readings alone.
         site.cutPeers()
-        val cancelled = (0 until JOBS).map { JobId("job-$it") }.filter { it.isFailing() }
+        val cancelled = (0 until JOB_COUNT).map { JobId("job-$it") }.filter { it.isFailing() }
         cancelled.forEachIndexed { index, job -> site.sim.after(index * 4_000.0) { site.cancel(job) } }
         site.run(60.0)
-        assertTrue(faulty.isNotEmpty() && site.confirmedCancellations > 0)
-        site.ignoreReadings()
+        assertTrue(faultyNodes.isNotEmpty() && site.confirmedCancellations > 0)
+        site.stopWatchingStateReads()
         site.assertRulesHold(240.0)
     }
 
     /** Calls [then] with a controller's number just before it gets an answer of the state service that contains all the [parts]. */
-    private fun SimSite.onReadingsOf(vararg parts: String, then: (Int) -> Unit) {
+    private fun SimSite.onStateReadsContaining(vararg fragments: String, action: (Int) -> Unit) {
         network.tamperAnswer = { passage, request, reply ->
             val node = passage.to.substringAfter("lorry-", "").toIntOrNull()
             val body = if (node != null && request.path.startsWith("/changes")) reply.body.decodeToString() else ""
-            if (node != null && parts.all { it in body }) then(node)
+            if (node != null && fragments.all { it in body }) action(node)
             reply
         }
     }
 
     /** Ends what [onReadingsOf] began. */
-    private fun SimSite.ignoreReadings() {
+    private fun SimSite.stopWatchingStateReads() {
         network.tamperAnswer = { _, _, reply -> reply }
     }
 
     private fun JobId.isFailing() = text.substringAfter('-').toInt() % 5 == 2
 
     private companion object {
-        const val CANCELLED_MARK = "\"cancelled\":true"
-        const val OUTCOME_RECORD = "cg/now/work/"
-        const val JOBS = 40
-        const val READINGS_PER_SMALL_TURN = 5
-        const val READINGS_PER_TURN = 25
+        const val CANCELLED_FIELD = "\"cancelled\":true"
+        const val OUTCOME_KEY_PREFIX = "cg/now/work/"
+        const val JOB_COUNT = 40
+        const val SMALL_UPDATE_CLOCK_READS = 5
+        const val UPDATE_CLOCK_READS = 25
         const val FAULT_ONE_IN = 3
-        const val FAULTS = 12
-        const val MAX_READINGS = 600
-        const val FAULT_INTERVAL_S = 6.0
+        const val FAULT_COUNT = 12
+        const val MAX_CLOCK_READS = 600
+        const val FAULT_INTERVAL_SECONDS = 6.0
 
         @JvmStatic
-        fun anywhereSeeds(): LongStream = LongStream.range(7000, 7020)
+        fun anyDecisionSeeds(): LongStream = LongStream.range(7000, 7020)
 
         @JvmStatic
-        fun halvesSeeds(): LongStream = LongStream.range(7000, 7040)
+        fun partialCancellationSeeds(): LongStream = LongStream.range(7000, 7040)
 
         @JvmStatic
-        fun releaseSeeds(): LongStream = LongStream.range(7000, 7040)
+        fun dependentReleaseSeeds(): LongStream = LongStream.range(7000, 7040)
 
         @JvmStatic
-        fun retrySeeds(): LongStream = LongStream.range(7050, 7080)
+        fun retryDelaySeeds(): LongStream = LongStream.range(7050, 7080)
     }
 }
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -9,7 +9,7 @@
 
 /** Fleets of well over a thousand machines. What is bounded is work counted, never time on a wall. */
 class FleetTest {
-    private val fleet = SiteScale(
+    private val largeScale = SiteScale(
         machinesPerZone = 365,
         heartbeatIntervalSeconds = 4.0,
         leaseSeconds = 22.0,
@@ -21,34 +21,34 @@
         teamCpus = 24_000.0,
     )
 
-    private fun services(site: SimSite, jobs: Int, cpus: Double = 8.0) = repeat(jobs) { number ->
+    private fun submitServices(site: SimSite, jobs: Int, cpus: Double = 8.0) = repeat(jobs) { number ->
         site.submit(SimSite.job(10_000 + number, tasks = 1, cpus = cpus, service = true, spot = false, image = number % 16)) { null }
     }
 
-    private fun arrays(site: SimSite, jobs: Int, tasks: Int, workS: Double) = repeat(jobs) { number ->
-        site.sim.after(number * 100.0) { site.submit(SimSite.job(number + 1, tasks = tasks, image = 20 + number % 9)) { workS } }
+    private fun submitArrays(site: SimSite, jobs: Int, tasks: Int, workSeconds: Double) = repeat(jobs) { number ->
+        site.sim.after(number * 100.0) { site.submit(SimSite.job(number + 1, tasks = tasks, image = 20 + number % 9)) { workSeconds } }
     }
 
     @Test
     fun `nearly fifteen hundred machines, thousands of jobs and a restart of all controllers`() {
-        val site = SimSite(Simulation(1), scale = fleet, nodes = 5)
-        services(site, 1300)
-        arrays(site, 300, tasks = 60, workS = 15.0)
+        val site = SimSite(Simulation(1), scale = largeScale, nodes = 5)
+        submitServices(site, 1300)
+        submitArrays(site, 300, tasks = 60, workSeconds = 15.0)
         site.run(70.0)
         assertTrue(site.workerCount() >= 1000, "${site.workerCount()} machines")
-        val running = site.runningTasks().keys.filter { it.job.text.length == "job-10000".length }
-        assertTrue(running.size >= 1290, "${running.size} services run")
-        val places = site.runningTasks().filterKeys { it in running }.mapValues { it.value.name }
+        val runningServices = site.runningTasks().keys.filter { it.job.text.length == "job-10000".length }
+        assertTrue(runningServices.size >= 1290, "${runningServices.size} services run")
+        val assignmentsBefore = site.runningTasks().filterKeys { it in runningServices }.mapValues { it.value.name }
         (0 until site.nodes).forEach { site.crash(it, 3000.0) }
         site.run(5.0)
-        val calls = site.network.calls
+        val callsBefore = site.network.calls
         site.run(30.0)
         // Every worker is fenced and every poll answered within a lease, and no service was moved.
-        val after = site.runningTasks().filterKeys { it in running }.mapValues { it.value.name }
-        assertEquals(places, after)
+        val assignmentsAfter = site.runningTasks().filterKeys { it in runningServices }.mapValues { it.value.name }
+        assertEquals(assignmentsBefore, assignmentsAfter)
         // A minute's messages stay in proportion: heartbeats, their commands, users' polls, and little else.
-        val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
-        assertTrue(perMachine < 120.0, "$perMachine messages a machine in 30 s")
+        val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
+        assertTrue(messagesPerMachine < 120.0, "$messagesPerMachine messages a machine in 30 s")
         site.run(60.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
@@ -62,7 +62,7 @@
      */
     @Test
     fun `a scale-out to four thousand machines, a leader's crash, and half of them lost at once`() {
-        val huge = SiteScale(
+        val largestScale = SiteScale(
             machinesPerZone = 1000,
             heartbeatIntervalSeconds = 6.0,
             leaseSeconds = 30.0,
@@ -75,26 +75,26 @@
             guaranteedCpus = 20_000.0,
             teamCpus = 80_000.0,
         )
-        val site = SimSite(Simulation(4), scale = huge, nodes = 5)
-        services(site, 1500, cpus = 8.0)
+        val site = SimSite(Simulation(4), scale = largestScale, nodes = 5)
+        submitServices(site, 1500, cpus = 8.0)
         repeat(110) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, etaS = 60.0)) { 60.0 } }
         site.await(120.0) { site.workerCount() >= 3600 }
         assertEquals(0, site.cloudRefusals, "requests to the cloud beyond its budget")
         site.run(20.0)
         site.crash(site.leader()!!, 3000.0)
         site.run(10.0)
-        val calls = site.network.calls
+        val callsBefore = site.network.calls
         site.run(20.0)
         // Heartbeats, the commands that follow, polls, and little else: nothing grows faster than the fleet.
-        val perMachine = (site.network.calls - calls).toDouble() / site.workerCount()
-        assertTrue(perMachine < 60.0, "$perMachine messages a machine in 20 s")
+        val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
+        assertTrue(messagesPerMachine < 60.0, "$messagesPerMachine messages a machine in 20 s")
         site.network.duplicateOneIn = 4
         site.run(10.0)
         repeat(site.workerCount() / 2) { site.killMachine(it) }
-        val left = site.workerCount()
+        val workersLeft = site.workerCount()
         site.run(60.0)
         site.network.duplicateOneIn = 0
-        assertTrue(site.network.duplicatesDelivered > left, "${site.network.duplicatesDelivered} copies")
+        assertTrue(site.network.duplicatesDelivered > workersLeft, "${site.network.duplicatesDelivered} copies")
         site.run(200.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
@@ -107,16 +107,16 @@
     fun `dozens of machines hang, die or lose the network at once`(seed: Long) {
         val site =
             SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 60, teamCpus = 5000.0, stateWritesPerSecond = 100.0), nodes = 3)
-        services(site, 80)
-        arrays(site, 60, tasks = 30, workS = 8.0)
+        submitServices(site, 80)
+        submitArrays(site, 60, tasks = 30, workSeconds = 8.0)
         site.run(40.0)
         val random = site.sim.random
-        val hanging = (0 until site.workerCount()).shuffled(random).take(25).mapNotNull { site.hang(it) }
+        val hangingWorkers = (0 until site.workerCount()).shuffled(random).take(25).mapNotNull { site.hang(it) }
         (0 until 15).forEach { site.killMachine(it * 2) }
         (0 until site.workerCount()).shuffled(random).take(20).forEach { site.cutMachine(it) }
         site.run(6.0 + random.nextInt(14))
         site.heal()
-        hanging.forEach { it.resume() }
+        hangingWorkers.forEach { it.resume() }
         site.run(130.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
--- a/src/test/kotlin/copperglade/sim/GuaranteeTest.kt
+++ b/src/test/kotlin/copperglade/sim/GuaranteeTest.kt
@@ -10,18 +10,18 @@
 class GuaranteeTest {
     @Test
     fun `quota that another team has borrowed is preempted for a guarantee`() {
-        val lender = TeamName("lender")
+        val lendingTeam = TeamName("lender")
         val site =
             SimSite(
                 Simulation(21),
                 scale = SiteScale(machinesPerZone = 1, teamCpus = 100.0),
-                otherTeam = Team(lender, 32.0, 100.0, 0.0, 0.0),
+                otherTeam = Team(lendingTeam, 32.0, 100.0, 0.0, 0.0),
             )
         // All four machines are full of what "team" runs, three quarters of it beyond its guarantee, for longer than the scenario.
         site.submit(SimSite.job(1, tasks = 240)) { 600.0 }
         site.run(40.0)
         assertEquals(32, site.runningTasks().size)
-        site.submit(SimSite.job(2, tasks = 16, team = lender)) { 20.0 }
+        site.submit(SimSite.job(2, tasks = 16, team = lendingTeam)) { 20.0 }
         site.run(15.0)
         assertEquals(16, site.runningTasks().keys.count { it.job == JobId("job-2") })
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -16,20 +16,20 @@
  * first; one after the other is replaced by one that was told, while jobs run and change.
  */
 class LoweredLimitsTest {
-    private val uninformed = HashSet<Int>()
+    private val nodesWithOldLimits = HashSet<Int>()
 
     private fun site(seed: Long): SimSite {
-        uninformed += 0 until NODES
+        nodesWithOldLimits += 0 until NODE_COUNT
         return SimSite(
             Simulation(seed),
-            scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, transactionWrites = OLD.transactionWrites),
-            nodes = NODES,
-            limitsOf = { if (it in uninformed) OLD else LOWERED },
+            scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, transactionWrites = OLD_LIMITS.transactionWrites),
+            nodes = NODE_COUNT,
+            limitsOf = { if (it in nodesWithOldLimits) OLD_LIMITS else LOWERED_LIMITS },
         )
     }
 
-    private fun SimSite.replaceUninformed(node: Int) {
-        uninformed -= node
+    private fun SimSite.restartWithLoweredLimits(node: Int) {
+        nodesWithOldLimits -= node
         crash(node, backAfterMs = 1500.0)
     }
 
@@ -38,18 +38,18 @@
         .maxOf { state.text(it)!!.toByteArray().size }
 
     /** Arrays of many sizes, and some of the services are cancelled, so that pages of all packed records change. */
-    private fun SimSite.work() {
+    private fun SimSite.submitWork() {
         val random = sim.random
-        repeat(SERVICES) { submit(SimSite.job(500 + it, tasks = 3, cpus = 0.25, service = true, spot = false)) { null } }
-        repeat(ARRAYS) { number ->
+        repeat(SERVICE_COUNT) { submit(SimSite.job(500 + it, tasks = 3, cpus = 0.25, service = true, spot = false)) { null } }
+        repeat(ARRAY_COUNT) { number ->
             sim.after(number * 1500.0) {
-                val work = HashMap<Int, Double>()
+                val workSecondsByTask = HashMap<Int, Double>()
                 submit(SimSite.job(1 + number, tasks = 2 + random.nextInt(20), cpus = 0.5)) {
-                    work.getOrPut(it) { 4.0 + random.nextDouble() * 40 }
+                    workSecondsByTask.getOrPut(it) { 4.0 + random.nextDouble() * 40 }
                 }
             }
         }
-        repeat(SERVICES / 4) { sim.after(40_000.0 + it * 4000.0) { cancel(JobId("job-${500 + it * 3}")) } }
+        repeat(SERVICE_COUNT / 4) { sim.after(40_000.0 + it * 4000.0) { cancel(JobId("job-${500 + it * 3}")) } }
     }
 
     /**
@@ -57,7 +57,7 @@
      * large packed records are assigned again.
      */
     private fun SimSite.lowerLimits() {
-        state.limits = ServiceLimits(LOWERED.valueBytes, LOWERED.transactionWrites, LOWERED.writesPerSecond)
+        state.limits = ServiceLimits(LOWERED_LIMITS.valueBytes, LOWERED_LIMITS.transactionWrites, LOWERED_LIMITS.writesPerSecond)
         killMachine(sim.random.nextInt(workerCount()))
         run(30.0)
         crash(leader() ?: 0, 1500.0)
@@ -73,16 +73,22 @@
     @ValueSource(longs = [2001, 2002, 2003, 2004, 2005, 2006])
     fun `nothing is refused for its size after the limits were lowered`(seed: Long) {
         val site = site(seed)
-        site.work()
+        site.submitWork()
         // With every other seed some writes have no answer and are applied seconds later.
         site.network.lateWriteOneIn = if (seed % 2 == 0L) 0 else 12
         site.run(45.0)
-        assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
-        for (node in (0 until NODES).shuffled(site.sim.random)) {
-            site.replaceUninformed(node)
+        assertTrue(
+            site.largestPackedRecord() > LOWERED_LIMITS.valueBytes,
+            "the largest packed record has ${site.largestPackedRecord()} bytes",
+        )
+        for (node in (0 until NODE_COUNT).shuffled(site.sim.random)) {
+            site.restartWithLoweredLimits(node)
             site.run(6.0)
         }
-        assertTrue(site.largestPackedRecord() > LOWERED.valueBytes, "the largest packed record has ${site.largestPackedRecord()} bytes")
+        assertTrue(
+            site.largestPackedRecord() > LOWERED_LIMITS.valueBytes,
+            "the largest packed record has ${site.largestPackedRecord()} bytes",
+        )
         val appliedBefore = site.state.applied
         site.lowerLimits()
         site.assertRulesHold(240.0)
@@ -95,7 +101,7 @@
     @Test
     fun `controllers that don't know the lowered limits are refused`() {
         val site = site(2001)
-        site.work()
+        site.submitWork()
         site.run(45.0)
         site.lowerLimits()
         assertTrue(site.state.limitRefusals.largeValues > 0, "${site.state.limitRefusals}")
@@ -109,8 +115,10 @@
         site.state.limits = with(scale.stateLimits) { ServiceLimits(valueBytes, transactionWrites, writesPerSecond) }
         val random = site.sim.random
         repeat(4) { number ->
-            val work = HashMap<Int, Double>()
-            site.submit(SimSite.job(1 + number, tasks = 300, cpus = 1.0)) { work.getOrPut(it) { 3.0 + random.nextDouble() * 30 } }
+            val workSecondsByTask = HashMap<Int, Double>()
+            site.submit(
+                SimSite.job(1 + number, tasks = 300, cpus = 1.0),
+            ) { workSecondsByTask.getOrPut(it) { 3.0 + random.nextDouble() * 30 } }
         }
         repeat(6) {
             site.run(12.0)
@@ -123,10 +131,10 @@
     }
 
     private companion object {
-        const val NODES = 3
-        const val SERVICES = 80
-        const val ARRAYS = 60
-        val OLD = StateLimits(200.0, 50.0, 8.0, 12)
-        val LOWERED = StateLimits(120.0, 30.0, 2.0, 4)
+        const val NODE_COUNT = 3
+        const val SERVICE_COUNT = 80
+        const val ARRAY_COUNT = 60
+        val OLD_LIMITS = StateLimits(200.0, 50.0, 8.0, 12)
+        val LOWERED_LIMITS = StateLimits(120.0, 30.0, 2.0, 4)
     }
 }
--- a/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
@@ -20,9 +20,9 @@
         site.arrays(16)
         site.run(18.0)
         site.network.delayMs = { if (it.path == "/do" && random.nextInt(4) == 0) 1500.0 + random.nextInt(9000) else 0.0 }
-        repeat(8) { turn ->
+        repeat(8) { iteration ->
             site.hang(random.nextInt(4))?.let { worker -> site.sim.after(2000.0 + random.nextInt(9000)) { worker.resume() } }
-            site.cancel(id(2 + turn * 2))
+            site.cancel(id(2 + iteration * 2))
             site.run(6.0)
         }
         assertTrue(site.network.delayed > 20, "${site.network.delayed} held up")
@@ -36,13 +36,13 @@
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(30.0)
-        val former = site.leader()!!
-        site.isolateController(former)
-        site.await(20.0) { site.leader().let { it != null && it != former } }
-        val confirmed = cancelAndConfirm(site, (1..5).map(::id), withinS = 4.0)
+        val formerLeader = site.leader()!!
+        site.isolateController(formerLeader)
+        site.await(20.0) { site.leader().let { it != null && it != formerLeader } }
+        val confirmedJobs = cancelAndConfirm(site, (1..5).map(::id), withinS = 4.0)
         site.run(SimSite.CANCEL_S + 5.0)
-        assertTrue(site.leader() != former)
-        assertEquals(0, runningOf(site, confirmed))
+        assertTrue(site.leader() != formerLeader)
+        assertEquals(0, runningOf(site, confirmedJobs))
         site.assertRulesHold(200.0)
     }
 
@@ -53,11 +53,11 @@
         longArrays(site, jobs = 10, tasks = 4, workS = 40.0)
         site.run(25.0)
         assertEquals(12, site.runningTasks().size, "the team is to be at its limit")
-        val busy = site.runningTasks().entries.first()
-        site.cutMachine(site.workerNames().indexOf(busy.value.name))
+        val busyAssignment = site.runningTasks().entries.first()
+        site.cutMachine(site.workerNames().indexOf(busyAssignment.value.name))
         site.crash(site.leader()!!, 2500.0)
         site.run(0.5)
-        cancelAndConfirm(site, listOf(busy.key.job), withinS = 9.0)
+        cancelAndConfirm(site, listOf(busyAssignment.key.job), withinS = 9.0)
         site.run(SimSite.LEASE_S + 8.0)
         site.assertRulesHold(240.0)
     }
@@ -71,12 +71,12 @@
         site.services(4)
         site.arrays(14)
         site.run(20.0)
-        repeat(4) { turn ->
+        repeat(4) { iteration ->
             // Its lease expires: heartbeats of the epoch before are still in flight.
-            site.cutMachine(turn % 3)
+            site.cutMachine(iteration % 3)
             site.run(SimSite.LEASE_S + 3.0)
             site.heal()
-            if (turn == 1) site.leader()?.let { site.crash(it, 200.0) }
+            if (iteration == 1) site.leader()?.let { site.crash(it, 200.0) }
             site.run(5.0)
         }
         assertTrue(site.network.duplicatesDelivered > 50)
@@ -90,11 +90,11 @@
         val site = SimSite(Simulation(seed))
         site.cancellationsKnownImmediately = true
         val random = site.sim.random
-        var raced = 0
+        var racingRequests = 0
         site.onJobComplete = { user ->
             repeat(3) {
                 site.sim.after(random.nextInt(250).toDouble()) {
-                    raced++
+                    racingRequests++
                     when (random.nextInt(3)) {
                         0 -> site.cancel(user.spec.id)
                         1 -> site.repeatSubmission(user)
@@ -105,7 +105,7 @@
         }
         repeat(40) { number -> site.sim.after(number * 1100.0) { site.submit(SimSite.job(number + 1, tasks = 1 + number % 4)) { 3.0 } } }
         site.run(80.0)
-        assertTrue(raced >= 100, "$raced met an end")
+        assertTrue(racingRequests >= 100, "$racingRequests met an end")
         assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "done" })
         assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "aborted" })
         site.assertRulesHold()
@@ -118,8 +118,8 @@
         site.services(6)
         site.arrays(16)
         site.run(30.0)
-        val muted = site.workerNames().filterIndexed { index, _ -> index % 3 == 0 }
-        site.loseRequestsFrom(muted)
+        val mutedWorkers = site.workerNames().filterIndexed { index, _ -> index % 3 == 0 }
+        site.loseRequestsFrom(mutedWorkers)
         site.run(4.0)
         (1..4).forEach { site.cancel(id(it * 3)) }
         site.run(SimSite.LEASE_S + 8.0)
@@ -137,13 +137,13 @@
         longArrays(site, jobs = 8, tasks = 3)
         site.run(30.0)
         val cancelled = (1..5).map(::id)
-        val unresponsive = machinesOf(site, cancelled).map { it.name }
-        assertTrue(unresponsive.isNotEmpty())
-        site.loseCommandsTo(unresponsive)
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 4.0)
+        val unresponsiveMachines = machinesOf(site, cancelled).map { it.name }
+        assertTrue(unresponsiveMachines.isNotEmpty())
+        site.loseCommandsTo(unresponsiveMachines)
+        val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 4.0)
         site.run(SimSite.CANCEL_S)
         assertTrue(site.network.lost > 10)
-        assertEquals(0, runningOf(site, confirmed))
+        assertEquals(0, runningOf(site, confirmedJobs))
         site.assertRulesHold()
     }
 
@@ -154,13 +154,13 @@
         site.services(4)
         site.arrays(14)
         site.run(24.0)
-        val before = site.state.text(Keys.LEADER)
+        val leaderBefore = site.state.text(Keys.LEADER)
         // Only what workers send is held back; it is delivered to whoever has the address by then.
         site.holdHeartbeats(site.workerNames().take(3))
         site.run(1.5)
         (0 until site.nodes).forEach { site.crash(it, 150.0 + it * 400.0) }
         site.run(4.0 + site.sim.random.nextInt(5))
-        assertTrue(site.state.text(Keys.LEADER) != before && site.leader() != null, "no new leader")
+        assertTrue(site.state.text(Keys.LEADER) != leaderBefore && site.leader() != null, "no new leader")
         site.heal()
         site.run(20.0)
         site.assertRulesHold()
@@ -204,8 +204,8 @@
         }
         site.run(90.0)
         assertTrue(site.network.delayed > 1000)
-        val waiting = site.users.values.sumOf { it.spec.tasks } - site.completions - site.runningTasks().size
-        assertTrue(waiting > 100, "$waiting tasks wait")
+        val waitingTasks = site.users.values.sumOf { it.spec.tasks } - site.completions - site.runningTasks().size
+        assertTrue(waitingTasks > 100, "$waitingTasks tasks wait")
         site.assertRulesHold(260.0)
     }
 
@@ -215,14 +215,14 @@
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 4, workS = 60.0)
         site.run(25.0)
-        val busy = site
+        val busyMachines = site
             .runningTasks()
             .values
             .map { it.name }
             .distinct()
-        assertTrue(busy.size >= 2, "$busy")
-        site.cutMachine(site.workerNames().indexOf(busy[0]))
-        site.loseCommandsTo(busy.drop(1).take(1))
+        assertTrue(busyMachines.size >= 2, "$busyMachines")
+        site.cutMachine(site.workerNames().indexOf(busyMachines[0]))
+        site.loseCommandsTo(busyMachines.drop(1).take(1))
         site.crash(site.leader()!!, 2000.0)
         site.run(0.5)
         site.cancel(id(2))
@@ -239,14 +239,14 @@
         longArrays(site, jobs = 10, tasks = 3)
         site.run(28.0)
         val cancelled = (1..6).map(::id)
-        val machines = machinesOf(site, cancelled)
-        machines.forEach { it.hanging = true }
-        val confirmed = cancelAndConfirm(site, cancelled, withinS = 2.0)
+        val hangingMachines = machinesOf(site, cancelled)
+        hangingMachines.forEach { it.hanging = true }
+        val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 2.0)
         // Within the lease for some seeds, beyond it for others.
         site.run(3.0 + 4.0 * (seed % 4))
-        machines.forEach { it.resume() }
+        hangingMachines.forEach { it.resume() }
         site.run(SimSite.CANCEL_S)
-        assertEquals(0, runningOf(site, confirmed))
+        assertEquals(0, runningOf(site, confirmedJobs))
         site.assertRulesHold()
     }
 
--- a/src/test/kotlin/copperglade/sim/OverloadTest.kt
+++ b/src/test/kotlin/copperglade/sim/OverloadTest.kt
@@ -37,12 +37,12 @@
                 site.submit(tinyJob) { 2.0 }
             }
         }
-        val ended = HashMap<JobId, Double>()
-        site.onJobComplete = { ended[it.spec.id] = (site.sim.nowMs - it.requestedAtMs) / 1000 }
+        val completionSeconds = HashMap<JobId, Double>()
+        site.onJobComplete = { completionSeconds[it.spec.id] = (site.sim.nowMs - it.requestedAtMs) / 1000 }
         if (seed % 2 == 0L) site.sim.after(20_000.0) { site.leader()?.let { site.crash(it, 1500.0) } }
         site.run(110.0)
-        val late = (1..20).map { JobId("job-$it") }.filter { (ended[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_S }
-        assertTrue(late.size <= 2, "late beside guests: $late")
+        val lateJobs = (1..20).map { JobId("job-$it") }.filter { (completionSeconds[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_SECONDS }
+        assertTrue(lateJobs.size <= 2, "late beside guests: $lateJobs")
         site.assertRulesHold(260.0)
         assertEquals(1, site.users.values.count { it.spec.id == JobId("job-900") && it.status == "done" })
     }
@@ -54,29 +54,29 @@
         val site = site(seed)
         site.services(6)
         site.run(25.0)
-        val running = site.runningTasks().mapValues { it.value.name }
+        val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
         repeat(40) { number -> site.submit(SimSite.job(1 + number, tasks = 2)) { 5.0 } }
         site.run(3.0)
-        val reads = site.state.reads
-        var asked = 0
-        var answered = 0
-        repeat(200) { turn ->
-            site.sim.after(turn * 100.0) {
+        val readsBefore = site.state.reads
+        var pollsSent = 0
+        var pollsAnswered = 0
+        repeat(200) { iteration ->
+            site.sim.after(iteration * 100.0) {
                 for (user in site.users.values.filter { it.accepted }) {
-                    asked++
-                    site.requestAt(turn % site.nodes, Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
-                        if (reply?.status == 200) answered++
+                    pollsSent++
+                    site.requestAt(iteration % site.nodes, Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
+                        if (reply?.status == 200) pollsAnswered++
                     }
                 }
             }
         }
         site.run(22.0)
-        assertTrue(asked > 8000, "$asked questions")
-        assertTrue(answered >= asked * 0.99, "$answered of $asked answered")
+        assertTrue(pollsSent > 8000, "$pollsSent questions")
+        assertTrue(pollsAnswered >= pollsSent * 0.99, "$pollsAnswered of $pollsSent answered")
         // Many polls share a read, and finished jobs need none: the load on the state service stays small.
-        val readsPerS = (site.state.reads - reads) / 22.0
-        assertTrue(readsPerS < scale.stateRequestsPerSecond, "$readsPerS readings a second")
-        assertEquals(running, site.runningTasks().filterKeys { it in running }.mapValues { it.value.name })
+        val readsPerSecond = (site.state.reads - readsBefore) / 22.0
+        assertTrue(readsPerSecond < scale.stateRequestsPerSecond, "$readsPerSecond readings a second")
+        assertEquals(assignmentsBefore, site.runningTasks().filterKeys { it in assignmentsBefore }.mapValues { it.value.name })
         site.assertRulesHold()
     }
 
@@ -105,6 +105,6 @@
 
     private companion object {
         /** From submission to the end of the last task, where nobody else is served. */
-        const val MAX_COMPLETION_S = 40.0
+        const val MAX_COMPLETION_SECONDS = 40.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
@@ -15,22 +15,22 @@
         site.services(6)
         site.arrays(10)
         site.run(30.0)
-        val before = site.machinesLaunched
-        val unresponsive = site.cutTrafficToMachine(seed.toInt() % 3)!!
+        val launchedBefore = site.machinesLaunched
+        val unresponsiveMachine = site.cutTrafficToMachine(seed.toInt() % 3)!!
         site.run(SimSite.LEASE_S + 12.0)
         // Its tasks run elsewhere by now, and nothing new was put there.
         assertEquals(
             emptyList<Any>(),
             site
                 .runningTasks()
-                .filterValues { it.name == unresponsive }
+                .filterValues { it.name == unresponsiveMachine }
                 .keys
                 .toList(),
         )
         assertEquals(24, site.runningTasks().keys.count { it.job.text.length == 7 })
         site.run(60.0)
-        assertTrue(unresponsive !in site.workerNames(), "$unresponsive was not returned")
-        assertTrue(site.machinesLaunched - before <= 8, "${site.machinesLaunched - before} machines rented for one")
+        assertTrue(unresponsiveMachine !in site.workerNames(), "$unresponsiveMachine was not returned")
+        assertTrue(site.machinesLaunched - launchedBefore <= 8, "${site.machinesLaunched - launchedBefore} machines rented for one")
         site.assertRulesHoldOnceHealed()
     }
 
@@ -52,13 +52,13 @@
         val site = SimSite(Simulation(seed), nodes = 5)
         site.services(5)
         site.run(30.0)
-        val running = site.runningTasks().mapValues { it.value.name }
-        assertEquals(20, running.size)
-        val node = site.ownerOf(site.workerNames().first())
-        site.isolateController(node)
+        val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
+        assertEquals(20, assignmentsBefore.size)
+        val isolatedNode = site.ownerOf(site.workerNames().first())
+        site.isolateController(isolatedNode)
         site.run(25.0)
-        assertEquals(running, site.runningTasks().mapValues { it.value.name })
-        assertTrue(site.workerNames().none { site.ownerOf(it) == node })
+        assertEquals(assignmentsBefore, site.runningTasks().mapValues { it.value.name })
+        assertTrue(site.workerNames().none { site.ownerOf(it) == isolatedNode })
         site.assertRulesHoldOnceHealed()
     }
 
@@ -68,20 +68,20 @@
         val site = SimSite(Simulation(64))
         site.services(5)
         site.run(40.0)
-        val node = site.ownerOf(
+        val isolatedNode = site.ownerOf(
             site
                 .runningTasks()
                 .values
                 .first()
                 .name,
         )
-        site.slowClock(node, 0.1)
+        site.slowClock(isolatedNode, 0.1)
         site
             .workerNames()
             .indices
-            .filter { site.ownerOf(site.workerNames()[it]) == node }
-            .forEach { site.cutMachineFromOthers(it, node) }
-        site.isolateController(node)
+            .filter { site.ownerOf(site.workerNames()[it]) == isolatedNode }
+            .forEach { site.cutMachineFromOthers(it, isolatedNode) }
+        site.isolateController(isolatedNode)
         site.run(60.0)
         site.assertSees("ran_twice")
     }
@@ -103,18 +103,18 @@
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         site.services(12)
         site.run(40.0)
-        val running = site.runningTasks().mapValues { it.value.name }
-        assertEquals(48, running.size)
-        val node = site
+        val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
+        assertEquals(48, assignmentsBefore.size)
+        val cutNode = site
             .workerNames()
             .map(site::ownerOf)
             .groupingBy { it }
             .eachCount()
             .maxBy { it.value }
             .key
-        site.cutController(node, "workers")
+        site.cutController(cutNode, "workers")
         site.run(30.0)
-        assertEquals(running, site.runningTasks().mapValues { it.value.name })
+        assertEquals(assignmentsBefore, site.runningTasks().mapValues { it.value.name })
         site.assertRulesHoldOnceHealed()
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
@@ -55,11 +55,11 @@
     fun `a cancellation races with the end of the last task, and the dependents follow the answer`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var raced = 0
+        var racingCancellations = 0
         site.onJobComplete = { user ->
             if (user.dependencies.isEmpty()) {
                 site.sim.after(random.nextInt(250).toDouble()) {
-                    raced++
+                    racingCancellations++
                     site.cancel(user.spec.id)
                 }
             }
@@ -72,7 +72,7 @@
             }
         }
         site.run(60.0)
-        assertTrue(raced >= 25, "$raced met an end")
+        assertTrue(racingCancellations >= 25, "$racingCancellations met an end")
         site.assertRulesHold()
         val (done, cancelled) = (0 until 30).partition { site.user(100 + it).status == "done" }
         assertTrue(done.isNotEmpty() && cancelled.isNotEmpty(), "${done.size} done, ${cancelled.size} cancelled")
@@ -88,13 +88,13 @@
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val asked = site.network.calls
-        repeat(100) { turn ->
-            shape.after(cancelled).forEach { follower -> repeat(site.nodes) { site.poll(id(follower), it) } }
-            if (turn == 20) site.cancel(id(cancelled))
+        val callsBefore = site.network.calls
+        repeat(100) { iteration ->
+            shape.after(cancelled).forEach { dependent -> repeat(site.nodes) { site.poll(id(dependent), it) } }
+            if (iteration == 20) site.cancel(id(cancelled))
             site.run(0.05)
         }
-        assertTrue(site.network.calls - asked >= 300)
+        assertTrue(site.network.calls - callsBefore >= 300)
         site.assertStatus("aborted", listOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -127,19 +127,19 @@
 
     @ParameterizedTest
     @CsvSource("606,false", "607,false", "608,true", "609,true")
-    fun `a submission races with the cancellation or the end of its dependency`(seed: Long, cancels: Boolean) {
+    fun `a submission races with the cancellation or the end of its dependency`(seed: Long, cancelsDependency: Boolean) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var raced = 0
+        var racingSubmissions = 0
 
-        fun follow(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
-            raced++
+        fun submitDependent(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
+            racingSubmissions++
             site.submit(SimSite.job(200 + number, tasks = 1), listOf(id(100 + number))) { 3.0 }
         }
-        if (!cancels) {
+        if (!cancelsDependency) {
             site.onJobComplete = { user ->
                 if (user.dependencies.isEmpty()) {
-                    follow(
+                    submitDependent(
                         user.spec.id.text
                             .removePrefix("job-1")
                             .toInt(),
@@ -149,19 +149,19 @@
         }
         repeat(24) { number ->
             site.sim.after(number * 1000.0) {
-                site.submit(SimSite.job(100 + number, tasks = 1)) { if (cancels) 100.0 else 3.0 }
+                site.submit(SimSite.job(100 + number, tasks = 1)) { if (cancelsDependency) 100.0 else 3.0 }
             }
-            if (cancels) {
+            if (cancelsDependency) {
                 site.sim.after(number * 1000.0 + 15_000.0) {
                     site.sim.after(random.nextInt(200).toDouble()) { site.cancel(id(100 + number)) }
-                    follow(number)
+                    submitDependent(number)
                 }
             }
         }
         site.run(75.0)
-        assertEquals(24, raced)
+        assertEquals(24, racingSubmissions)
         site.assertRulesHold()
-        site.assertStatus(if (cancels) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
-        if (cancels) site.assertNeverStarted((0 until 24).map { 200 + it })
+        site.assertStatus(if (cancelsDependency) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
+        if (cancelsDependency) site.assertNeverStarted((0 until 24).map { 200 + it })
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -9,16 +9,16 @@
 class PipelineFaultTest {
     @ParameterizedTest
     @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
-    fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, before: Boolean) {
+    fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, crashFirst: Boolean) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val former = site.leader()!!
-        if (before) site.crash(former, 4000.0)
+        val formerLeader = site.leader()!!
+        if (crashFirst) site.crash(formerLeader, 4000.0)
         site.cancelAndConfirm(cancelled)
-        if (!before) site.crash(former, 4000.0)
-        site.await(10.0) { site.leader().let { it != null && it != former } }
+        if (!crashFirst) site.crash(formerLeader, 4000.0)
+        site.await(10.0) { site.leader().let { it != null && it != formerLeader } }
         site.run(SimSite.CANCEL_S)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -26,14 +26,14 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
-    fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageS: Double) {
+    fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageSeconds: Double) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
         site.state.outage = true
-        site.run(outageS)
+        site.run(outageSeconds)
         assertTrue(site.state.refusedInOutage > 0)
         site.state.outage = false
         site.run(20.0)
@@ -64,16 +64,16 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
-    fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downS: Double) {
+    fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downSeconds: Double) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        val beforeThat = shape.after(cancelled).filter { site.user(it).status == "aborted" }
-        (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
-        assertTrue(beforeThat.size < shape.after(cancelled).size, "all were told before")
-        site.run(downS + SimSite.CANCEL_S)
+        val cancelledBefore = shape.after(cancelled).filter { site.user(it).status == "aborted" }
+        (0 until site.nodes).forEach { site.crash(it, downSeconds * 1000) }
+        assertTrue(cancelledBefore.size < shape.after(cancelled).size, "all were told before")
+        site.run(downSeconds + SimSite.CANCEL_S)
         site.assertStatus("aborted", shape.after(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -95,8 +95,9 @@
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         var interrupted = false
         site.network.tamperAnswer = { _, request, reply ->
-            val closes = request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
-            if (closes && reply.status == 200 && !interrupted) {
+            val writesEndRecord =
+                request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
+            if (writesEndRecord && reply.status == 200 && !interrupted) {
                 interrupted = true
                 site.state.outage = true
                 site.crash(site.leader()!!, 6000.0)
@@ -105,8 +106,8 @@
         }
         site.cancel(id(1))
         site.await(20.0) { interrupted }
-        val closed = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
-        assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
+        val endRecordCount = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
+        assertTrue(endRecordCount in 1 until shape.jobs.size, "$endRecordCount were closed by then")
         site.run(8.0)
         site.state.outage = false
         site.await(15.0) { site.user(1).cancelledAtMs != null }
@@ -119,16 +120,16 @@
     @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
     fun `all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
-        var down = 0
+        var crashesTriggered = 0
         site.onJobComplete = { user ->
             if (user.spec.id == id(1)) {
-                down++
+                crashesTriggered++
                 (0 until site.nodes).forEach { site.crash(it, 4000.0) }
             }
         }
         site.submitAll(shape, workS = 6.0)
         site.run(60.0)
-        assertTrue(down > 0, "no last task ended")
+        assertTrue(crashesTriggered > 0, "no last task ended")
         site.assertRulesHold()
         site.assertStatus("done", shape.jobs)
     }
@@ -140,19 +141,19 @@
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val refused = site.leader()!!
-        val refusals = site.network.refusals
-        site.refuseController(refused)
+        val refusedLeader = site.leader()!!
+        val refusalsBefore = site.network.refusals
+        site.refuseController(refusedLeader)
         if (peersCut) site.cutPeers()
         site.run(0.5)
         site.cancelAndConfirm(cancelled)
         repeat(25) {
             // It has to say what is so, or nothing.
-            shape.jobs.forEach { site.poll(id(it), refused) }
+            shape.jobs.forEach { site.poll(id(it), refusedLeader) }
             site.run(1.0)
         }
-        assertTrue(site.network.refusals > refusals, "it was not refused")
-        site.serveController(refused)
+        assertTrue(site.network.refusals > refusalsBefore, "it was not refused")
+        site.serveController(refusedLeader)
         site.heal()
         site.run(SimSite.CANCEL_S - 25.0)
         site.assertStatus("aborted", shape.after(cancelled))
--- a/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
@@ -20,10 +20,10 @@
         site.assertRulesHold()
         site.assertStatus("done", shape.jobs)
         assertEquals(2, site.runningTasks().keys.count { it.job == id(500) }, "the service does not run")
-        for ((job, needed) in shape.dependencies) {
-            val releasedAtMs = needed.maxOf { site.user(it).completedAtMs!! }
-            val waitedMs = site.user(job).firstStartAtMs!! - releasedAtMs
-            assertTrue(waitedMs in 0.0..MAX_RELEASE_DELAY_MS, "job-$job began $waitedMs ms after its release")
+        for ((job, jobDependencies) in shape.dependencies) {
+            val releasedAtMillis = jobDependencies.maxOf { site.user(it).completedAtMs!! }
+            val waitedMillis = site.user(job).firstStartAtMs!! - releasedAtMillis
+            assertTrue(waitedMillis in 0.0..MAX_RELEASE_DELAY_MILLIS, "job-$job began $waitedMillis ms after its release")
         }
     }
 
@@ -61,6 +61,6 @@
 
     private companion object {
         /** How soon a released job starts where there is capacity for it or a machine has to be launched. */
-        const val MAX_RELEASE_DELAY_MS = 30_000.0
+        const val MAX_RELEASE_DELAY_MILLIS = 30_000.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -15,34 +15,34 @@
     /** Answers to all questions about [job] say [status], with nothing done and nothing running. */
     private fun SimSite.forgeAnswers(job: JobId, status: String) {
         network.tamperAnswer = { passage, request, reply ->
-            val asked = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
-            val forged = """{"nameId":"$job","status":"$status","done":0,"running":0}"""
-            if (asked && reply.status == 200) Reply(200, forged.encodeToByteArray()) else reply
+            val isStatusPoll = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
+            val forgedBody = """{"nameId":"$job","status":"$status","done":0,"running":0}"""
+            if (isStatusPoll && reply.status == 200) Reply(200, forgedBody.encodeToByteArray()) else reply
         }
     }
 
-    private fun SimSite.twoInLine(workS: Double) {
-        submit(SimSite.job(1, tasks = 2, etaS = workS)) { workS }
+    private fun SimSite.submitDependentPair(workSeconds: Double) {
+        submit(SimSite.job(1, tasks = 2, etaS = workSeconds)) { workSeconds }
         submit(SimSite.job(2, tasks = 2), listOf(id(1))) { 5.0 }
     }
 
     @Test
     fun `a task that starts before its job's dependency is done`() {
         val site = SimSite(Simulation(421))
-        var stripped = 0
+        var strippedSubmissions = 0
         // Controllers don't hear of what is awaited.
         site.network.tamperRequest = { from, request ->
             val text = request.body.decodeToString()
             if (from == "users" && "\"awaits\"" in text) {
-                stripped++
+                strippedSubmissions++
                 Request(request.method, request.path, text.replace(AWAITS_FIELD, "").encodeToByteArray())
             } else {
                 request
             }
         }
-        site.twoInLine(workS = 60.0)
+        site.submitDependentPair(workSeconds = 60.0)
         site.run(40.0)
-        assertTrue(stripped > 0, "nothing was awaited")
+        assertTrue(strippedSubmissions > 0, "nothing was awaited")
         site.assertSees("too_early")
     }
 
@@ -50,7 +50,7 @@
     fun `a job that is reported queued long after its dependency was cancelled`() {
         val site = SimSite(Simulation(422))
         site.forgeAnswers(id(2), "queued")
-        site.twoInLine(workS = 200.0)
+        site.submitDependentPair(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(5.0)
@@ -64,7 +64,7 @@
     fun `a job that is reported done although its dependency was cancelled`() {
         val site = SimSite(Simulation(423))
         site.forgeAnswers(id(2), "done")
-        site.twoInLine(workS = 200.0)
+        site.submitDependentPair(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(10.0)
@@ -75,7 +75,7 @@
     fun `a job that is reported cancelled although nobody cancelled its dependency`() {
         val site = SimSite(Simulation(424))
         site.forgeAnswers(id(2), "aborted")
-        site.twoInLine(workS = 200.0)
+        site.submitDependentPair(workSeconds = 200.0)
         // Another job's cancellation is no reason.
         site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
         site.sim.after(12_000.0) { site.cancel(id(3)) }
--- a/src/test/kotlin/copperglade/sim/PipelineSubmissionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineSubmissionTest.kt
@@ -13,7 +13,7 @@
 
 /** Which dependencies a submission may name, and how it is refused. */
 class PipelineSubmissionTest {
-    private fun faultFreeSite(seed: Long): SimSite {
+    private fun siteWithRunningJobs(seed: Long): SimSite {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 1)) { 150.0 }
         site.submit(SimSite.job(500, tasks = 1, service = true, spot = false)) { null }
@@ -24,46 +24,46 @@
     /** The answer to one request at [node]. */
     private fun SimSite.answerAt(node: Int, request: Request): Reply? {
         var reply: Reply? = null
-        var over = false
+        var finished = false
         requestAt(node, request) {
             reply = it
-            over = true
+            finished = true
         }
-        await(6.0) { over }
+        await(6.0) { finished }
         return reply
     }
 
     /** The status of the answer to a submission of `job-[number]` with this text as the field `dependencies`. */
-    private fun SimSite.submitRaw(number: Int, dependencies: String, node: Int = 0): Reply? {
+    private fun SimSite.submitWithDependencies(number: Int, dependencies: String, node: Int = 0): Reply? {
         val body = submissionBody(SimSite.job(number, tasks = 1), emptyList()).decodeToString().dropLast(1) + ",\"awaits\":$dependencies}"
         return answerAt(node, Request(Method.POST, "/submissions", body.encodeToByteArray()))
     }
 
     @Test
     fun `malformed dependency lists are refused with 400`() {
-        val site = faultFreeSite(611)
+        val site = siteWithRunningJobs(611)
         val malformed =
             listOf("\"job-1\"", "{\"job-1\":1}", "[1]", "[null]", "[\"\"]", "[\"job-\"]", "[\"task-1\"]", "[[\"job-1\"]]", "true", "7")
-        val answers = malformed.associateWith { site.submitRaw(50, it)?.status }
+        val answers = malformed.associateWith { site.submitWithDependencies(50, it)?.status }
         assertEquals(malformed.associateWith { 400 }, answers)
-        assertEquals(400, site.submitRaw(50, "[\"job-1\",\"job 1\"]")?.status)
+        assertEquals(400, site.submitWithDependencies(50, "[\"job-1\",\"job 1\"]")?.status)
         assertEquals(404, site.answerAt(0, Request(Method.GET, "/submissions/job-50"))?.status)
     }
 
     @Test
     fun `unknown dependencies, the job itself and services are refused with 422 by every controller`() {
-        val site = faultFreeSite(612)
-        val impossible = listOf("[\"job-999\"]", "[\"job-50\"]", "[\"job-500\"]", "[\"job-1\",\"job-999\"]", "[\"job-1\",\"job-500\"]")
+        val site = siteWithRunningJobs(612)
+        val unacceptable = listOf("[\"job-999\"]", "[\"job-50\"]", "[\"job-500\"]", "[\"job-1\",\"job-999\"]", "[\"job-1\",\"job-500\"]")
         for (node in 0 until site.nodes) {
-            val answers = impossible.associateWith { site.submitRaw(50, it, node)?.status }
-            assertEquals(impossible.associateWith { 422 }, answers, "at controller $node")
+            val answers = unacceptable.associateWith { site.submitWithDependencies(50, it, node)?.status }
+            assertEquals(unacceptable.associateWith { 422 }, answers, "at controller $node")
         }
         assertEquals(404, site.answerAt(1, Request(Method.GET, "/submissions/job-50"))?.status)
     }
 
     @Test
     fun `null and an empty list name no dependencies`() {
-        val site = faultFreeSite(613)
+        val site = siteWithRunningJobs(613)
         // The users' part is played by hand, so that the field can be sent as it is here.
         for ((number, dependencies) in listOf(51 to "null", 52 to "[]")) {
             site.network.tamperRequest = { from, request ->
@@ -86,37 +86,38 @@
 
     @Test
     fun `an unknown dependency is no reason for a final refusal while the state service is out`() {
-        val site = faultFreeSite(614)
+        val site = siteWithRunningJobs(614)
         site.state.outage = true
         site.run(1.0)
         for (node in 0 until site.nodes) {
-            assertEquals(503, site.submitRaw(50, "[\"job-999\"]", node)?.status)
-            assertEquals(503, site.submitRaw(50, "[\"job-1\"]", node)?.status)
+            assertEquals(503, site.submitWithDependencies(50, "[\"job-999\"]", node)?.status)
+            assertEquals(503, site.submitWithDependencies(50, "[\"job-1\"]", node)?.status)
         }
         site.state.outage = false
         site.run(5.0)
-        assertEquals(422, site.submitRaw(50, "[\"job-999\"]")?.status)
-        val refused = site.leader()!!
-        site.refuseController(refused)
+        assertEquals(422, site.submitWithDependencies(50, "[\"job-999\"]")?.status)
+        val refusedNode = site.leader()!!
+        site.refuseController(refusedNode)
         // Another may have accepted it just now: the refused one can't know.
         site.run(1.0)
-        val other = (refused + 1) % site.nodes
-        assertEquals(422, site.submitRaw(50, "[\"job-999\"]", other)?.status)
-        assertTrue(site.submitRaw(50, "[\"job-999\"]", refused)?.status in listOf(null, 503))
+        val otherNode = (refusedNode + 1) % site.nodes
+        assertEquals(422, site.submitWithDependencies(50, "[\"job-999\"]", otherNode)?.status)
+        assertTrue(site.submitWithDependencies(50, "[\"job-999\"]", refusedNode)?.status in listOf(null, 503))
         site.assertRulesHold(240.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [616, 617])
     fun `a known job is answered with its status whatever dependencies the repeat names`(seed: Long) {
-        val site = faultFreeSite(seed)
+        val site = siteWithRunningJobs(seed)
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 4.0 }
         site.submit(SimSite.job(3, tasks = 1)) { 3.0 }
         site.await(30.0) { site.user(2).accepted && site.user(3).status == "done" }
-        val other = listOf("[]", "null", "[\"job-3\"]", "[\"job-999\"]", "[\"job-2\"]", "[\"job-3\",\"job-500\"]", "[5]", "\"job-1\"")
-        for (dependencies in other) {
+        val otherDependencies =
+            listOf("[]", "null", "[\"job-3\"]", "[\"job-999\"]", "[\"job-2\"]", "[\"job-3\",\"job-500\"]", "[5]", "\"job-1\"")
+        for (dependencies in otherDependencies) {
             for ((number, status) in listOf(2 to "queued", 3 to "done")) {
-                val reply = site.submitRaw(number, dependencies, node = site.sim.random.nextInt(site.nodes))
+                val reply = site.submitWithDependencies(number, dependencies, node = site.sim.random.nextInt(site.nodes))
                 assertEquals(200, reply?.status, "job-$number with $dependencies")
                 assertEquals(status, Json.read(reply!!.body)!!.stringOrNull("status"), "job-$number with $dependencies")
             }
--- a/src/test/kotlin/copperglade/sim/EarlierLeaderTest.kt
+++ b/src/test/kotlin/copperglade/sim/PrematureAssignmentTest.kt
@@ -20,7 +20,7 @@
 import java.util.BitSet
 
 /** What an owner does with assignments that no leader of this version writes, as one that ignores dependencies would. */
-class EarlierLeaderTest {
+class PrematureAssignmentTest {
     private fun SimSite.revisionOf(key: String): Long {
         var revision = 0L
         state.handle(Request(Method.GET, "/kv/$key")) { revision = Json.read(it.body)!!.longOrNull("stamp")!! }
@@ -28,14 +28,14 @@
     }
 
     /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
-    private fun SimSite.assignEverywhere(job: JobId) {
+    private fun SimSite.assignToEveryShard(job: JobId) {
         val shards = state.keys("${Keys.CURRENT}block/")
         val groups = shards.mapIndexed { task, key ->
             val token = FencingToken(revisionOf(key))
             AssignmentGroup(ShardName(key.substringAfterLast('/')), token, 1, BitSet().also { it.set(task) })
         }
-        val page = AssignmentRange(groups, BitSet(), 1, shards.size, 1)
-        val record = RecordCodec.encodePackedRecord(mapOf(TaskRange(job, 0) to RecordCodec.encode(page)))
+        val assignments = AssignmentRange(groups, BitSet(), 1, shards.size, 1)
+        val record = RecordCodec.encodePackedRecord(mapOf(TaskRange(job, 0) to RecordCodec.encode(assignments)))
         val body = Json.write {
             writeJsonObject {
                 writeArrayFieldStart("writes")
@@ -56,7 +56,7 @@
         site.submit(SimSite.job(1, tasks = 8, cpus = 1.0, etaS = 30.0)) { 30.0 }
         site.submit(SimSite.job(2, tasks = 6, cpus = 1.0), listOf(JobId("job-1"))) { 3.0 }
         site.await(40.0) { site.runningTasks().keys.any { it.job == JobId("job-1") } }
-        site.assignEverywhere(JobId("job-2"))
+        site.assignToEveryShard(JobId("job-2"))
         site.run(15.0)
         assertTrue(site.users.getValue(JobId("job-1")).completedAtMs == null, "the first job was over too soon for this test")
         site.assertRulesHold()
--- a/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
@@ -47,18 +47,18 @@
         site.services(4, tasks = 8)
         // Long enough that its new sequence numbers stay below its old ones for minutes.
         site.run(150.0)
-        val rebooted = site
+        val rebootedMachine = site
             .runningTasks()
             .values
             .first()
             .name
-        site.rebootMachine(site.workerNames().indexOf(rebooted))
+        site.rebootMachine(site.workerNames().indexOf(rebootedMachine))
         // Its tasks are started there again at once; the next work comes when its old heartbeats are long past.
         site.run(12.0)
         repeat(4) { site.cancel(JobId("job-${500 + it}")) }
         repeat(4) { site.submit(SimSite.job(600 + it, tasks = 8, service = true, spot = false)) { null } }
         site.run(20.0)
-        assertTrue(site.runningTasks().values.any { it.name == rebooted }, "$rebooted stays empty")
+        assertTrue(site.runningTasks().values.any { it.name == rebootedMachine }, "$rebootedMachine stays empty")
         assertEquals(emptyList<String>(), site.breaches)
     }
 
@@ -67,7 +67,7 @@
         val site = SimSite(Simulation(77), configuredLeaseS = 2.0)
         site.services(4)
         site.run(30.0)
-        val busy = site.workerNames().indexOf(
+        val busyIndex = site.workerNames().indexOf(
             site
                 .runningTasks()
                 .values
@@ -75,7 +75,7 @@
                 .name,
         )
         (0 until site.nodes).forEach { site.crash(it, 100.0) }
-        site.cutMachine(busy)
+        site.cutMachine(busyIndex)
         site.run(9.0)
         site.assertSees("ran_twice")
     }
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /** The real controllers against stand-ins in simulated time, with the referee looking on. */
-class RulesTest {
-    private fun load(site: SimSite, jobs: Int = 14) {
+class ProtocolRulesTest {
+    private fun submitLoad(site: SimSite, jobs: Int = 14) {
         val random = site.sim.random
         repeat(jobs) { number ->
             val service = number % 3 == 0
@@ -22,11 +22,11 @@
                 spot = !service,
                 image = 1 + number % 3,
             )
-            val work = HashMap<Int, Double>()
+            val workSecondsByTask = HashMap<Int, Double>()
             site.sim.after(random.nextInt(60_000).toDouble()) {
                 site.submit(
                     spec,
-                ) { task -> if (service) null else work.getOrPut(task) { 3.0 + random.nextDouble() * 15 } }
+                ) { task -> if (service) null else workSecondsByTask.getOrPut(task) { 3.0 + random.nextDouble() * 15 } }
             }
             if (number % 4 ==
                 0
@@ -36,7 +36,7 @@
         }
     }
 
-    private fun settle(site: SimSite) {
+    private fun healAndAssertRulesHold(site: SimSite) {
         site.heal()
         site.state.outage = false
         site.run(180.0)
@@ -52,11 +52,11 @@
     @Test
     fun `a scenario without faults serves every job and leaves only final records`() {
         val site = SimSite(Simulation(1))
-        load(site)
+        submitLoad(site)
         site.run(120.0)
-        settle(site)
-        val live = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
-        assertTrue(live.all { site.users.getValue(it).work(0) == null }, "finished jobs still live: $live")
+        healAndAssertRulesHold(site)
+        val liveJobs = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
+        assertTrue(liveJobs.all { site.users.getValue(it).work(0) == null }, "finished jobs still live: $liveJobs")
     }
 
     @Test
@@ -66,13 +66,13 @@
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
         site.run(20.0)
-        val busy = site
+        val busyMachine = site
             .runningTasks()
             .filterKeys { it.job == JobId("job-1") }
             .values
             .first()
             .name
-        site.cutMachine(site.workerNames().indexOf(busy))
+        site.cutMachine(site.workerNames().indexOf(busyMachine))
         site.run(9.0)
         assertTrue(site.breaches.any { it.startsWith("ran_twice") }, "${site.breaches}")
     }
@@ -101,14 +101,14 @@
         val site = SimSite(Simulation(6))
         site.submit(SimSite.job(1, tasks = 6)) { 200.0 }
         site.run(30.0)
-        val running = site.runningTasks().toMap()
-        assertEquals(6, running.size)
+        val assignmentsBefore = site.runningTasks().toMap()
+        assertEquals(6, assignmentsBefore.size)
         // Session leases are far shorter than this outage: it takes the peers' endorsements to outlive it.
         site.state.outage = true
         site.run(14.0)
         site.state.outage = false
         site.run(5.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
     }
 
     @Test
@@ -116,14 +116,14 @@
         val site = SimSite(Simulation(7))
         site.submit(SimSite.job(1, tasks = 24, service = true, spot = false)) { null }
         site.run(40.0)
-        val running = site.runningTasks().toMap()
-        assertEquals(24, running.size)
+        val assignmentsBefore = site.runningTasks().toMap()
+        assertEquals(24, assignmentsBefore.size)
         site.cutController(1)
         site.run(25.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
         site.heal()
         site.run(30.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
         assertEquals(emptyList<String>(), site.breaches)
     }
 
@@ -132,7 +132,7 @@
     fun `no rule is broken by random faults`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
-        load(site)
+        submitLoad(site)
         repeat(8) {
             site.sim.after(15_000.0 + random.nextInt(100_000)) {
                 when (random.nextInt(9)) {
@@ -167,6 +167,6 @@
             }
         }
         site.run(150.0)
-        settle(site)
+        healAndAssertRulesHold(site)
     }
 }
--- a/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
@@ -8,17 +8,17 @@
 
 /** Two or three random faults at once, four times a scenario, while users submit, poll and cancel. */
 class RandomFaultsTest {
-    private fun follower(number: Int) = JobId("job-${100 + number}")
+    private fun dependentId(number: Int) = JobId("job-${100 + number}")
 
     /** Jobs that depend on one or two of the other load, and most of them on one of their own kind. */
-    private fun submitPipelines(site: SimSite) = repeat(FOLLOWERS) { number ->
+    private fun submitPipelines(site: SimSite) = repeat(DEPENDENT_COUNT) { number ->
         site.after(number * 9.0 + 2.0) {
             val random = site.sim.random
-            val earlier = (1..number * 2 + 1).shuffled(random).take(1 + random.nextInt(2)).map { JobId("job-$it") }
-            val previous = if (number % 3 > 0) listOf(follower(number - 1)) else emptyList()
+            val earlierJobs = (1..number * 2 + 1).shuffled(random).take(1 + random.nextInt(2)).map { JobId("job-$it") }
+            val previousDependent = if (number % 3 > 0) listOf(dependentId(number - 1)) else emptyList()
             val spec = SimSite.job(100 + number, tasks = 1 + random.nextInt(4), priority = if (number % 4 == 0) "urgent" else "normal")
-            val workS = 3.0 + random.nextDouble() * 10
-            site.submit(spec, earlier + previous) { workS }
+            val workSeconds = 3.0 + random.nextDouble() * 10
+            site.submit(spec, earlierJobs + previousDependent) { workSeconds }
         }
     }
 
@@ -40,24 +40,27 @@
                     zone = SimSite.ZONES[number % 2].takeIf { number % 6 == 3 },
                     etaS = 12.0,
                 )
-                val work = HashMap<Int, Double>()
-                site.submit(spec) { work.getOrPut(it) { 3.0 + random.nextDouble() * 25 } }
+                val workSecondsByTask = HashMap<Int, Double>()
+                site.submit(spec) { workSecondsByTask.getOrPut(it) { 3.0 + random.nextDouble() * 25 } }
             }
         }
         submitPipelines(site)
         site.run(22.0)
         var faults = 0
         repeat(4) {
-            val chosen = SiteFault.entries.shuffled(random).take(2 + random.nextInt(2))
-            faults += chosen.size
-            chosen.forEach { fault -> site.after(random.nextDouble() * 3.0) { fault.begin(site, 2.0 + random.nextDouble() * 20.0) } }
+            val chosenFaults = SiteFault.entries.shuffled(random).take(2 + random.nextInt(2))
+            faults += chosenFaults.size
+            chosenFaults.forEach { fault -> site.after(random.nextDouble() * 3.0) { fault.begin(site, 2.0 + random.nextDouble() * 20.0) } }
             repeat(3) { site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${1 + random.nextInt(24)}")) } }
             if (random.nextInt(3) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(JobId("job-${500 + random.nextInt(5)}")) }
-            if (random.nextInt(2) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(follower(random.nextInt(FOLLOWERS))) }
+            if (random.nextInt(2) == 0) site.after(random.nextDouble() * 8.0) { site.cancel(dependentId(random.nextInt(DEPENDENT_COUNT))) }
             site.run(20.0)
         }
         assertTrue(faults >= 8)
-        assertTrue(site.users.values.count { it.dependencies.isNotEmpty() && it.accepted } >= FOLLOWERS / 2, "few jobs awaited others")
+        assertTrue(
+            site.users.values.count { it.dependencies.isNotEmpty() && it.accepted } >= DEPENDENT_COUNT / 2,
+            "few jobs awaited others",
+        )
         site.run(6.0)
         site.network.duplicateOneIn = 0
         site.assertRulesHold(240.0)
@@ -65,9 +68,9 @@
 
     private companion object {
         @JvmStatic
-        fun seeds(): LongStream = LongStream.range(1000, 1000 + SEEDS)
+        fun seeds(): LongStream = LongStream.range(1000, 1000 + SEED_COUNT)
 
-        const val SEEDS = 60L
-        const val FOLLOWERS = 10
+        const val SEED_COUNT = 60L
+        const val DEPENDENT_COUNT = 10
     }
 }
--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -11,7 +11,7 @@
  * that they behave like faulty ones. Rules that are not here are broken on purpose next to the tests of what guards them.
  */
 class RefereeTest {
-    private fun SimSite.answersTo(path: String, change: (String, Reply) -> Reply) {
+    private fun SimSite.tamperAnswersTo(path: String, change: (String, Reply) -> Reply) {
         network.tamperAnswer =
             { passage, request, reply -> if (passage.to == "users" && request.path == path) change(request.path, reply) else reply }
     }
@@ -61,7 +61,7 @@
         val site = SimSite(Simulation(403))
         site.submit(SimSite.job(1, tasks = 1)) { 2.0 }
         site.run(40.0)
-        site.answersTo("/submissions/job-1") { _, reply ->
+        site.tamperAnswersTo("/submissions/job-1") { _, reply ->
             Reply(
                 reply.status,
                 reply.body
@@ -79,7 +79,7 @@
         val site = SimSite(Simulation(404))
         site.submit(SimSite.job(1, tasks = 1)) { 200.0 }
         site.run(20.0)
-        site.answersTo("/submissions") { _, _ -> Reply(422) }
+        site.tamperAnswersTo("/submissions") { _, _ -> Reply(422) }
         site.repeatSubmission(site.users.getValue(JobId("job-1")))
         site.run(5.0)
         site.assertSees("forgotten")
@@ -123,8 +123,8 @@
         val site = SimSite(Simulation(408))
         site.network.tamperRequest = { from, request ->
             val text = request.body.decodeToString()
-            val lacking = from == "users" && request.path == "/submissions" && "\"manifest\"" !in text
-            if (lacking) {
+            val lacksImage = from == "users" && request.path == "/submissions" && "\"manifest\"" !in text
+            if (lacksImage) {
                 Request(
                     request.method,
                     request.path,
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -8,17 +8,17 @@
 
 /** Controllers that were silent for a minute or more come back, also just as something else goes wrong. */
 class ReturningControllersTest {
-    private val fleet = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
+    private val siteScale = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
 
     private fun siteWithServices(seed: Long): SimSite {
-        val site = SimSite(Simulation(seed), scale = fleet)
+        val site = SimSite(Simulation(seed), scale = siteScale)
         site.services(12)
         site.run(40.0)
         assertEquals(48, site.runningTasks().size)
         return site
     }
 
-    private fun SimSite.anyOther(than: Int) = (0 until nodes).first { it != than }
+    private fun SimSite.firstNodeExcept(excluded: Int) = (0 until nodes).first { it != excluded }
 
     /**
      * One controller has been down for long, and another loses its workers, which reach nobody until their leases have run
@@ -29,22 +29,22 @@
     @ValueSource(longs = [2501, 2502, 2503, 2504, 2505, 2506])
     fun `tasks lost in a shard takeover restart in time although a controller returns meanwhile`(seed: Long) {
         val site = siteWithServices(seed)
-        val down = site.leader()!!
-        site.crash(down, backAfterMs = 55_000.0 + RETURN_MS)
+        val crashedNode = site.leader()!!
+        site.crash(crashedNode, backAfterMs = 55_000.0 + RETURN_MILLIS)
         site.run(55.0)
         assertEquals(48, site.runningTasks().size)
-        val cut = site.anyOther(down)
-        site.loseRequestsFrom(site.workerNames().filter { site.ownerOf(it) == cut })
-        site.cutController(cut, "workers")
-        site.sim.after(RETURN_MS - 500.0) { site.loseNothing() }
-        var lostReplicaS = 0.0
+        val cutNode = site.firstNodeExcept(crashedNode)
+        site.loseRequestsFrom(site.workerNames().filter { site.ownerOf(it) == cutNode })
+        site.cutController(cutNode, "workers")
+        site.sim.after(RETURN_MILLIS - 500.0) { site.loseNothing() }
+        var lostReplicaSeconds = 0.0
         repeat(80) {
             site.run(0.5)
-            lostReplicaS += 0.5 * (48 - site.runningTasks().size)
+            lostReplicaSeconds += 0.5 * (48 - site.runningTasks().size)
         }
         assertEquals(48, site.runningTasks().size)
-        assertTrue(lostReplicaS > 0.0, "no lease ran out")
-        assertTrue(lostReplicaS < MAX_LOST_REPLICA_S, "$lostReplicaS s of replicas were lost")
+        assertTrue(lostReplicaSeconds > 0.0, "no lease ran out")
+        assertTrue(lostReplicaSeconds < MAX_LOST_REPLICA_SECONDS, "$lostReplicaSeconds s of replicas were lost")
         site.assertRulesHold()
     }
 
@@ -53,20 +53,20 @@
     @ValueSource(longs = [2511, 2512, 2513, 2514])
     fun `a controller that was unreachable for a minute breaks no rule and regains its shards`(seed: Long) {
         val site = siteWithServices(seed)
-        val silent = site.leader()!!
+        val pausedNode = site.leader()!!
         site.arrays(20)
-        site.freezeController(silent, 60_000.0 + site.sim.random.nextInt(20_000))
+        site.freezeController(pausedNode, 60_000.0 + site.sim.random.nextInt(20_000))
         site.run(20.0)
-        val before: Set<TaskId> = site
+        val runningServices: Set<TaskId> = site
             .runningTasks()
             .keys
             .filter { it.job.text.length == "job-500".length }
             .toSet()
-        assertEquals(48, before.size)
-        site.cancel(before.first().job)
+        assertEquals(48, runningServices.size)
+        site.cancel(runningServices.first().job)
         site.run(80.0)
-        val owners = site.workerNames().map(site::ownerOf).toSet()
-        assertTrue(silent in owners, "it has no workers again: $owners")
+        val ownerNodes = site.workerNames().map(site::ownerOf).toSet()
+        assertTrue(pausedNode in ownerNodes, "it has no workers again: $ownerNodes")
         site.assertRulesHold()
     }
 
@@ -77,8 +77,8 @@
         val site = siteWithServices(seed)
         site.arrays(20)
         repeat(3) { number ->
-            val backAfterMs = 62_000.0 + site.sim.random.nextInt(4_000)
-            if (number % 2 == 0) site.crash(number, backAfterMs) else site.freezeController(number, backAfterMs)
+            val backAfterMillis = 62_000.0 + site.sim.random.nextInt(4_000)
+            if (number % 2 == 0) site.crash(number, backAfterMillis) else site.freezeController(number, backAfterMillis)
             site.run(61.0 + site.sim.random.nextInt(4))
         }
         site.run(10.0)
@@ -87,9 +87,9 @@
 
     private companion object {
         /** How long after the cut the first controller is back: a little more than a lease. */
-        const val RETURN_MS = 12_000.0
+        const val RETURN_MILLIS = 12_000.0
 
         /** Seconds in which one replica doesn't run, all added up. */
-        const val MAX_LOST_REPLICA_S = 205.0
+        const val MAX_LOST_REPLICA_SECONDS = 205.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
@@ -16,14 +16,14 @@
         site.services(10, tasks = 2)
         site.arrays(14)
         site.run(35.0)
-        val before = site.machinesLaunched
+        val launchedBefore = site.machinesLaunched
         site.cutZone(SimSite.ZONES[1])
         site.sim.after(4_000.0 + site.sim.random.nextInt(8_000)) { site.crash(2 * site.sim.random.nextInt(3), 3000.0) }
         site.sim.after(6_000.0) { site.cancel(JobId("job-503")) }
         site.run(35.0)
         site.heal()
         site.run(60.0)
-        assertTrue(site.machinesLaunched - before <= 40, "${site.machinesLaunched - before} machines rented for a cut")
+        assertTrue(site.machinesLaunched - launchedBefore <= 40, "${site.machinesLaunched - launchedBefore} machines rented for a cut")
         site.assertRulesHoldOnceHealed()
     }
 
@@ -32,17 +32,17 @@
         val site = SimSite(Simulation(115), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         site.services(12)
         site.run(40.0)
-        val running = site.runningTasks().mapValues { it.value.name }
-        assertEquals(48, running.size)
+        val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
+        assertEquals(48, assignmentsBefore.size)
         // Where the workers' owner is on the same side of the cut.
-        val kept = running.filterValues { site.ownerOf(it) % 2 == SimSite.ZONES.indexOf(site.zoneOf(it)) }
-        assertTrue(kept.values.any { site.zoneOf(it) == SimSite.ZONES[1] }, "none in the zone: $kept")
+        val keptAssignments = assignmentsBefore.filterValues { site.ownerOf(it) % 2 == SimSite.ZONES.indexOf(site.zoneOf(it)) }
+        assertTrue(keptAssignments.values.any { site.zoneOf(it) == SimSite.ZONES[1] }, "none in the zone: $keptAssignments")
         site.cutZone(SimSite.ZONES[1])
         // Longer than a session lease and a worker lease together.
         site.run(22.0)
         site.heal()
         site.run(15.0)
-        assertEquals(kept, site.runningTasks().filterKeys { it in kept }.mapValues { it.value.name })
+        assertEquals(keptAssignments, site.runningTasks().filterKeys { it in keptAssignments }.mapValues { it.value.name })
         site.assertRulesHoldOnceHealed()
     }
 
