--- a/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
+++ b/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Every accepted job is answered soon after all controllers were down, and soon enough at any time. */
+/** Polls of accepted jobs are answered within seconds of a restart of all controllers, and without long gaps at any other time. */
 class AvailabilityTest {
     @ParameterizedTest
     @ValueSource(ints = [1, 3, 5])
-    fun `every job is answered soon after all controllers were down, whatever their number`(nodes: Int) {
+    fun `every job is answered soon after the restart of all controllers, with 1, 3 or 5 of them`(nodes: Int) {
         val site = SimSite(Simulation(31), nodes = nodes, scale = SiteScale(machinesPerZone = 2))
         repeat(600) { number -> site.sim.after(number * 40.0) { site.submit(SimSite.job(number + 1, tasks = 1)) { 2000.0 } } }
         site.run(60.0)
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `thousands of finished jobs are answered one by one after a restart of all controllers`() {
+    fun `thousands of finished jobs are answered individually after a restart of all controllers`() {
         val site = SimSite(Simulation(33), nodes = 5, endedBefore = 3000)
         site.run(5.0)
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    fun `the referee sees a single job that gets no answer among many that do`() {
+    fun `the referee detects a single unanswered job among many answered ones`() {
         val site = SimSite(Simulation(32))
         site.arrays(8)
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/CatchUpTest.kt
+++ b/src/test/kotlin/copperglade/sim/CatchUpTest.kt
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The state service answers with all changes since a revision at once, however many. A controller that was away while a large fleet went
- * on can't take such an answer in; it must come back all the same, by loading the records in pages.
+ * The state service returns all changes since a revision in one answer, however large. A controller that was partitioned while a large
+ * fleet kept changing can't receive such an answer, and has to recover by reloading the records in pages.
  */
 class CatchUpTest {
     private fun SimSite.partitionUntilAnswersTooLarge(node: Int) {
@@ -25,7 +25,7 @@
         }
         heal()
         run(20.0)
-        assertTrue(rejectedAnswers > 0, "every answer was small enough")
+        assertTrue(rejectedAnswers > 0, "no answer exceeded the size limit")
     }
 
     @Test
@@ -35,7 +35,7 @@
         var okAnswers = 0
         site.requestAt(1, Request(Method.GET, "/submissions/${JobId("job-1")}")) { if (it?.status == 200) okAnswers++ }
         site.run(5.0)
-        assertTrue(okAnswers > 0, "it knows nothing new for good")
+        assertTrue(okAnswers > 0, "controller 1 answered no poll after the partition")
         site.assertRulesHold()
     }
 
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -6,11 +6,14 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Jobs are cancelled while their tasks checkpoint because more important work preempts them. */
+/** Cancellation of jobs whose tasks are saving a checkpoint because tasks of higher priority preempt them. */
 class CheckpointTest {
     private val checkpointingJob = JobId("job-1")
 
-    /** All machines are full of tasks that take a while to checkpoint, then services need their capacity. */
+    /**
+     * Returns a site on which tasks that take [CHECKPOINT_DURATION_SECONDS] to checkpoint fill all machines, and at least two of them are
+     * being preempted for services.
+     */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
         site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_SECONDS)) { 300.0 }
@@ -21,10 +24,10 @@
     }
 
     private fun cancelAndAwaitEnd(site: SimSite, timeoutSeconds: Double) {
-        assertTrue(site.checkpointingTasks().isNotEmpty(), "nothing saves any more")
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "no task is checkpointing any more")
         site.cancel(checkpointingJob)
         site.await(10.0) { site.users.getValue(checkpointingJob).status == "aborted" }
-        assertTrue(site.checkpointingTasks().isNotEmpty(), "all was saved before the cancellation")
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "all checkpoints were saved before the cancellation")
         site.await(timeoutSeconds) { site.runningTasks().keys.none { it.job == checkpointingJob } }
         site.assertRulesHold()
     }
@@ -39,7 +42,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2311, 2313, 2314, 2316])
-    fun `a cancellation ends checkpointing in time where the leader crashes just before it`(seed: Long) {
+    fun `a cancellation ends checkpointing in time when the leader crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(site.leader()!!)
         cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_S)
@@ -47,7 +50,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2321, 2322, 2323, 2324])
-    fun `a cancellation ends checkpointing in time where the shard owner crashes just before it`(seed: Long) {
+    fun `a cancellation ends checkpointing in time when the shard owner crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(
             site.ownerOf(
@@ -63,7 +66,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2331, 2332])
-    fun `tasks that were checkpointed and preempted are done elsewhere or later`(seed: Long) {
+    fun `tasks that were preempted after a checkpoint complete elsewhere or later`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.await(CHECKPOINT_DURATION_SECONDS + 5.0) { site.checkpointingTasks().isEmpty() }
         site.assertRulesHold(900.0)
--- a/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/CompoundFaultTest.kt
@@ -10,30 +10,31 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Two faults at once, each injected on purpose: a test first shows that they coincided, then that no rule was broken.
- * `docs/compound-faults.md` lists them.
+ * Scenarios with two coinciding faults. Each test first asserts that the injected faults coincided, then that no rule was broken.
+ * `docs/compound-faults.md` lists the scenarios.
  */
 class CompoundFaultTest {
     /**
-     * The state service refuses the leader alone, other controllers confirm cancellations, then it is down for everybody for longer than a
-     * cancellation may take, while workers send their heartbeats to the old leader.
+     * The state service refuses the requests of [leader] only, while the other controllers confirm cancellations. Then the state service is
+     * down for all controllers for longer than a cancellation may take, while workers send their heartbeats to the old leader. Unless
+     * [peersReachable], the controllers are also cut off from each other.
      */
     private fun refuseLeaderThenStopStateService(site: SimSite, peersReachable: Boolean, leader: Int) {
         val cancelled = onMachinesOf(site, leader)
-        assertTrue(cancelled.size > 1, "it has no such tasks")
+        assertTrue(cancelled.size > 1, "fewer than two jobs run on the leader's workers")
         val refusalsBefore = site.network.refusals
         site.refuseController(leader)
         if (!peersReachable) site.cutPeers()
         site.run(0.6)
         val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 1.4)
-        assertTrue(site.network.refusals > refusalsBefore, "the leader was not refused")
+        assertTrue(site.network.refusals > refusalsBefore, "the state service refused no request of the leader")
         val refusedInOutageBefore = site.state.refusedInOutage
         site.state.outage = true
         site.run(3.0)
-        if (!peersReachable) assertTrue(runningOf(site, confirmedJobs) > 0, "the old leader's workers had heard of it")
+        if (!peersReachable) assertTrue(runningOf(site, confirmedJobs) > 0, "no cancelled task ran on the old leader's workers")
         site.sim.after(12_000.0) { site.serveController(leader) }
         site.run(SimSite.CANCEL_S + 6.0)
-        assertTrue(site.state.refusedInOutage > refusedInOutageBefore, "nobody met the outage")
+        assertTrue(site.state.refusedInOutage > refusedInOutageBefore, "the state service received no request during the outage")
         assertEquals(0, runningOf(site, confirmedJobs))
         site.state.outage = false
         site.heal()
@@ -41,13 +42,13 @@
 
     @ParameterizedTest
     @CsvSource("201,true", "202,true", "203,false", "204,false", "205,false", "206,false")
-    fun `cancelled tasks end in time when the state service refuses the leader, then everybody`(seed: Long, peersReachable: Boolean) {
+    fun `cancelled tasks end in time when the state service refuses the leader, then all controllers`(seed: Long, peersReachable: Boolean) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 14, tasks = 2)
         site.run(30.0)
         refuseLeaderThenStopStateService(site, peersReachable, site.leader()!!)
 
-        // Once more, as soon as somebody leads again: what is known may be only partly caught up.
+        // Repeats the faults as soon as there is a leader again, when controllers may have caught up with the records only in part.
         fun nodeWithMostJobs() = (0 until site.nodes).maxBy { onMachinesOf(site, it).size }
         site.await(60.0) { site.leader() != null && onMachinesOf(site, nodeWithMostJobs()).size > 1 }
         refuseLeaderThenStopStateService(site, peersReachable, nodeWithMostJobs())
@@ -63,11 +64,11 @@
         val owner = (0 until site.nodes).filter { it != site.leader() }.maxBy { onMachinesOf(site, it).size }
         val cancelled = onMachinesOf(site, owner)
         assertTrue(cancelled.isNotEmpty())
-        // It ends before it hears of the cancellations, and is back in time to endorse the others' shards.
+        // The owner crashes before it receives the cancellations, and restarts in time to endorse the other controllers' shards.
         site.crash(owner, 8_000.0)
         val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 2.4)
         var shardsGranted = false
-        // The grant of its shards is the last that anybody hears from the state service.
+        // The grant of the owner's shards is the last answer of the state service that any controller receives.
         site.network.tamperAnswer = { passage, _, reply ->
             if (!shardsGranted && passage.path == "/changes" && "cg/now/block/" in reply.body.decodeToString()) {
                 shardsGranted = true
@@ -76,15 +77,15 @@
             reply
         }
         site.await(12.0) { shardsGranted }
-        assertTrue(runningOf(site, confirmedJobs) > 0, "they were gone already")
+        assertTrue(runningOf(site, confirmedJobs) > 0, "the cancelled tasks had ended already")
         site.run(SimSite.CANCEL_S + 6.0)
         assertEquals(0, runningOf(site, confirmedJobs))
         site.assertRulesHold(200.0)
     }
 
     @Test
-    fun `the referee sees an owner that acts on stale state for too long`() {
-        // Told that cancellations have twice the time, owners keep their workers' leases going for longer.
+    fun `the referee detects a shard owner that acts on stale state for too long`() {
+        // With twice the cancellation timeout configured, shard owners extend their workers' leases for longer.
         val scale = SiteScale(machinesPerZone = 4, teamCpus = 250.0)
         val site = SimSite(Simulation(207), scale = scale, configuredCancelS = 2 * SimSite.CANCEL_S)
         longArrays(site, tasks = 2, workS = 300.0)
@@ -102,7 +103,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [211, 212, 213])
-    fun `all controllers are down for longer than the workers' leases`(seed: Long) {
+    fun `tasks restart after all controllers were down for longer than the workers' leases`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.services(4)
         site.arrays(10)
@@ -110,7 +111,7 @@
         val running = site.runningTasks().keys.filter { it.job.text.length == 7 }
         (0 until site.nodes).forEach { site.crash(it, SimSite.LEASE_S * 1000 + 2000.0 + site.sim.random.nextInt(4000)) }
         site.run(SimSite.LEASE_S + 1.0)
-        assertEquals(0, site.runningTasks().size, "leases were to run out")
+        assertEquals(0, site.runningTasks().size, "tasks still run, so not all leases have expired")
         site.run(40.0)
         assertEquals(
             running.toSet(),
@@ -125,7 +126,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [221, 222, 223, 224])
-    fun `tasks of small jobs end far apart across changes of leader`(seed: Long) {
+    fun `no rule is broken when tasks of small jobs end far apart, with leader changes in between`(seed: Long) {
         val site = SimSite(Simulation(seed))
         repeat(12) { number ->
             site.submit(SimSite.job(number + 1, tasks = 2 + number % 2)) { task -> 12.0 + 22.0 * task + number }
@@ -144,7 +145,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [231, 232, 233, 234])
-    fun `the state service is slow, refuses the leader, then everybody, while users cancel and poll`(seed: Long) {
+    fun `no rule is broken when the state service is slow, refuses the leader, then all controllers, while users cancel and poll`(
+        seed: Long,
+    ) {
         val site = wide(seed)
         longArrays(site, jobs = 12, tasks = 2)
         site.arrays(8, first = 50)
@@ -167,7 +170,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [241, 242, 243, 244])
-    fun `jobs constrained to one zone lose machines`(seed: Long) {
+    fun `no rule is broken when jobs constrained to one zone lose machines`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 3, teamCpus = 200.0))
         val zone = SimSite.ZONES[(seed % 2).toInt()]
         repeat(6) { number ->
@@ -186,7 +189,7 @@
         val runningBefore = site.runningTasks().size
         repeat(3) { killIndex ->
             site.sim.after(killIndex * 6000.0) {
-                // Where tasks run, in the zone that they are bound to.
+                // Selects a machine with running tasks in the zone to which jobs are constrained.
                 val machine = site
                     .runningTasks()
                     .values
@@ -204,9 +207,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = [251, 252, 253, 254, 255, 256, 258, 259])
-    fun `transactions of unknown outcome are applied late, after newer ones`(seed: Long) {
+    fun `no rule is broken when transactions of unknown outcome are applied late, after newer ones`(seed: Long) {
         val site = SimSite(Simulation(seed))
-        // Small values: many packed records, and task ranges that move from one to another.
+        // The small value limit leads to many packed records, and to task ranges that move from one to another.
         repeat(24) { number ->
             site.sim.after(number * 2500.0) {
                 site.submit(SimSite.job(number + 1, tasks = 3 + number % 9)) { task -> 3.0 + task * 2.5 }
@@ -222,14 +225,14 @@
             site.network.lateWrites >= 10 && site.network.lateWritesApplied > 0,
             "${site.network.lateWrites} late, ${site.network.lateWritesApplied} applied",
         )
-        // Whoever loads the records now must come to the same answers.
+        // Controllers that load the records after their restart have to give the same answers.
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
         site.assertRulesHold(150.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [261, 262, 263])
-    fun `the leader changes ten times in two minutes, also during an outage`(seed: Long) {
+    fun `no rule is broken when the leader changes ten times in two minutes, also during an outage`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 5 else 3)
         site.services(4)
         site.arrays(20)
--- a/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -7,14 +7,14 @@
 import java.util.stream.LongStream
 
 /**
- * Decisions that end in a fault midway, such as an out-of-memory error: at any point, in any controller, while jobs depend on each other
- * and are cancelled. A controller that went on after that would decide on partly applied records.
+ * Faults such as an out-of-memory error in the middle of a decision: at any point, in any controller, while jobs depend on each other and
+ * are cancelled. A controller that continued after such a fault would decide on partly applied records.
  */
 class ControllerFaultTest {
     private fun site(seed: Long) =
         SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 180.0), faultsEndProcess = true)
 
-    /** Submits one job a second, each with the one that [dependencyOf] names as its dependency and a run time of [workS] a task. */
+    /** Submits one job a second; each depends on the job that [dependencyOf] returns, if any, and its tasks run for [workSeconds]. */
     private fun SimSite.submitPipelines(
         maxTasks: Int,
         dependencyOf: (Int) -> Int?,
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @MethodSource("anyDecisionSeeds")
-    fun `no rule is broken where decisions end in faults`(seed: Long) {
+    fun `no rule is broken when decisions end in faults`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
         repeat(JOB_COUNT) { number ->
@@ -55,12 +55,12 @@
     }
 
     /**
-     * The same while records with a cancellation are applied. Some of the jobs fail wherever they run, so that their tasks wait for long
-     * between two attempts.
+     * Faults occur while records with a cancellation are applied. Some of the jobs fail on every machine, so that their tasks wait for a
+     * long time between two attempts.
      */
     @ParameterizedTest
     @MethodSource("partialCancellationSeeds")
-    fun `no rule is broken where cancellations are only partly applied`(seed: Long) {
+    fun `no rule is broken when cancellations are only partly applied`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
         var faults = 0
@@ -77,7 +77,7 @@
             dependencyOf = { number -> (number - 1).takeUnless { number % 4 == 0 || JobId("job-$number").isFailing() } },
             workSeconds = { 4.0 + random.nextDouble() * 20 },
         )
-        // Many cancellations come at the moment at which another job ends, so that one reading tells of both.
+        // Many cancellations coincide with the end of another job, so that one read of the state service returns both.
         site.onJobComplete = { completed ->
             val nextCancelled = cancelled.firstOrNull {
                 site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMs == null }
@@ -94,12 +94,12 @@
     }
 
     /**
-     * One read of the state service shows that one job is done and that another is cancelled; releasing the dependents of the first ends
-     * in a fault. The dependents of the second must be reported cancelled in time all the same.
+     * One read of the state service returns the end of one job and the cancellation of another; releasing the dependents of the first ends
+     * in a fault. The dependents of the second still have to be reported cancelled in time.
      */
     @ParameterizedTest
     @MethodSource("dependentReleaseSeeds")
-    fun `no job is left waiting where releasing another ends in a fault`(seed: Long) {
+    fun `no job is left waiting when releasing another ends in a fault`(seed: Long) {
         val site = site(seed)
         val random = site.sim.random
         var faults = 0
@@ -112,7 +112,7 @@
             dependencyOf = { number -> (number - 2).takeUnless { number % 4 < 2 } },
             workSeconds = { number -> if (number % 4 == 1) 60.0 else 5.0 + random.nextDouble() * 5 },
         )
-        // Each fourth job is cancelled at about the moment at which the end of the one before it is written down.
+        // Every fourth job is cancelled at about the time at which the end of the job before it is written.
         site.onJobComplete = { completed ->
             val number = completed.spec.id.text
                 .substringAfter('-')
@@ -126,7 +126,7 @@
         site.assertRulesHold(240.0)
     }
 
-    /** Jobs that fail on every machine are cancelled while their tasks wait for a retry, and the cancellation is only partly applied. */
+    /** Jobs that fail on every machine are cancelled while their tasks wait for a retry, and faults leave cancellations partly applied. */
     @ParameterizedTest
     @MethodSource("retryDelaySeeds")
     fun `no task of a cancelled job is retried after a fault`(seed: Long) {
@@ -142,7 +142,7 @@
             site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, etaS = 10.0)) { 10.0 } }
         }
         site.run(45.0)
-        // So that owners learn of cancellations by their readings alone.
+        // Without the peer link, shard owners receive cancellations only by reading the state service.
         site.cutPeers()
         val cancelled = (0 until JOB_COUNT).map { JobId("job-$it") }.filter { it.isFailing() }
         cancelled.forEachIndexed { index, job -> site.sim.after(index * 4_000.0) { site.cancel(job) } }
@@ -152,7 +152,7 @@
         site.assertRulesHold(240.0)
     }
 
-    /** Calls [then] with a controller's number just before it gets an answer of the state service that contains all the [parts]. */
+    /** Calls [action] with a controller's number just before it receives an answer of the state service that contains all [fragments]. */
     private fun SimSite.onStateReadsContaining(vararg fragments: String, action: (Int) -> Unit) {
         network.tamperAnswer = { passage, request, reply ->
             val node = passage.to.substringAfter("lorry-", "").toIntOrNull()
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Ends what [onReadingsOf] began. */
+    /** Undoes [onStateReadsContaining]. */
     private fun SimSite.stopWatchingStateReads() {
         network.tamperAnswer = { _, _, reply -> reply }
     }
--- a/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
+++ b/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Heartbeats that arrive once more, long after newer ones. */
+/** Duplicates of heartbeats that arrive long after newer heartbeats. */
 class DuplicateHeartbeatTest {
     @ParameterizedTest
     @ValueSource(longs = [51, 52, 53, 54, 55, 56])
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `the referee sees what duplicates would do without sequence numbers`() {
+    fun `the referee detects the effect of duplicates when sequence numbers are forged`() {
         val sites = (57L..60L).map { seed ->
             val site = SimSite(Simulation(seed))
             site.network.duplicateOneIn = 2
@@ -47,6 +47,6 @@
             site
         }
         val breaches = sites.flatMap { it.breaches }
-        assertTrue(breaches.any { it.startsWith("not_done") }, "not seen: $breaches")
+        assertTrue(breaches.any { it.startsWith("not_done") }, "not_done was not detected: $breaches")
     }
 }
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -14,7 +14,7 @@
 
     private val failingJobs = (1..FAILING_JOB_COUNT).map { JobId("job-${300 + it}") }
 
-    /** Sound arrays and services, and arrays that fail everywhere. */
+    /** Returns a site with healthy arrays and services, and with arrays that fail on every machine. */
     private fun siteWithFailingJobs(seed: Long, operatorSettings: OperatorSettings = OperatorSettings()): SimSite {
         val site = SimSite(Simulation(seed), operatorSettings = operatorSettings, scale = scale)
         site.fails = { task, _ -> task.job in failingJobs }
@@ -37,16 +37,16 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2401, 2402, 2403])
-    fun `jobs that fail everywhere take no machine out of use and end by cancellation alone`(seed: Long) {
+    fun `jobs that fail on every machine take no machine out of use and end only by cancellation`(seed: Long) {
         val site = siteWithFailingJobs(seed)
         site.run(75.0)
         val workersBefore = site.workerNames()
         val launchedBefore = site.machinesLaunched
         site.run(60.0)
-        assertEquals(16, site.countDoneHealthyJobs(), "sound jobs done")
-        assertEquals(launchedBefore, site.machinesLaunched, "machines were rented in place of sound ones")
+        assertEquals(16, site.countDoneHealthyJobs(), "healthy jobs done")
+        assertEquals(launchedBefore, site.machinesLaunched, "machines were launched to replace healthy ones")
         assertTrue(site.workerNames().all { it in workersBefore }, "machines were replaced")
-        assertTrue(maxStartsOfFailingJob(site) < 60, "${maxStartsOfFailingJob(site)} starts of one mistaken job")
+        assertTrue(maxStartsOfFailingJob(site) < 60, "${maxStartsOfFailingJob(site)} starts of one failing job")
         assertTrue(failingJobs.all { site.users.getValue(it).status in listOf("queued", "running") })
         site.cancelFailingJobs()
         site.assertRulesHold()
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `without telling failing jobs from faulty machines, healthy machines are replaced`() {
+    fun `healthy machines are replaced when failing jobs are not distinguished from faulty machines`() {
         val site = siteWithFailingJobs(2404, OperatorSettings(failingJobMachineThreshold = 1_000))
         site.run(75.0)
         val workersBefore = site.workerNames()
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2411, 2412, 2413])
-    fun `a faulty machine is told from its jobs and gets no more tasks, also among failing jobs`(seed: Long) {
+    fun `a faulty machine is distinguished from its jobs and gets no more tasks, also among failing jobs`(seed: Long) {
         val site = siteWithFailingJobs(seed)
         site.run(20.0)
         val faultyMachine = site
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2421, 2422])
-    fun `an array of which some tasks fail completes the others and stays known`(seed: Long) {
+    fun `an array of which some tasks fail completes the others and stays running`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = scale)
         val partlyFailingJob = JobId("job-301")
         site.fails = { task, _ -> task.job == partlyFailingJob && task.index % 3 == 0 }
@@ -104,15 +104,15 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2431, 2432, 2433])
-    fun `a failing job stays known when the leader and the owners change, and may recover`(seed: Long) {
+    fun `a job stays marked as failing when the leader and the shard owners change, and may recover`(seed: Long) {
         val site = siteWithFailingJobs(seed)
         site.run(40.0)
         (0 until site.nodes).forEach { site.crash(it, 500.0 + site.sim.random.nextInt(4000)) }
         site.run(20.0)
         site.leader()?.let { site.crash(it) }
         site.run(40.0)
-        assertTrue(maxStartsOfFailingJob(site) < 80, "${maxStartsOfFailingJob(site)} starts of one mistaken job")
-        // What made it fail is gone: a task on trial is completed, and then the others run.
+        assertTrue(maxStartsOfFailingJob(site) < 80, "${maxStartsOfFailingJob(site)} starts of one failing job")
+        // The cause of the failures is removed: a trial task completes, and then the others run.
         site.fails = { _, _ -> false }
         site.run(75.0)
         site.assertRulesHold()
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Fleets of well over a thousand machines. What is bounded is work counted, never time on a wall. */
+/** Fleets of well over a thousand machines. The assertions bound counts of messages, never wall-clock time. */
 class FleetTest {
     private val largeScale = SiteScale(
         machinesPerZone = 365,
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `nearly fifteen hundred machines, thousands of jobs and a restart of all controllers`() {
+    fun `a restart of all controllers moves no service among nearly fifteen hundred machines`() {
         val site = SimSite(Simulation(1), scale = largeScale, nodes = 5)
         submitServices(site, 1300)
         submitArrays(site, 300, tasks = 60, workSeconds = 15.0)
@@ -43,12 +43,12 @@
         site.run(5.0)
         val callsBefore = site.network.calls
         site.run(30.0)
-        // Every worker is fenced and every poll answered within a lease, and no service was moved.
+        // Within a lease, every worker is fenced and every poll is answered, and no service was moved.
         val assignmentsAfter = site.runningTasks().filterKeys { it in runningServices }.mapValues { it.value.name }
         assertEquals(assignmentsBefore, assignmentsAfter)
-        // A minute's messages stay in proportion: heartbeats, their commands, users' polls, and little else.
+        // The messages stay in proportion to the fleet: heartbeats, their commands, users' polls, and little else.
         val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
-        assertTrue(messagesPerMachine < 120.0, "$messagesPerMachine messages a machine in 30 s")
+        assertTrue(messagesPerMachine < 120.0, "$messagesPerMachine messages per machine in 30 s")
         site.run(60.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
@@ -57,11 +57,11 @@
     }
 
     /**
-     * From nothing to nearly four thousand machines, the end of the leader, then half of the fleet lost at once while copies of
-     * heartbeats come late.
+     * Scales out from zero to nearly four thousand machines, crashes the leader, then terminates half of the fleet at once while duplicates
+     * of heartbeats arrive late.
      */
     @Test
-    fun `a scale-out to four thousand machines, a leader's crash, and half of them lost at once`() {
+    fun `all jobs are served after a scale-out to four thousand machines, a leader crash, and the loss of half of them`() {
         val largestScale = SiteScale(
             machinesPerZone = 1000,
             heartbeatIntervalSeconds = 6.0,
@@ -79,22 +79,22 @@
         submitServices(site, 1500, cpus = 8.0)
         repeat(110) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, etaS = 60.0)) { 60.0 } }
         site.await(120.0) { site.workerCount() >= 3600 }
-        assertEquals(0, site.cloudRefusals, "requests to the cloud beyond its budget")
+        assertEquals(0, site.cloudRefusals, "requests beyond the cloud's rate limit")
         site.run(20.0)
         site.crash(site.leader()!!, 3000.0)
         site.run(10.0)
         val callsBefore = site.network.calls
         site.run(20.0)
-        // Heartbeats, the commands that follow, polls, and little else: nothing grows faster than the fleet.
+        // Messages are heartbeats, the commands that follow, polls, and little else: their number grows no faster than the fleet.
         val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
-        assertTrue(messagesPerMachine < 60.0, "$messagesPerMachine messages a machine in 20 s")
+        assertTrue(messagesPerMachine < 60.0, "$messagesPerMachine messages per machine in 20 s")
         site.network.duplicateOneIn = 4
         site.run(10.0)
         repeat(site.workerCount() / 2) { site.killMachine(it) }
         val workersLeft = site.workerCount()
         site.run(60.0)
         site.network.duplicateOneIn = 0
-        assertTrue(site.network.duplicatesDelivered > workersLeft, "${site.network.duplicatesDelivered} copies")
+        assertTrue(site.network.duplicatesDelivered > workersLeft, "${site.network.duplicatesDelivered} duplicates")
         site.run(200.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
@@ -104,7 +104,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2, 3])
-    fun `dozens of machines hang, die or lose the network at once`(seed: Long) {
+    fun `all jobs are served after dozens of machines hang, terminate or lose the network at once`(seed: Long) {
         val site =
             SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 60, teamCpus = 5000.0, stateWritesPerSecond = 100.0), nodes = 3)
         submitServices(site, 80)
--- a/src/test/kotlin/copperglade/sim/GuaranteeTest.kt
+++ b/src/test/kotlin/copperglade/sim/GuaranteeTest.kt
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** A team gets its guarantee back from teams that have borrowed it. */
+/** A team regains its guaranteed quota from teams that have borrowed it. */
 class GuaranteeTest {
     @Test
-    fun `quota that another team has borrowed is preempted for a guarantee`() {
+    fun `tasks on quota that another team has borrowed are preempted for a guarantee`() {
         val lendingTeam = TeamName("lender")
         val site =
             SimSite(
@@ -17,7 +17,7 @@
                 scale = SiteScale(machinesPerZone = 1, teamCpus = 100.0),
                 otherTeam = Team(lendingTeam, 32.0, 100.0, 0.0, 0.0),
             )
-        // All four machines are full of what "team" runs, three quarters of it beyond its guarantee, for longer than the scenario.
+        // Tasks of "team", three quarters of them beyond its guarantee, fill all four machines for longer than the scenario.
         site.submit(SimSite.job(1, tasks = 240)) { 600.0 }
         site.run(40.0)
         assertEquals(32, site.runningTasks().size)
@@ -26,7 +26,7 @@
         assertEquals(16, site.runningTasks().keys.count { it.job == JobId("job-2") })
         site.run(40.0)
         assertEquals("done", site.users.getValue(JobId("job-2")).status)
-        // Nothing within the guarantee of "team" was touched, and it has the rest again.
+        // No task within the guarantee of "team" was preempted, and "team" has regained the remaining capacity.
         assertEquals(32, site.runningTasks().size)
         assertEquals(emptyList<String>(), site.breaches)
     }
--- a/src/test/kotlin/copperglade/sim/LongDependencyListsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LongDependencyListsTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A job's record with all that it awaits has to fit into a value of the state service. */
+/** A job's record, which contains its dependencies, has to fit into a value of the state service. */
 class LongDependencyListsTest {
     private val site = SimSite(Simulation(2401), scale = SiteScale(valueKb = 0.7), endedBefore = ENDED_JOB_COUNT)
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `jobs that are done take no space in the record`() {
+    fun `dependencies that are done take no space in the record`() {
         site.run(10.0)
         val doneJobs = (0 until ENDED_JOB_COUNT).map { JobId("job-${SimSite.FIRST_ENDED_JOB + it}") }
         assertEquals(201, submitAndAwaitReply(902, doneJobs).status)
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * The state service's limits are lowered in the middle of a scenario. Controllers that don't know of it write large records
- * first; one after the other is replaced by one that was told, while jobs run and change.
+ * The state service's limits are lowered in the middle of a scenario. Controllers that are configured with the old limits write large
+ * records first; one after the other is restarted with the lowered limits, while jobs run and change.
  */
 class LoweredLimitsTest {
     private val nodesWithOldLimits = HashSet<Int>()
@@ -37,7 +37,7 @@
         .flatMap { state.keys(Keys.assignmentRecords(it)) }
         .maxOf { state.text(it)!!.toByteArray().size }
 
-    /** Arrays of many sizes, and some of the services are cancelled, so that pages of all packed records change. */
+    /** Submits arrays of many sizes and services, and cancels some of the services, so that ranges of all packed records change. */
     private fun SimSite.submitWork() {
         val random = sim.random
         repeat(SERVICE_COUNT) { submit(SimSite.job(500 + it, tasks = 3, cpus = 0.25, service = true, spot = false)) { null } }
@@ -53,8 +53,8 @@
     }
 
     /**
-     * For a minute after that, machines, the leader and the links between controllers are lost, so that tasks of the
-     * large packed records are assigned again.
+     * Lowers the state service's limits. During the next minute, machines, the leader and the links between controllers fail, so that tasks
+     * of the large packed records are assigned again.
      */
     private fun SimSite.lowerLimits() {
         state.limits = ServiceLimits(LOWERED_LIMITS.valueBytes, LOWERED_LIMITS.transactionWrites, LOWERED_LIMITS.writesPerSecond)
@@ -63,7 +63,7 @@
         crash(leader() ?: 0, 1500.0)
         killMachine(sim.random.nextInt(workerCount()))
         run(15.0)
-        // Rooms go through the state service meanwhile.
+        // Peer statuses go through the state service meanwhile.
         cutPeers()
         run(15.0)
         heal()
@@ -71,10 +71,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2001, 2002, 2003, 2004, 2005, 2006])
-    fun `nothing is refused for its size after the limits were lowered`(seed: Long) {
+    fun `no write is refused for its size after the limits were lowered`(seed: Long) {
         val site = site(seed)
         site.submitWork()
-        // With every other seed some writes have no answer and are applied seconds later.
+        // With odd seeds, some writes get no answer and are applied seconds later.
         site.network.lateWriteOneIn = if (seed % 2 == 0L) 0 else 12
         site.run(45.0)
         assertTrue(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    fun `controllers that don't know the lowered limits are refused`() {
+    fun `writes of controllers that are configured with the old limits are refused`() {
         val site = site(2001)
         site.submitWork()
         site.run(45.0)
@@ -109,7 +109,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [2101, 2102, 2103])
-    fun `large jobs end where values are tiny and transactions have two writes`(seed: Long) {
+    fun `large jobs end when values are tiny and transactions have at most two writes`(seed: Long) {
         val scale = SiteScale(machinesPerZone = 6, teamCpus = 400.0, valueKb = 0.6, transactionWrites = 2)
         val site = SimSite(Simulation(seed), scale = scale, nodes = 5)
         site.state.limits = with(scale.stateLimits) { ServiceLimits(valueBytes, transactionWrites, writesPerSecond) }
--- a/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
+++ b/src/test/kotlin/copperglade/sim/MessageReorderingTest.kt
@@ -13,7 +13,7 @@
 class MessageReorderingTest {
     @ParameterizedTest
     @ValueSource(longs = [271, 272, 273, 274])
-    fun `commands and their answers are delayed for seconds, and machines hang and resume`(seed: Long) {
+    fun `no rule is broken when commands and their answers are delayed for seconds, and machines hang and resume`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
         site.services(3)
@@ -25,14 +25,14 @@
             site.cancel(id(2 + iteration * 2))
             site.run(6.0)
         }
-        assertTrue(site.network.delayed > 20, "${site.network.delayed} held up")
+        assertTrue(site.network.delayed > 20, "${site.network.delayed} messages delayed")
         assertTrue(site.confirmedCancellations > 0)
         site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [281, 282, 283, 284])
-    fun `an isolated leader keeps workers and users while jobs are cancelled through its successor`(seed: Long) {
+    fun `jobs cancelled through a new leader end in time while the isolated former leader keeps its workers and users`(seed: Long) {
         val site = wide(seed, nodes = if (seed % 2 == 0L) 5 else 3)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(30.0)
@@ -48,11 +48,11 @@
 
     @ParameterizedTest
     @ValueSource(longs = [291, 292, 293, 294])
-    fun `a team is at its limit when the leader changes, a machine is unreachable, and a job is cancelled`(seed: Long) {
+    fun `a team stays within its limit when the leader changes, a machine is unreachable, and a job is cancelled`(seed: Long) {
         val site = wide(seed, teamCpus = 100.0)
         longArrays(site, jobs = 10, tasks = 4, workS = 40.0)
         site.run(25.0)
-        assertEquals(12, site.runningTasks().size, "the team is to be at its limit")
+        assertEquals(12, site.runningTasks().size, "the team is not at its limit")
         val busyAssignment = site.runningTasks().entries.first()
         site.cutMachine(site.workerNames().indexOf(busyAssignment.value.name))
         site.crash(site.leader()!!, 2500.0)
@@ -64,7 +64,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [301, 302, 303, 304])
-    fun `old heartbeats arrive after newer ones, also of earlier epochs and attempts`(seed: Long) {
+    fun `no rule is broken when old heartbeats arrive after newer ones, also of earlier epochs and attempts`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.network.duplicateOneIn = 2
         site.network.maxDuplicateDelayMs = (SimSite.LEASE_S * 2500).toInt()
@@ -72,7 +72,7 @@
         site.arrays(14)
         site.run(20.0)
         repeat(4) { iteration ->
-            // Its lease expires: heartbeats of the epoch before are still in flight.
+            // The worker's lease expires while heartbeats of its previous epoch are in flight.
             site.cutMachine(iteration % 3)
             site.run(SimSite.LEASE_S + 3.0)
             site.heal()
@@ -80,13 +80,13 @@
             site.run(5.0)
         }
         assertTrue(site.network.duplicatesDelivered > 50)
-        assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
+        assertTrue(site.leasesOrMachinesLost > 0, "no lease expired")
         site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [311, 312, 313, 314, 315, 316])
-    fun `cancellations, polls and repeated submissions race with the end of a job's last task`(seed: Long) {
+    fun `no rule is broken when cancellations, polls and repeated submissions race with the end of a job's last task`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.cancellationsKnownImmediately = true
         val random = site.sim.random
@@ -105,7 +105,7 @@
         }
         repeat(40) { number -> site.sim.after(number * 1100.0) { site.submit(SimSite.job(number + 1, tasks = 1 + number % 4)) { 3.0 } } }
         site.run(80.0)
-        assertTrue(racingRequests >= 100, "$racingRequests met an end")
+        assertTrue(racingRequests >= 100, "$racingRequests requests raced with the end of a job")
         assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "done" })
         assertTrue(site.users.values.any { it.cancelRequestedAtMs != null && it.status == "aborted" })
         site.assertRulesHold()
@@ -113,7 +113,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [321, 322, 323, 324])
-    fun `workers reach no controller while direct commands reach them`(seed: Long) {
+    fun `no rule is broken when workers reach no controller while direct commands reach them`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 4, teamCpus = 200.0))
         site.services(6)
         site.arrays(16)
@@ -124,14 +124,14 @@
         (1..4).forEach { site.cancel(id(it * 3)) }
         site.run(SimSite.LEASE_S + 8.0)
         assertTrue(site.network.lost > 3)
-        assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
+        assertTrue(site.leasesOrMachinesLost > 0, "no lease expired")
         site.run(15.0)
         site.assertRulesHold()
     }
 
     @ParameterizedTest
     @ValueSource(longs = [331, 332, 333, 334])
-    fun `answers and commands to machines are lost while their heartbeats arrive, and jobs are cancelled`(seed: Long) {
+    fun `cancelled jobs end in time when answers and commands to their machines are lost while heartbeats arrive`(seed: Long) {
         val site = wide(seed)
         site.services(6)
         longArrays(site, jobs = 8, tasks = 3)
@@ -149,13 +149,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = [341, 342, 343, 344])
-    fun `a heartbeat is held back until a new leader has acted, and then arrives there`(seed: Long) {
+    fun `no rule is broken when heartbeats are held back until there is a new leader, and then arrive there`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.services(4)
         site.arrays(14)
         site.run(24.0)
         val leaderBefore = site.state.text(Keys.LEADER)
-        // Only what workers send is held back; it is delivered to whoever has the address by then.
+        // Only messages from workers are held back; the process that listens at the address by then receives them.
         site.holdHeartbeats(site.workerNames().take(3))
         site.run(1.5)
         (0 until site.nodes).forEach { site.crash(it, 150.0 + it * 400.0) }
@@ -168,7 +168,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [351, 352, 353, 354])
-    fun `leadership passes back and forth, all controllers crash, and one restarts within a second`(seed: Long) {
+    fun `no rule is broken when leadership alternates, all controllers crash, and one restarts within a second`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
         site.services(4)
@@ -188,7 +188,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [361, 362])
-    fun `demand of urgent and normal work exceeds capacity over slow links`(seed: Long) {
+    fun `no rule is broken when demand of urgent and normal work exceeds capacity over slow links`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 500.0))
         site.network.delayMs = { 40.0 + site.sim.random.nextInt(260) }
         repeat(50) { number ->
@@ -211,7 +211,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [371, 372, 373, 374])
-    fun `a leader crashes while machines with long tasks are unreachable or lose its successor's answers`(seed: Long) {
+    fun `no rule is broken when a leader crashes while machines are unreachable or lose its successor's answers`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 4, workS = 60.0)
         site.run(25.0)
@@ -228,13 +228,13 @@
         site.cancel(id(2))
         site.run(SimSite.LEASE_S + 12.0)
         assertTrue(site.network.lost > 0)
-        assertTrue(site.leasesOrMachinesLost > 0, "no lease ran out")
+        assertTrue(site.leasesOrMachinesLost > 0, "no lease expired")
         site.assertRulesHold(200.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [381, 382, 383, 384])
-    fun `jobs are cancelled together while their machines hang`(seed: Long) {
+    fun `jobs that are cancelled together while their machines hang end in time`(seed: Long) {
         val site = wide(seed)
         longArrays(site, jobs = 10, tasks = 3)
         site.run(28.0)
@@ -242,7 +242,7 @@
         val hangingMachines = machinesOf(site, cancelled)
         hangingMachines.forEach { it.hanging = true }
         val confirmedJobs = cancelAndConfirm(site, cancelled, withinS = 2.0)
-        // Within the lease for some seeds, beyond it for others.
+        // The machines hang for less than a lease with some seeds, for longer than a lease with others.
         site.run(3.0 + 4.0 * (seed % 4))
         hangingMachines.forEach { it.resume() }
         site.run(SimSite.CANCEL_S)
@@ -252,7 +252,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [391, 392])
-    fun `users send odd requests while controllers learn of cancellations immediately`(seed: Long) {
+    fun `no rule is broken when users send odd requests while controllers receive cancellations immediately`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.cancellationsKnownImmediately = true
         site.arrays(20, tasks = 4)
--- a/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Partitions in which a host still reaches some of the others. Each rule is also broken on purpose, for the referee to see. */
+/** Partitions in which a host still reaches some of the others. Some tests break a rule on purpose for the referee to detect. */
 class PartialPartitionTest {
     @ParameterizedTest
     @ValueSource(longs = [41, 42, 43, 44])
@@ -18,7 +18,7 @@
         val launchedBefore = site.machinesLaunched
         val unresponsiveMachine = site.cutTrafficToMachine(seed.toInt() % 3)!!
         site.run(SimSite.LEASE_S + 12.0)
-        // Its tasks run elsewhere by now, and nothing new was put there.
+        // The machine's tasks run elsewhere by now, and no new task was assigned to the machine.
         assertEquals(
             emptyList<Any>(),
             site
@@ -30,16 +30,19 @@
         assertEquals(24, site.runningTasks().keys.count { it.job.text.length == 7 })
         site.run(60.0)
         assertTrue(unresponsiveMachine !in site.workerNames(), "$unresponsiveMachine was not returned")
-        assertTrue(site.machinesLaunched - launchedBefore <= 8, "${site.machinesLaunched - launchedBefore} machines rented for one")
+        assertTrue(
+            site.machinesLaunched - launchedBefore <= 8,
+            "${site.machinesLaunched - launchedBefore} machines launched to replace one",
+        )
         site.assertRulesHoldOnceHealed()
     }
 
     @Test
-    fun `the referee sees tasks moved off an unresponsive machine before its lease expires`() {
+    fun `the referee detects tasks moved off an unresponsive machine before its lease expires`() {
         val site = SimSite(Simulation(45), configuredLeaseS = 3.0)
         site.services(3)
         site.run(25.0)
-        // Only its heartbeats to the owner get through at first, then nothing: the computed end of its lease is all there is.
+        // At first only the machine's heartbeats are delivered, then no messages: the owner has only the computed end of the lease.
         site.cutTrafficToMachine(0)
         site.cutMachine(0)
         site.run(9.0)
@@ -63,8 +66,8 @@
     }
 
     @Test
-    fun `the referee sees an isolated controller whose clock lets it act for too long`() {
-        // Far beyond the drift that the protocol allows, so that the controller believes in its session lease for too long.
+    fun `the referee detects an isolated controller that acts for too long because its clock is slow`() {
+        // The drift is far beyond the protocol's bound, so that the controller treats its session lease as valid for too long.
         val site = SimSite(Simulation(64))
         site.services(5)
         site.run(40.0)
@@ -87,7 +90,7 @@
     }
 
     @Test
-    fun `assignments go on while controllers refuse each other`() {
+    fun `assignments continue while controllers are cut off from each other`() {
         val site = SimSite(Simulation(81), nodes = 5)
         site.run(20.0)
         site.cutPeers()
@@ -99,7 +102,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [91, 92, 93])
-    fun `a controller that hears none of its workers releases them before their leases expire`(seed: Long) {
+    fun `a controller that receives no heartbeats of its workers releases them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         site.services(12)
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.EnumSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Cancelling a job cancels its dependents. Each test first shows that its situation came about. */
+/** Cancelling a job cancels its dependents. Each test first asserts that its scenario occurred. */
 class PipelineCancellationTest {
     @ParameterizedTest
     @CsvSource(
@@ -52,7 +52,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [541, 542, 543])
-    fun `a cancellation races with the end of the last task, and the dependents follow the answer`(seed: Long) {
+    fun `dependents follow the reported status when a cancellation races with the end of the last task`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
         var racingCancellations = 0
@@ -72,7 +72,7 @@
             }
         }
         site.run(60.0)
-        assertTrue(racingCancellations >= 25, "$racingCancellations met an end")
+        assertTrue(racingCancellations >= 25, "$racingCancellations cancellations raced with the end of a job")
         site.assertRulesHold()
         val (done, cancelled) = (0 until 30).partition { site.user(100 + it).status == "done" }
         assertTrue(done.isNotEmpty() && cancelled.isNotEmpty(), "${done.size} done, ${cancelled.size} cancelled")
@@ -83,7 +83,7 @@
 
     @ParameterizedTest
     @EnumSource(PipelineShape::class)
-    fun `polls of all controllers right after a cancellation never go back`(shape: PipelineShape) {
+    fun `the status that controllers report right after a cancellation never reverts`(shape: PipelineShape) {
         val site = SimSite(Simulation(591L + shape.ordinal))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -112,7 +112,7 @@
         site.run(5.0)
         site.submit(SimSite.job(4, tasks = 2), listOf(id(3))) { 4.0 }
         site.run(60.0)
-        // By now the cancelled job is long over, and whoever knew it by heart has ended.
+        // The cancelled job ended long ago; the restart clears what controllers have cached of it.
         (0 until site.nodes).forEach { site.crash(it, 1500.0) }
         site.run(15.0)
         site.submit(SimSite.job(5, tasks = 2), listOf(id(1))) { 4.0 }
@@ -127,7 +127,7 @@
 
     @ParameterizedTest
     @CsvSource("606,false", "607,false", "608,true", "609,true")
-    fun `a submission races with the cancellation or the end of its dependency`(seed: Long, cancelsDependency: Boolean) {
+    fun `a job that is submitted as its dependency is cancelled or ends gets the same status`(seed: Long, cancelsDependency: Boolean) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
         var racingSubmissions = 0
--- a/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -5,11 +5,15 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Pipelines are cancelled or go on while controllers or the state service fail. Each test first shows that its situation came about. */
+/** Pipelines are cancelled or continue while controllers or the state service fail. Each test first asserts that its scenario occurred. */
 class PipelineFaultTest {
     @ParameterizedTest
     @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
-    fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, crashFirst: Boolean) {
+    fun `dependents are cancelled when the leader crashes just before or just after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        crashFirst: Boolean,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -26,7 +30,11 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
-    fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageSeconds: Double) {
+    fun `dependents are cancelled when the state service is down right after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        outageSeconds: Double,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -44,7 +52,7 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,566", "DIAMOND,567")
-    fun `a job is cancelled while the state service is out, and its dependency ends meanwhile`(shape: PipelineShape, seed: Long) {
+    fun `no rule is broken when a job is cancelled and its dependency ends in an outage`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         site.awaitRunning(1)
@@ -64,7 +72,11 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
-    fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downSeconds: Double) {
+    fun `dependents are cancelled when all controllers crash right after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        downSeconds: Double,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -72,7 +84,7 @@
         site.cancelAndConfirm(cancelled)
         val cancelledBefore = shape.after(cancelled).filter { site.user(it).status == "aborted" }
         (0 until site.nodes).forEach { site.crash(it, downSeconds * 1000) }
-        assertTrue(cancelledBefore.size < shape.after(cancelled).size, "all were told before")
+        assertTrue(cancelledBefore.size < shape.after(cancelled).size, "all dependents were reported cancelled before the crash")
         site.run(downSeconds + SimSite.CANCEL_S)
         site.assertStatus("aborted", shape.after(cancelled))
         site.assertRulesHold()
@@ -81,12 +93,12 @@
 
     @ParameterizedTest
     @CsvSource("FAN,574", "FAN,575", "FAN,579")
-    fun `the leader crashes, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
+    fun `a pipeline is cancelled when the leader crashes and the state service is down as soon as its first end record is written`(
         shape: PipelineShape,
         seed: Long,
     ) {
         val site = SimSite(Simulation(seed))
-        // The whole pipeline waits, so that all of it can be closed as soon as it is cancelled.
+        // The whole pipeline is blocked, so that the end records of all its jobs can be written as soon as it is cancelled.
         site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
         site.awaitRunning(90)
         shape.jobs.forEach { number ->
@@ -107,7 +119,7 @@
         site.cancel(id(1))
         site.await(20.0) { interrupted }
         val endRecordCount = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
-        assertTrue(endRecordCount in 1 until shape.jobs.size, "$endRecordCount were closed by then")
+        assertTrue(endRecordCount in 1 until shape.jobs.size, "$endRecordCount end records were written by then")
         site.run(8.0)
         site.state.outage = false
         site.await(15.0) { site.user(1).cancelledAtMs != null }
@@ -118,7 +130,7 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
-    fun `all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
+    fun `a pipeline is done although all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
         var crashesTriggered = 0
         site.onJobComplete = { user ->
@@ -129,14 +141,14 @@
         }
         site.submitAll(shape, workS = 6.0)
         site.run(60.0)
-        assertTrue(crashesTriggered > 0, "no last task ended")
+        assertTrue(crashesTriggered > 0, "no job's last task ended")
         site.assertRulesHold()
         site.assertStatus("done", shape.jobs)
     }
 
     @ParameterizedTest
     @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
-    fun `the leader alone is refused by the state service while a job is cancelled`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
+    fun `dependents are cancelled when the state service refuses only the leader`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 10.0)
         val cancelled = shape.levels[1].first()
@@ -148,11 +160,11 @@
         site.run(0.5)
         site.cancelAndConfirm(cancelled)
         repeat(25) {
-            // It has to say what is so, or nothing.
+            // The refused leader has to answer polls correctly or not at all.
             shape.jobs.forEach { site.poll(id(it), refusedLeader) }
             site.run(1.0)
         }
-        assertTrue(site.network.refusals > refusalsBefore, "it was not refused")
+        assertTrue(site.network.refusals > refusalsBefore, "the state service refused no request of the leader")
         site.serveController(refusedLeader)
         site.heal()
         site.run(SimSite.CANCEL_S - 25.0)
--- a/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineOrderTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Jobs that depend on others start in order. Each test first shows that its situation came about. */
+/** Jobs that depend on others start in order. Each test first asserts that its scenario occurred. */
 class PipelineOrderTest {
     @ParameterizedTest
     @CsvSource("CHAIN,501", "CHAIN,502", "DIAMOND,503", "DIAMOND,504", "FAN,505", "FAN,506")
@@ -14,7 +14,7 @@
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workS = 5.0)
         val last = shape.levels.last().single()
-        // A service may come after arrays.
+        // A service may depend on arrays.
         site.submit(SimSite.job(500, tasks = 2, service = true, spot = false), listOf(id(last))) { null }
         site.run(60.0)
         site.assertRulesHold()
@@ -23,7 +23,7 @@
         for ((job, jobDependencies) in shape.dependencies) {
             val releasedAtMillis = jobDependencies.maxOf { site.user(it).completedAtMs!! }
             val waitedMillis = site.user(job).firstStartAtMs!! - releasedAtMillis
-            assertTrue(waitedMillis in 0.0..MAX_RELEASE_DELAY_MILLIS, "job-$job began $waitedMillis ms after its release")
+            assertTrue(waitedMillis in 0.0..MAX_RELEASE_DELAY_MILLIS, "job-$job started $waitedMillis ms after its release")
         }
     }
 
@@ -45,22 +45,22 @@
 
     @ParameterizedTest
     @ValueSource(longs = [516, 517])
-    fun `a dependent job is added late, while its dependency runs`(seed: Long) {
+    fun `a dependent job that is submitted while its dependency runs starts after it`(seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submit(SimSite.job(1, tasks = 2, etaS = 30.0)) { 30.0 }
         site.awaitRunning(1)
         (0 until site.nodes).forEach { site.crash(it, 1500.0) }
         site.run(6.0)
-        // Named twice is named once.
+        // A dependency that is named twice counts once.
         site.submit(SimSite.job(2, tasks = 2), listOf(id(1), id(1))) { 4.0 }
         site.await(10.0) { site.user(2).accepted }
-        assertTrue(site.isRunning(1), "what it awaits was over already")
+        assertTrue(site.isRunning(1), "job-1 had ended already")
         site.assertRulesHold()
         site.assertStatus("done", listOf(1, 2))
     }
 
     private companion object {
-        /** How soon a released job starts where there is capacity for it or a machine has to be launched. */
+        /** The longest delay from a job's release to its start, whether there is capacity for it or a machine has to be launched. */
         const val MAX_RELEASE_DELAY_MILLIS = 30_000.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The rules of jobs that wait for others, each broken by what is changed on the way, so that the referee has to see it. */
+/** The rules for jobs with dependencies: each test breaks one by changing messages in transit, and asserts that the referee detects it. */
 class PipelineRefereeTest {
     private fun id(number: Int) = JobId("job-$number")
 
-    /** Answers to all questions about [job] say [status], with nothing done and nothing running. */
+    /** Replaces successful answers to polls of [job] with ones that report [status], no tasks done and none running. */
     private fun SimSite.forgeAnswers(job: JobId, status: String) {
         network.tamperAnswer = { passage, request, reply ->
             val isStatusPoll = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
@@ -27,10 +27,10 @@
     }
 
     @Test
-    fun `a task that starts before its job's dependency is done`() {
+    fun `the referee detects a task that starts before its job's dependency is done`() {
         val site = SimSite(Simulation(421))
         var strippedSubmissions = 0
-        // Controllers don't hear of what is awaited.
+        // Controllers receive submissions without their dependencies.
         site.network.tamperRequest = { from, request ->
             val text = request.body.decodeToString()
             if (from == "users" && "\"awaits\"" in text) {
@@ -42,12 +42,12 @@
         }
         site.submitDependentPair(workSeconds = 60.0)
         site.run(40.0)
-        assertTrue(strippedSubmissions > 0, "nothing was awaited")
+        assertTrue(strippedSubmissions > 0, "no submission named a dependency")
         site.assertSees("too_early")
     }
 
     @Test
-    fun `a job that is reported queued long after its dependency was cancelled`() {
+    fun `the referee detects a job that is reported queued long after its dependency was cancelled`() {
         val site = SimSite(Simulation(422))
         site.forgeAnswers(id(2), "queued")
         site.submitDependentPair(workSeconds = 200.0)
@@ -55,13 +55,13 @@
         site.cancel(id(1))
         site.run(5.0)
         assertEquals("aborted", site.users.getValue(id(1)).status)
-        assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "too soon: ${site.breaches}")
+        assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "detected too soon: ${site.breaches}")
         site.run(SimSite.CANCEL_S + 1.0)
         site.assertSees("orphaned")
     }
 
     @Test
-    fun `a job that is reported done although its dependency was cancelled`() {
+    fun `the referee detects a job that is reported done although its dependency was cancelled`() {
         val site = SimSite(Simulation(423))
         site.forgeAnswers(id(2), "done")
         site.submitDependentPair(workSeconds = 200.0)
@@ -72,11 +72,11 @@
     }
 
     @Test
-    fun `a job that is reported cancelled although nobody cancelled its dependency`() {
+    fun `the referee detects a job that is reported cancelled although its dependency was not cancelled`() {
         val site = SimSite(Simulation(424))
         site.forgeAnswers(id(2), "aborted")
         site.submitDependentPair(workSeconds = 200.0)
-        // Another job's cancellation is no reason.
+        // The cancellation of an unrelated job is no reason to cancel job-2.
         site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
         site.sim.after(12_000.0) { site.cancel(id(3)) }
         site.run(30.0)
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `a job that is reported cancelled although its dependency was done when it was cancelled`() {
+    fun `the referee detects a job that is reported cancelled although its dependency was done when it was cancelled`() {
         val site = SimSite(Simulation(425))
         site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
         site.await(40.0) { site.users.getValue(id(1)).completedAtMs != null }
--- a/src/test/kotlin/copperglade/sim/PipelineSubmissionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineSubmissionTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Which dependencies a submission may name, and how it is refused. */
+/** Which dependencies a submission may name, and how controllers refuse others. */
 class PipelineSubmissionTest {
     private fun siteWithRunningJobs(seed: Long): SimSite {
         val site = SimSite(Simulation(seed))
@@ -21,7 +21,7 @@
         return site
     }
 
-    /** The answer to one request at [node]. */
+    /** Sends [request] to [node] and returns the answer, or null if there was none. */
     private fun SimSite.answerAt(node: Int, request: Request): Reply? {
         var reply: Reply? = null
         var finished = false
@@ -33,7 +33,7 @@
         return reply
     }
 
-    /** The status of the answer to a submission of `job-[number]` with this text as the field `dependencies`. */
+    /** Submits `job-[number]` to [node] with the JSON text [dependencies] as its field `awaits`, and returns the answer. */
     private fun SimSite.submitWithDependencies(number: Int, dependencies: String, node: Int = 0): Reply? {
         val body = submissionBody(SimSite.job(number, tasks = 1), emptyList()).decodeToString().dropLast(1) + ",\"awaits\":$dependencies}"
         return answerAt(node, Request(Method.POST, "/submissions", body.encodeToByteArray()))
@@ -64,7 +64,7 @@
     @Test
     fun `null and an empty list name no dependencies`() {
         val site = siteWithRunningJobs(613)
-        // The users' part is played by hand, so that the field can be sent as it is here.
+        // The submission is changed in transit, since simulated users never send the field in this form.
         for ((number, dependencies) in listOf(51 to "null", 52 to "[]")) {
             site.network.tamperRequest = { from, request ->
                 if (from == "users" && request.method == Method.POST && "\"job-$number\"" in request.body.decodeToString()) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `an unknown dependency is no reason for a final refusal while the state service is out`() {
+    fun `an unknown dependency is no reason for a final refusal while the state service is down`() {
         val site = siteWithRunningJobs(614)
         site.state.outage = true
         site.run(1.0)
@@ -98,7 +98,7 @@
         assertEquals(422, site.submitWithDependencies(50, "[\"job-999\"]")?.status)
         val refusedNode = site.leader()!!
         site.refuseController(refusedNode)
-        // Another may have accepted it just now: the refused one can't know.
+        // Another controller may just have accepted the dependency; the refused controller can't read that.
         site.run(1.0)
         val otherNode = (refusedNode + 1) % site.nodes
         assertEquals(422, site.submitWithDependencies(50, "[\"job-999\"]", otherNode)?.status)
@@ -122,7 +122,7 @@
                 assertEquals(status, Json.read(reply!!.body)!!.stringOrNull("status"), "job-$number with $dependencies")
             }
         }
-        // The repeats have changed nothing.
+        // The repeated submissions have changed nothing.
         site.assertNeverStarted(listOf(2))
         site.repeatSubmission(site.user(2))
         site.assertRulesHold(240.0)
--- a/src/test/kotlin/copperglade/sim/PreemptionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PreemptionTest.kt
@@ -5,11 +5,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** More important work stops lower work that takes a while to save. */
+/** Preemption of tasks of lower priority that take seconds to save a checkpoint. */
 class PreemptionTest {
     @ParameterizedTest
     @ValueSource(longs = [2701, 2702, 2703])
-    fun `tasks that wait for preempted work to checkpoint wait together, not one after the other`(seed: Long) {
+    fun `tasks that wait for the checkpoints of preempted tasks wait in parallel, not one after the other`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 200.0, guaranteedCpus = 200.0))
         site.submit(
             SimSite.job(1, tasks = 32, cpus = 4.0, etaS = 300.0, saveS = CHECKPOINT_DURATION_SECONDS, priority = "best_effort"),
--- a/src/test/kotlin/copperglade/sim/PrematureAssignmentTest.kt
+++ b/src/test/kotlin/copperglade/sim/PrematureAssignmentTest.kt
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test
 import java.util.BitSet
 
-/** What an owner does with assignments that no leader of this version writes, as one that ignores dependencies would. */
+/** Shard owners must not start early what a leader of an earlier version, which ignores dependencies, may have assigned. */
 class PrematureAssignmentTest {
     private fun SimSite.revisionOf(key: String): Long {
         var revision = 0L
@@ -27,7 +27,7 @@
         return revision
     }
 
-    /** Assigns a task of [job] to each of the shards there are, whatever the job waits for. */
+    /** Writes assignments of one task of [job] to each existing shard, whatever the job's dependencies. */
     private fun SimSite.assignToEveryShard(job: JobId) {
         val shards = state.keys("${Keys.CURRENT}block/")
         val groups = shards.mapIndexed { task, key ->
@@ -58,7 +58,7 @@
         site.await(40.0) { site.runningTasks().keys.any { it.job == JobId("job-1") } }
         site.assignToEveryShard(JobId("job-2"))
         site.run(15.0)
-        assertTrue(site.users.getValue(JobId("job-1")).completedAtMs == null, "the first job was over too soon for this test")
+        assertTrue(site.users.getValue(JobId("job-1")).completedAtMs == null, "job-1 ended before the check")
         site.assertRulesHold()
     }
 }
--- a/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProcessRestartTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Controllers and machines that are back within a fraction of a second, and controllers that are paused. */
+/** Controllers and machines that restart within a fraction of a second, and controllers that are paused. */
 class ProcessRestartTest {
     @ParameterizedTest
     @ValueSource(longs = [71, 72, 73, 74, 75, 76])
@@ -19,14 +19,14 @@
         repeat(5) {
             site.sim.after(12_000.0 + random.nextInt(60_000)) {
                 when (random.nextInt(4)) {
-                    // All together, and some of them once more in the middle of the election.
+                    // All controllers restart together, and some of them once more in the middle of the election.
                     0 -> (0 until site.nodes).forEach { node ->
                         site.crash(node, 100.0 + random.nextInt(300))
                         if (random.nextBoolean()) site.sim.after(500.0 + random.nextInt(800)) { site.crash(node, 150.0) }
                     }
                     1 -> site.rebootMachine(random.nextInt(4))
                     2 -> {
-                        // Its last transactions arrive after its successor's first.
+                        // The controller's last transactions arrive after its successor's first ones.
                         val node = random.nextInt(site.nodes)
                         site.cutController(node, "state")
                         site.sim.after(400.0) { site.crash(node, 200.0) }
@@ -42,10 +42,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = [78, 79])
-    fun `a machine whose sequence numbers start again is given work soon`(seed: Long) {
+    fun `a machine whose sequence numbers start again gets tasks soon`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 1, teamCpus = 200.0))
         site.services(4, tasks = 8)
-        // Long enough that its new sequence numbers stay below its old ones for minutes.
+        // The machine has run for long enough that its new sequence numbers stay below its old ones for minutes.
         site.run(150.0)
         val rebootedMachine = site
             .runningTasks()
@@ -53,17 +53,17 @@
             .first()
             .name
         site.rebootMachine(site.workerNames().indexOf(rebootedMachine))
-        // Its tasks are started there again at once; the next work comes when its old heartbeats are long past.
+        // The machine's tasks are started there again at once; the next jobs are submitted long after its old heartbeats.
         site.run(12.0)
         repeat(4) { site.cancel(JobId("job-${500 + it}")) }
         repeat(4) { site.submit(SimSite.job(600 + it, tasks = 8, service = true, spot = false)) { null } }
         site.run(20.0)
-        assertTrue(site.runningTasks().values.any { it.name == rebootedMachine }, "$rebootedMachine stays empty")
+        assertTrue(site.runningTasks().values.any { it.name == rebootedMachine }, "$rebootedMachine runs no task")
         assertEquals(emptyList<String>(), site.breaches)
     }
 
     @Test
-    fun `the referee sees a machine that was written off although it was back at once`() {
+    fun `the referee detects a machine that is written off too early after the controllers restart`() {
         val site = SimSite(Simulation(77), configuredLeaseS = 2.0)
         site.services(4)
         site.run(30.0)
@@ -89,7 +89,7 @@
         site.arrays(16)
         repeat(3) { number ->
             site.sim.after(14_000.0 + number * 22_000 + random.nextInt(9_000)) {
-                // Whoever it is: leader, owner, amid a transaction or with an endorsement given.
+                // The paused controller may be the leader or a shard owner, be in a transaction, or have given an endorsement.
                 if (random.nextInt(3) == 0) {
                     site.state.outage = true
                     site.sim.after(2_500.0) { site.state.outage = false }
--- a/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** The real controllers against stand-ins in simulated time, with the referee looking on. */
+/** Runs the real controllers against stand-ins in simulated time, while the referee checks the protocol's rules. */
 class ProtocolRulesTest {
     private fun submitLoad(site: SimSite, jobs: Int = 14) {
         val random = site.sim.random
@@ -42,7 +42,7 @@
         site.run(180.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        assertTrue(site.starts > 0, "nothing ran")
+        assertTrue(site.starts > 0, "no task started")
         val unfinished = site.users.values
             .filter { it.work(0) != null && !it.finished }
             .map { it.spec.id }
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `a scenario without faults serves every job and leaves only final records`() {
+    fun `a scenario without faults serves every job and leaves only end records`() {
         val site = SimSite(Simulation(1))
         submitLoad(site)
         site.run(120.0)
@@ -60,9 +60,9 @@
     }
 
     @Test
-    fun `the referee sees tasks that run twice when controllers do not wait for the lease`() {
+    fun `the referee detects tasks that run twice when controllers do not wait for the lease`() {
         val site = SimSite(Simulation(3), configuredLeaseS = 2.0)
-        // What may be stopped for the service leaves room for it at once.
+        // Preempting job-2 leaves capacity for the service at once.
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
         site.run(20.0)
@@ -78,7 +78,7 @@
     }
 
     @Test
-    fun `the referee sees a team beyond its limit`() {
+    fun `the referee detects a team beyond its limit`() {
         val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredCpusMax = 60.0)
         site.submit(SimSite.job(1, tasks = 20)) { 30.0 }
         site.run(30.0)
@@ -86,24 +86,24 @@
     }
 
     @Test
-    fun `the referee sees tasks that outlive their job's cancellation`() {
+    fun `the referee detects tasks that outlive their job's cancellation`() {
         val site = SimSite(Simulation(5))
         site.submit(SimSite.job(1, tasks = 4)) { 300.0 }
         site.run(25.0)
-        // The user believes it is cancelled, though nobody was asked.
+        // The user's cancellation counts as confirmed, although no controller received it.
         site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
         site.run(SimSite.CANCEL_S + 5.0)
         assertTrue(site.breaches.any { it.startsWith("ran_cancelled") }, "${site.breaches}")
     }
 
     @Test
-    fun `an outage of the state service as long as two leases costs no task`() {
+    fun `an outage of the state service that is longer than a lease ends no task`() {
         val site = SimSite(Simulation(6))
         site.submit(SimSite.job(1, tasks = 6)) { 200.0 }
         site.run(30.0)
         val assignmentsBefore = site.runningTasks().toMap()
         assertEquals(6, assignmentsBefore.size)
-        // Session leases are far shorter than this outage: it takes the peers' endorsements to outlive it.
+        // Session leases are far shorter than this outage: only the peers' endorsements let shard owners extend their workers' leases.
         site.state.outage = true
         site.run(14.0)
         site.state.outage = false
@@ -112,7 +112,7 @@
     }
 
     @Test
-    fun `the workers of an isolated controller find another before their leases expire`() {
+    fun `the workers of an isolated controller find another controller before their leases expire`() {
         val site = SimSite(Simulation(7))
         site.submit(SimSite.job(1, tasks = 24, service = true, spot = false)) { null }
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/copperglade/sim/RandomFaultsTest.kt
@@ -10,7 +10,7 @@
 class RandomFaultsTest {
     private fun dependentId(number: Int) = JobId("job-${100 + number}")
 
-    /** Jobs that depend on one or two of the other load, and most of them on one of their own kind. */
+    /** Submits jobs that depend on one or two of the other jobs, and most of them also on the previous one submitted here. */
     private fun submitPipelines(site: SimSite) = repeat(DEPENDENT_COUNT) { number ->
         site.after(number * 9.0 + 2.0) {
             val random = site.sim.random
@@ -59,7 +59,7 @@
         assertTrue(faults >= 8)
         assertTrue(
             site.users.values.count { it.dependencies.isNotEmpty() && it.accepted } >= DEPENDENT_COUNT / 2,
-            "few jobs awaited others",
+            "too few jobs with dependencies were accepted",
         )
         site.run(6.0)
         site.network.duplicateOneIn = 0
--- a/src/test/kotlin/copperglade/sim/RefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/RefereeTest.kt
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * For each rule, controllers that break it: their settings are wrong, or what they say and hear is changed on the way, so
- * that they behave like faulty ones. Rules that are not here are broken on purpose next to the tests of what guards them.
+ * The referee detects controllers that break a rule: their settings are wrong, or their messages are changed in transit, so that they
+ * behave like faulty ones. Rules that are not here are broken on purpose next to the tests of the code that upholds them.
  */
 class RefereeTest {
     private fun SimSite.tamperAnswersTo(path: String, change: (String, Reply) -> Reply) {
@@ -17,9 +17,9 @@
     }
 
     @Test
-    fun `a task in a zone that its job does not allow`() {
+    fun `the referee detects a task in a zone that its job does not allow`() {
         val site = SimSite(Simulation(401))
-        // Workers of the north are taken for ones of the south.
+        // Controllers receive heartbeats of workers in the north zone as if they were from the south zone.
         site.network.tamperRequest = { _, request ->
             if (request.path != "/checkin") {
                 request
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a job that nobody submitted`() {
+    fun `the referee detects a job that was never submitted`() {
         val site = SimSite(Simulation(402))
         site.network.tamperAnswer = { passage, request, reply ->
             if (passage.to == "users" && request.method == Method.GET &&
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `a job that was done and then is not`() {
+    fun `the referee detects a job that is reported done and then running`() {
         val site = SimSite(Simulation(403))
         site.submit(SimSite.job(1, tasks = 1)) { 2.0 }
         site.run(40.0)
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `an accepted job that is refused when it is submitted once more`() {
+    fun `the referee detects an accepted job that is refused when it is submitted once more`() {
         val site = SimSite(Simulation(404))
         site.submit(SimSite.job(1, tasks = 1)) { 200.0 }
         site.run(20.0)
@@ -86,11 +86,11 @@
     }
 
     @Test
-    fun `a start after the cancellation was confirmed`() {
+    fun `the referee detects a start after the cancellation was confirmed`() {
         val site = SimSite(Simulation(405))
         site.submit(SimSite.job(1, tasks = 40)) { 6.0 }
         site.run(15.0)
-        // The user is told so, though nothing was written.
+        // The user's cancellation counts as confirmed, although it was not written.
         site.network.drops = { it.path.endsWith("/cancel") }
         site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
         site.run(20.0)
@@ -98,8 +98,8 @@
     }
 
     @Test
-    fun `a job left waiting despite free capacity`() {
-        // Controllers believe that the team is at its limit.
+    fun `the referee detects a job left waiting despite free capacity`() {
+        // By the controllers' settings, the team is at its limit.
         val site = SimSite(Simulation(406), configuredCpusMax = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         site.submit(SimSite.job(2, tasks = 4)) { 5.0 }
@@ -109,7 +109,7 @@
     }
 
     @Test
-    fun `a class of which less than half is served`() {
+    fun `the referee detects a workload class of which less than half is served`() {
         val site = SimSite(Simulation(407), configuredCpusMax = 2.0)
         site.submit(SimSite.job(1, tasks = 1, service = true)) { null }
         repeat(4) { number -> site.submit(SimSite.job(2 + number, tasks = 4)) { 5.0 } }
@@ -119,7 +119,7 @@
     }
 
     @Test
-    fun `jobs that are accepted though they lack a field or fit no machine`() {
+    fun `the referee detects jobs that are accepted although they lack a field or fit no machine`() {
         val site = SimSite(Simulation(408))
         site.network.tamperRequest = { from, request ->
             val text = request.body.decodeToString()
--- a/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
+++ b/src/test/kotlin/copperglade/sim/ReturningControllersTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Controllers that were silent for a minute or more come back, also just as something else goes wrong. */
+/** Controllers that were unreachable for a minute or more return, also just as another fault occurs. */
 class ReturningControllersTest {
     private val siteScale = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
 
@@ -21,9 +21,9 @@
     private fun SimSite.firstNodeExcept(excluded: Int) = (0 until nodes).first { it != excluded }
 
     /**
-     * One controller has been down for long, and another loses its workers, which reach nobody until their leases have run
-     * out; just then the first comes back. What was lost runs again as soon as the leases are over, counted from the new grant
-     * of the shards and not from that return.
+     * One controller has been down for a long time, and another loses its workers, which reach no controller until their leases have
+     * expired; just then the first controller returns. The lost tasks run again as soon as the leases have expired, counted from the new
+     * grant of the shards and not from the controller's return.
      */
     @ParameterizedTest
     @ValueSource(longs = [2501, 2502, 2503, 2504, 2505, 2506])
@@ -43,12 +43,12 @@
             lostReplicaSeconds += 0.5 * (48 - site.runningTasks().size)
         }
         assertEquals(48, site.runningTasks().size)
-        assertTrue(lostReplicaSeconds > 0.0, "no lease ran out")
-        assertTrue(lostReplicaSeconds < MAX_LOST_REPLICA_SECONDS, "$lostReplicaSeconds s of replicas were lost")
+        assertTrue(lostReplicaSeconds > 0.0, "no lease expired")
+        assertTrue(lostReplicaSeconds < MAX_LOST_REPLICA_SECONDS, "$lostReplicaSeconds replica-seconds were lost")
         site.assertRulesHold()
     }
 
-    /** It is paused for a minute, longer than any lease, and resumes with all that it was about to send. */
+    /** A controller is paused for at least a minute, longer than any lease, and sends its pending messages when it resumes. */
     @ParameterizedTest
     @ValueSource(longs = [2511, 2512, 2513, 2514])
     fun `a controller that was unreachable for a minute breaks no rule and regains its shards`(seed: Long) {
@@ -66,11 +66,11 @@
         site.cancel(runningServices.first().job)
         site.run(80.0)
         val ownerNodes = site.workerNames().map(site::ownerOf).toSet()
-        assertTrue(pausedNode in ownerNodes, "it has no workers again: $ownerNodes")
+        assertTrue(pausedNode in ownerNodes, "the resumed controller owns no workers again: $ownerNodes")
         site.assertRulesHold()
     }
 
-    /** The next one goes silent as the former comes back, twice. */
+    /** The next controller becomes unreachable as the previous one returns, twice. */
     @ParameterizedTest
     @ValueSource(longs = [2521, 2522, 2523, 2524])
     fun `controllers that become unreachable in turn break no rule`(seed: Long) {
@@ -86,10 +86,10 @@
     }
 
     private companion object {
-        /** How long after the cut the first controller is back: a little more than a lease. */
+        /** Time from the cut to the return of the first controller: a little more than a lease. */
         const val RETURN_MILLIS = 12_000.0
 
-        /** Seconds in which one replica doesn't run, all added up. */
+        /** The sum over all replicas of the seconds in which a replica doesn't run. */
         const val MAX_LOST_REPLICA_SECONDS = 205.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/ZonePartitionTest.kt
@@ -11,7 +11,7 @@
 class ZonePartitionTest {
     @ParameterizedTest
     @ValueSource(longs = [111, 112, 113, 114])
-    fun `a zone partitioned for longer than leases, while a controller outside crashes, breaks no rule`(seed: Long) {
+    fun `a zone partitioned for longer than leases while a controller outside it crashes breaks no rule`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         site.services(10, tasks = 2)
         site.arrays(14)
@@ -23,7 +23,10 @@
         site.run(35.0)
         site.heal()
         site.run(60.0)
-        assertTrue(site.machinesLaunched - launchedBefore <= 40, "${site.machinesLaunched - launchedBefore} machines rented for a cut")
+        assertTrue(
+            site.machinesLaunched - launchedBefore <= 40,
+            "${site.machinesLaunched - launchedBefore} machines launched for a partition",
+        )
         site.assertRulesHoldOnceHealed()
     }
 
@@ -34,11 +37,14 @@
         site.run(40.0)
         val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
         assertEquals(48, assignmentsBefore.size)
-        // Where the workers' owner is on the same side of the cut.
+        // Tasks whose worker and shard owner are on the same side of the partition.
         val keptAssignments = assignmentsBefore.filterValues { site.ownerOf(it) % 2 == SimSite.ZONES.indexOf(site.zoneOf(it)) }
-        assertTrue(keptAssignments.values.any { site.zoneOf(it) == SimSite.ZONES[1] }, "none in the zone: $keptAssignments")
+        assertTrue(
+            keptAssignments.values.any { site.zoneOf(it) == SimSite.ZONES[1] },
+            "no such task in the partitioned zone: $keptAssignments",
+        )
         site.cutZone(SimSite.ZONES[1])
-        // Longer than a session lease and a worker lease together.
+        // The partition lasts longer than a session lease and a worker lease together.
         site.run(22.0)
         site.heal()
         site.run(15.0)
@@ -48,7 +54,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = [116, 117, 118])
-    fun `the successor of a partitioned zone's owners waits until they have stopped answering`(seed: Long) {
+    fun `the successor of a partitioned zone's shard owners waits until they have stopped answering`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = if (seed % 2 == 0L) 3 else 5, scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
         site.services(12)
         site.run(40.0)
@@ -65,11 +71,11 @@
     }
 
     @Test
-    fun `the referee sees a successor that ignores answers given after the session lease`() {
-        // The others are told a shorter staleness limit than the zone's controllers keep to.
+    fun `the referee detects a successor that ignores answers given after the session lease`() {
+        // The controllers outside the zone are configured with a shorter staleness limit than the zone's controllers.
         val scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0)
         val site = SimSite(Simulation(119), nodes = 5, scale = scale, stalenessLimitOverrideS = 6.0)
-        // Preempting this work leaves capacity for the services at once.
+        // Preempting job-1 leaves capacity for the services at once.
         site.submit(SimSite.job(1, tasks = 50, spot = false)) { 600.0 }
         site.services(12)
         site.run(40.0)
