--- a/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
+++ b/src/test/kotlin/copperglade/sim/DuplicateHeartbeatTest.kt
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `the referee detects the effect of duplicates when sequence numbers are forged`() {
+    fun `the referee detects what duplicates would cause without sequence numbers`() {
         val sites = (57L..60L).map { seed ->
             val site = SimSite(Simulation(seed))
             site.network.duplicateOneIn = 2
