--- a/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
+++ b/src/main/kotlin/copperglade/transport/NettyHttpClient.kt
@@ -12,11 +12,11 @@
 import kotlin.time.Duration
 
 /**
- * Sends requests over connections that are kept open and reused. Where [connectionLimit] is reached, the connection that has been idle for
- * longest is closed in favour of a new one; where none is idle, the request waits for one.
+ * Sends requests over connections that are kept open and reused. At [connectionLimit] connections, a new connection replaces the one
+ * that has been idle for longest; where none is idle, the request is queued until a connection is free.
  *
- * @param heapBytes the bytes that the heap may take: the limit of a response follows from it.
- * @param unlimitedEndpoints are connected to whatever the limit; there are few of them.
+ * @param heapBytes the heap budget, from which the maximum size of a response is derived.
+ * @param unlimitedEndpoints the few endpoints to which connections are opened regardless of [connectionLimit].
  */
 class NettyHttpClient(
     private val loop: NettyEventLoop,
@@ -25,19 +25,19 @@
     private val unlimitedEndpoints: Set<Endpoint> = emptySet(),
 ) : HttpClient {
     /**
-     * A sixteenth of the heap: a response is held several times over while it is read as a tree. A larger one counts as none; the
-     * state service's changes after a long absence are the only response without a bound.
+     * A sixteenth of the heap, since a response takes several times its size while it is parsed into a tree. A larger response counts
+     * as no reply. The only response of unbounded size is the state service's list of changes after a long disconnection.
      */
     private val maxResponseBytes = (heapBytes / HEAP_DIVISOR).coerceIn(MIN_RESPONSE_LIMIT_BYTES, Int.MAX_VALUE.toLong()).toInt()
     private val pool = ClientConnectionPool()
 
-    /** Open or being opened. */
-    var connections = 0
+    /** The number of connections that are open or being opened. */
+    var connectionCount = 0
         private set
 
-    /** Requests that no connection was free for, in order of their coming. */
-    private val waiting = ArrayDeque<PendingRequest>()
-    private var sendingWaiting = false
+    /** Requests for which no connection was free, in order of arrival. */
+    private val queuedRequests = ArrayDeque<PendingRequest>()
+    private var isSendingQueued = false
     private val bootstrap = Bootstrap()
         .group(loop.group)
         .channel(NioSocketChannel::class.java)
@@ -49,46 +49,49 @@
         val idle = pool.take(to)
         when {
             idle != null -> idle.send(pending)
-            to in unlimitedEndpoints || mayConnect() -> connect(pending)
-            else -> waiting.addLast(pending)
+            to in unlimitedEndpoints || canConnect() -> connect(pending)
+            else -> queuedRequests.addLast(pending)
         }
     }
 
-    /** Whether a connection may be opened, if need be after closing the one that has been idle for longest. */
-    private fun mayConnect(): Boolean {
-        if (connections < connectionLimit) return true
-        return pool.closeLongestIdle(unlimitedEndpoints) && connections < connectionLimit
+    /** Whether a connection may be opened; at the limit, closes the connection that has been idle for longest to make room for it. */
+    private fun canConnect(): Boolean {
+        if (connectionCount < connectionLimit) return true
+        return pool.closeLongestIdle(unlimitedEndpoints) && connectionCount < connectionLimit
     }
 
-    /** Closing a connection in favour of another calls back here before it returns: one call at a time. */
-    private fun sendWaiting() {
-        if (sendingWaiting) return
-        sendingWaiting = true
-        while (waiting.isNotEmpty()) {
-            val next = waiting.first()
+    /**
+     * Sends queued requests while connections are free. Closing an idle connection calls this function again; the nested call returns at
+     * once.
+     */
+    private fun sendQueued() {
+        if (isSendingQueued) return
+        isSendingQueued = true
+        while (queuedRequests.isNotEmpty()) {
+            val next = queuedRequests.first()
             val idle = if (next.isFinished) null else pool.take(next.endpoint)
-            if (idle == null && !next.isFinished && !mayConnect()) break
-            waiting.removeFirst()
+            if (idle == null && !next.isFinished && !canConnect()) break
+            queuedRequests.removeFirst()
             if (idle != null) {
                 idle.send(next)
             } else if (!next.isFinished) {
                 connect(next)
             }
         }
-        sendingWaiting = false
+        isSendingQueued = false
     }
 
     private fun connect(pending: PendingRequest) {
-        val connection = ClientConnection(pending.endpoint, loop.barrier, pool, ::sendWaiting)
-        connections++
+        val connection = ClientConnection(pending.endpoint, loop.barrier, pool, ::sendQueued)
+        connectionCount++
         val connecting = bootstrap
             .clone()
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, pending.timeout.inWholeMilliseconds.toInt())
             .handler(initializerOf(connection))
             .connect(pending.endpoint.host, pending.endpoint.port)
         connecting.channel().closeFuture().addListener {
-            connections--
-            sendWaiting()
+            connectionCount--
+            sendQueued()
         }
         connecting.addListener {
             when {
