--- a/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
+++ b/src/test/kotlin/copperglade/settings/StateLimitSettingsTest.kt
@@ -22,17 +22,17 @@
     ) { listOf(stateRequestsPerSecond, stateWritesPerSecond, maxValueKb, maxTransactionWrites) }
 
     @Test
-    fun `the lower one of present and announced limits holds, field by field`() {
+    fun `for each field the lower of the current and the announced limit applies`() {
         assertEquals(listOf(80.0, 25.5, 2.0, 4), limits(""","next":{"rps":80,"write_rps":25.5,"value_kb":2,"txn_ops":4}"""))
         assertEquals(listOf(100.0, 50.0, 2.0, 12), limits(""","next":{"rps":200,"value_kb":2,"txn_ops":null,"other":"x"}"""))
     }
 
     @Test
-    fun `without announced limits the present ones hold`() {
-        val present = listOf(100.0, 50.0, 4.0, 12)
-        assertEquals(present, limits(""))
-        assertEquals(present, limits(""","next":null"""))
-        assertEquals(present, limits(""","next":{}"""))
+    fun `without announced limits the current limits apply`() {
+        val currentLimits = listOf(100.0, 50.0, 4.0, 12)
+        assertEquals(currentLimits, limits(""))
+        assertEquals(currentLimits, limits(""","next":null"""))
+        assertEquals(currentLimits, limits(""","next":{}"""))
     }
 
     @ParameterizedTest
@@ -45,8 +45,8 @@
         "'{\"txn_ops\":false}', state.next.txn_ops",
         "'{\"txn_ops\":0.5}', txn_ops",
     )
-    fun `bad announced limits are named`(next: String, field: String) {
-        val fault = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
-        assertTrue(field in fault.message!!, fault.message)
+    fun `the error for an invalid announced limit names the field`(next: String, field: String) {
+        val exception = assertThrows(InvalidSettingException::class.java) { settings(""","next":$next""") }
+        assertTrue(field in exception.message!!, exception.message)
     }
 }
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -16,7 +16,11 @@
      */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
-        site.submit(SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, etaS = 300.0, saveS = CHECKPOINT_DURATION_SECONDS)) { 300.0 }
+        site.submit(
+            SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, estimatedSeconds = 300.0, checkpointSeconds = CHECKPOINT_DURATION_SECONDS),
+        ) {
+            300.0
+        }
         site.await(60.0) { site.runningTasks().size == 16 }
         site.submit(SimSite.job(2, tasks = 3, cpus = 8.0, service = true, spot = false)) { null }
         site.await(30.0) { site.checkpointingTasks().size > 1 }
@@ -36,7 +40,7 @@
     @ValueSource(longs = [2301, 2302, 2303])
     fun `a cancellation ends checkpointing at once`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
-        site.cancellationsKnownImmediately = true
+        site.cancellationsReplicatedAtOnce = true
         cancelAndAwaitEnd(site, timeoutSeconds = 3.0)
     }
 
@@ -45,7 +49,7 @@
     fun `a cancellation ends checkpointing in time when the leader crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(site.leader()!!)
-        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
@@ -61,7 +65,7 @@
                     .name,
             ),
         )
-        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_S)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/ControllerFaultTest.kt
@@ -23,7 +23,7 @@
         sim.after(number * 1_000.0) {
             val dependencies = listOfNotNull(dependencyOf(number)).map { JobId("job-$it") }
             val taskSeconds = workSeconds(number)
-            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), etaS = 10.0), dependencies) { taskSeconds }
+            submit(SimSite.job(number, tasks = 1 + sim.random.nextInt(maxTasks), estimatedSeconds = 10.0), dependencies) { taskSeconds }
         }
     }
 
@@ -35,7 +35,7 @@
         repeat(JOB_COUNT) { number ->
             site.sim.after(number * 2_000.0) {
                 val dependencies = if (number % 3 == 0) emptyList() else listOf(JobId("job-$number"))
-                val spec = SimSite.job(number + 1, tasks = 1 + random.nextInt(8), etaS = 12.0)
+                val spec = SimSite.job(number + 1, tasks = 1 + random.nextInt(8), estimatedSeconds = 12.0)
                 val workSeconds = 3.0 + random.nextDouble() * 20
                 site.submit(spec, dependencies) { workSeconds }
             }
@@ -80,7 +80,7 @@
         // Many cancellations coincide with the end of another job, so that one read of the state service returns both.
         site.onJobComplete = { completed ->
             val nextCancelled = cancelled.firstOrNull {
-                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMs == null }
+                site.users[JobId("job-$it")]?.let { user -> user.accepted && user.cancelRequestedAtMillis == null }
                     ?: false
             }
             if (nextCancelled != null) site.sim.after(random.nextInt(600).toDouble()) { site.cancel(JobId("job-$nextCancelled")) }
@@ -139,7 +139,7 @@
         }
         repeat(JOB_COUNT) { number ->
             val tasks = if (JobId("job-$number").isFailing()) 1 else 6
-            site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, etaS = 10.0)) { 10.0 } }
+            site.sim.after(number * 1_000.0) { site.submit(SimSite.job(number, tasks, estimatedSeconds = 10.0)) { 10.0 } }
         }
         site.run(45.0)
         // Without the peer link, shard owners receive cancellations only by reading the state service.
--- a/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
+++ b/src/test/kotlin/copperglade/sim/FailingJobsTest.kt
@@ -18,8 +18,8 @@
     private fun siteWithFailingJobs(seed: Long, operatorSettings: OperatorSettings = OperatorSettings()): SimSite {
         val site = SimSite(Simulation(seed), operatorSettings = operatorSettings, scale = scale)
         site.fails = { task, _ -> task.job in failingJobs }
-        site.services(4)
-        site.arrays(16)
+        site.submitServices(4)
+        site.submitArrays(16)
         repeat(FAILING_JOB_COUNT) { number ->
             site.sim.after(6_000.0 + number * 2_500.0) { site.submit(SimSite.job(301 + number, tasks = 12)) { 8.0 } }
         }
@@ -29,7 +29,7 @@
     private fun SimSite.cancelFailingJobs() = failingJobs.forEach(::cancel)
 
     private fun SimSite.countDoneHealthyJobs() = users.values.count {
-        it.work(0) != null && it.spec.id !in failingJobs &&
+        it.workSeconds(0) != null && it.spec.id !in failingJobs &&
             it.status == "done"
     }
 
@@ -89,7 +89,7 @@
         val partlyFailingJob = JobId("job-301")
         site.fails = { task, _ -> task.job == partlyFailingJob && task.index % 3 == 0 }
         site.submit(SimSite.job(301, tasks = 60)) { 6.0 }
-        site.arrays(6)
+        site.submitArrays(6)
         site.run(100.0)
         assertEquals(
             40,
--- a/src/test/kotlin/copperglade/sim/FleetTest.kt
+++ b/src/test/kotlin/copperglade/sim/FleetTest.kt
@@ -41,18 +41,18 @@
         val assignmentsBefore = site.runningTasks().filterKeys { it in runningServices }.mapValues { it.value.name }
         (0 until site.nodes).forEach { site.crash(it, 3000.0) }
         site.run(5.0)
-        val callsBefore = site.network.calls
+        val callsBefore = site.network.requestsSent
         site.run(30.0)
         // Within a lease, every worker is fenced and every poll is answered, and no service was moved.
         val assignmentsAfter = site.runningTasks().filterKeys { it in runningServices }.mapValues { it.value.name }
         assertEquals(assignmentsBefore, assignmentsAfter)
         // The messages stay in proportion to the fleet: heartbeats, their commands, users' polls, and little else.
-        val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
+        val messagesPerMachine = (site.network.requestsSent - callsBefore).toDouble() / site.workerCount()
         assertTrue(messagesPerMachine < 120.0, "$messagesPerMachine messages per machine in 30 s")
         site.run(60.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        val unfinished = site.users.values.count { it.work(0) != null && !it.finished }
+        val unfinished = site.users.values.count { it.workSeconds(0) != null && !it.finished }
         assertEquals(0, unfinished, "arrays that never ended")
     }
 
@@ -77,16 +77,18 @@
         )
         val site = SimSite(Simulation(4), scale = largestScale, nodes = 5)
         submitServices(site, 1500, cpus = 8.0)
-        repeat(110) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, etaS = 60.0)) { 60.0 } }
+        repeat(
+            110,
+        ) { number -> site.submit(SimSite.job(number + 1, tasks = 400, image = 20 + number % 9, estimatedSeconds = 60.0)) { 60.0 } }
         site.await(120.0) { site.workerCount() >= 3600 }
         assertEquals(0, site.cloudRefusals, "requests beyond the cloud's rate limit")
         site.run(20.0)
         site.crash(site.leader()!!, 3000.0)
         site.run(10.0)
-        val callsBefore = site.network.calls
+        val callsBefore = site.network.requestsSent
         site.run(20.0)
         // Messages are heartbeats, the commands that follow, polls, and little else: their number grows no faster than the fleet.
-        val messagesPerMachine = (site.network.calls - callsBefore).toDouble() / site.workerCount()
+        val messagesPerMachine = (site.network.requestsSent - callsBefore).toDouble() / site.workerCount()
         assertTrue(messagesPerMachine < 60.0, "$messagesPerMachine messages per machine in 20 s")
         site.network.duplicateOneIn = 4
         site.run(10.0)
@@ -98,7 +100,7 @@
         site.run(200.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        assertEquals(0, site.users.values.count { it.work(0) != null && !it.finished }, "arrays that never ended")
+        assertEquals(0, site.users.values.count { it.workSeconds(0) != null && !it.finished }, "arrays that never ended")
         assertEquals(1500, site.runningTasks().keys.count { it.job.text.length == "job-10000".length })
     }
 
@@ -123,7 +125,7 @@
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.work(0) != null && !it.finished }
+                .filter { it.workSeconds(0) != null && !it.finished }
                 .map { it.spec.id },
         )
         assertEquals(80, site.runningTasks().keys.count { it.job.text.length == "job-10000".length })
--- a/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
+++ b/src/test/kotlin/copperglade/sim/LoweredLimitsTest.kt
@@ -30,7 +30,7 @@
 
     private fun SimSite.restartWithLoweredLimits(node: Int) {
         nodesWithOldLimits -= node
-        crash(node, backAfterMs = 1500.0)
+        crash(node, restartAfterMillis = 1500.0)
     }
 
     private fun SimSite.largestPackedRecord(): Int = JobKind.entries
--- a/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
+++ b/src/test/kotlin/copperglade/sim/PartialPartitionTest.kt
@@ -12,12 +12,12 @@
     @ValueSource(longs = [41, 42, 43, 44])
     fun `a machine that receives nothing loses its tasks and is replaced once`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 6))
-        site.services(6)
-        site.arrays(10)
+        site.submitServices(6)
+        site.submitArrays(10)
         site.run(30.0)
         val launchedBefore = site.machinesLaunched
         val unresponsiveMachine = site.cutTrafficToMachine(seed.toInt() % 3)!!
-        site.run(SimSite.LEASE_S + 12.0)
+        site.run(SimSite.LEASE_SECONDS + 12.0)
         // The machine's tasks run elsewhere by now, and no new task was assigned to the machine.
         assertEquals(
             emptyList<Any>(),
@@ -39,21 +39,21 @@
 
     @Test
     fun `the referee detects tasks moved off an unresponsive machine before its lease expires`() {
-        val site = SimSite(Simulation(45), configuredLeaseS = 3.0)
-        site.services(3)
+        val site = SimSite(Simulation(45), configuredLeaseSeconds = 3.0)
+        site.submitServices(3)
         site.run(25.0)
         // At first only the machine's heartbeats are delivered, then no messages: the owner has only the computed end of the lease.
         site.cutTrafficToMachine(0)
         site.cutMachine(0)
         site.run(9.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 
     @ParameterizedTest
     @ValueSource(longs = [61, 62, 63])
     fun `a controller that reaches only its workers redirects them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), nodes = 5)
-        site.services(5)
+        site.submitServices(5)
         site.run(30.0)
         val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
         assertEquals(20, assignmentsBefore.size)
@@ -69,7 +69,7 @@
     fun `the referee detects an isolated controller that acts for too long because its clock is slow`() {
         // The drift is far beyond the protocol's bound, so that the controller treats its session lease as valid for too long.
         val site = SimSite(Simulation(64))
-        site.services(5)
+        site.submitServices(5)
         site.run(40.0)
         val isolatedNode = site.ownerOf(
             site
@@ -78,7 +78,7 @@
                 .first()
                 .name,
         )
-        site.slowClock(isolatedNode, 0.1)
+        site.setClockRate(isolatedNode, 0.1)
         site
             .workerNames()
             .indices
@@ -86,7 +86,7 @@
             .forEach { site.cutMachineFromOthers(it, isolatedNode) }
         site.isolateController(isolatedNode)
         site.run(60.0)
-        site.assertSees("ran_twice")
+        site.assertBreachRecorded("ran_twice")
     }
 
     @Test
@@ -94,7 +94,7 @@
         val site = SimSite(Simulation(81), nodes = 5)
         site.run(20.0)
         site.cutPeers()
-        site.arrays(6)
+        site.submitArrays(6)
         site.run(60.0)
         assertTrue(site.completions >= 30, "${site.completions} tasks done without the peer link")
         site.assertRulesHoldOnceHealed()
@@ -104,7 +104,7 @@
     @ValueSource(longs = [91, 92, 93])
     fun `a controller that receives no heartbeats of its workers releases them before their leases expire`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 8, teamCpus = 200.0))
-        site.services(12)
+        site.submitServices(12)
         site.run(40.0)
         val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
         assertEquals(48, assignmentsBefore.size)
--- a/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -15,7 +15,7 @@
         crashFirst: Boolean,
     ) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         val formerLeader = site.leader()!!
@@ -23,7 +23,7 @@
         site.cancelAndConfirm(cancelled)
         if (!crashFirst) site.crash(formerLeader, 4000.0)
         site.await(10.0) { site.leader().let { it != null && it != formerLeader } }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -36,7 +36,7 @@
         outageSeconds: Double,
     ) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
@@ -45,7 +45,7 @@
         assertTrue(site.state.refusedInOutage > 0)
         site.state.outage = false
         site.run(20.0)
-        site.assertStatus("aborted", shape.after(cancelled))
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -54,7 +54,7 @@
     @CsvSource("CHAIN,566", "DIAMOND,567")
     fun `no rule is broken when a job is cancelled and its dependency ends in an outage`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         site.awaitRunning(1)
         val cancelled = shape.levels[1].first()
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
@@ -62,10 +62,10 @@
         site.run(1.0)
         site.cancel(id(cancelled))
         site.run(14.0)
-        assertTrue(site.user(cancelled).cancelledAtMs == null && site.user(1).completedAtMs != null, "the outage was too short")
+        assertTrue(site.user(cancelled).cancelledAtMillis == null && site.user(1).completedAtMillis != null, "the outage was too short")
         site.state.outage = false
         site.await(15.0) { site.user(cancelled).finished }
-        site.run(SimSite.CANCEL_S)
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         if (site.user(cancelled).status == "aborted") site.assertCancelledFrom(shape, cancelled) else site.assertStatus("done", shape.jobs)
     }
@@ -78,15 +78,15 @@
         downSeconds: Double,
     ) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        val cancelledBefore = shape.after(cancelled).filter { site.user(it).status == "aborted" }
+        val cancelledBefore = shape.dependentsOf(cancelled).filter { site.user(it).status == "aborted" }
         (0 until site.nodes).forEach { site.crash(it, downSeconds * 1000) }
-        assertTrue(cancelledBefore.size < shape.after(cancelled).size, "all dependents were reported cancelled before the crash")
-        site.run(downSeconds + SimSite.CANCEL_S)
-        site.assertStatus("aborted", shape.after(cancelled))
+        assertTrue(cancelledBefore.size < shape.dependentsOf(cancelled).size, "all dependents were reported cancelled before the crash")
+        site.run(downSeconds + SimSite.CANCEL_SECONDS)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
@@ -99,7 +99,7 @@
     ) {
         val site = SimSite(Simulation(seed))
         // The whole pipeline is blocked, so that the end records of all its jobs can be written as soon as it is cancelled.
-        site.submit(SimSite.job(90, tasks = 1, etaS = 20.0)) { 20.0 }
+        site.submit(SimSite.job(90, tasks = 1, estimatedSeconds = 20.0)) { 20.0 }
         site.awaitRunning(90)
         shape.jobs.forEach { number ->
             site.submit(SimSite.job(number, tasks = 1), (shape.dependencies[number] ?: listOf(90)).map(::id)) { 5.0 }
@@ -122,8 +122,8 @@
         assertTrue(endRecordCount in 1 until shape.jobs.size, "$endRecordCount end records were written by then")
         site.run(8.0)
         site.state.outage = false
-        site.await(15.0) { site.user(1).cancelledAtMs != null }
-        site.run(SimSite.CANCEL_S)
+        site.await(15.0) { site.user(1).cancelledAtMillis != null }
+        site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, 1)
     }
@@ -139,7 +139,7 @@
                 (0 until site.nodes).forEach { site.crash(it, 4000.0) }
             }
         }
-        site.submitAll(shape, workS = 6.0)
+        site.submitAll(shape, workSeconds = 6.0)
         site.run(60.0)
         assertTrue(crashesTriggered > 0, "no job's last task ended")
         site.assertRulesHold()
@@ -150,7 +150,7 @@
     @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
     fun `dependents are cancelled when the state service refuses only the leader`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
         val site = SimSite(Simulation(seed))
-        site.submitAll(shape, workS = 10.0)
+        site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         val refusedLeader = site.leader()!!
@@ -167,8 +167,8 @@
         assertTrue(site.network.refusals > refusalsBefore, "the state service refused no request of the leader")
         site.serveController(refusedLeader)
         site.heal()
-        site.run(SimSite.CANCEL_S - 25.0)
-        site.assertStatus("aborted", shape.after(cancelled))
+        site.run(SimSite.CANCEL_SECONDS - 25.0)
+        site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
     }
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -22,7 +22,7 @@
     }
 
     private fun SimSite.submitDependentPair(workSeconds: Double) {
-        submit(SimSite.job(1, tasks = 2, etaS = workSeconds)) { workSeconds }
+        submit(SimSite.job(1, tasks = 2, estimatedSeconds = workSeconds)) { workSeconds }
         submit(SimSite.job(2, tasks = 2), listOf(id(1))) { 5.0 }
     }
 
@@ -43,7 +43,7 @@
         site.submitDependentPair(workSeconds = 60.0)
         site.run(40.0)
         assertTrue(strippedSubmissions > 0, "no submission named a dependency")
-        site.assertSees("too_early")
+        site.assertBreachRecorded("too_early")
     }
 
     @Test
@@ -56,8 +56,8 @@
         site.run(5.0)
         assertEquals("aborted", site.users.getValue(id(1)).status)
         assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "detected too soon: ${site.breaches}")
-        site.run(SimSite.CANCEL_S + 1.0)
-        site.assertSees("orphaned")
+        site.run(SimSite.CANCEL_SECONDS + 1.0)
+        site.assertBreachRecorded("orphaned")
     }
 
     @Test
@@ -68,7 +68,7 @@
         site.run(15.0)
         site.cancel(id(1))
         site.run(10.0)
-        site.assertSees("orphaned")
+        site.assertBreachRecorded("orphaned")
     }
 
     @Test
@@ -81,14 +81,14 @@
         site.sim.after(12_000.0) { site.cancel(id(3)) }
         site.run(30.0)
         assertEquals("aborted", site.users.getValue(id(3)).status)
-        site.assertSees("went_back")
+        site.assertBreachRecorded("went_back")
     }
 
     @Test
     fun `the referee detects a job that is reported cancelled although its dependency was done when it was cancelled`() {
         val site = SimSite(Simulation(425))
         site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
-        site.await(40.0) { site.users.getValue(id(1)).completedAtMs != null }
+        site.await(40.0) { site.users.getValue(id(1)).completedAtMillis != null }
         site.run(1.0)
         site.cancel(id(1))
         site.run(10.0)
@@ -96,7 +96,7 @@
         site.forgeAnswers(id(2), "aborted")
         site.submit(SimSite.job(2, tasks = 1), listOf(id(1))) { 50.0 }
         site.run(15.0)
-        site.assertSees("went_back")
+        site.assertBreachRecorded("went_back")
     }
 
     private companion object {
--- a/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
@@ -44,7 +44,7 @@
         assertEquals(emptyList<String>(), site.breaches)
         assertTrue(site.starts > 0, "no task started")
         val unfinished = site.users.values
-            .filter { it.work(0) != null && !it.finished }
+            .filter { it.workSeconds(0) != null && !it.finished }
             .map { it.spec.id }
         assertEquals(emptyList<JobId>(), unfinished, "jobs that never ended")
     }
@@ -56,12 +56,12 @@
         site.run(120.0)
         healAndAssertRulesHold(site)
         val liveJobs = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
-        assertTrue(liveJobs.all { site.users.getValue(it).work(0) == null }, "finished jobs still live: $liveJobs")
+        assertTrue(liveJobs.all { site.users.getValue(it).workSeconds(0) == null }, "finished jobs still live: $liveJobs")
     }
 
     @Test
     fun `the referee detects tasks that run twice when controllers do not wait for the lease`() {
-        val site = SimSite(Simulation(3), configuredLeaseS = 2.0)
+        val site = SimSite(Simulation(3), configuredLeaseSeconds = 2.0)
         // Preempting job-2 leaves capacity for the service at once.
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
@@ -79,7 +79,7 @@
 
     @Test
     fun `the referee detects a team beyond its limit`() {
-        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredCpusMax = 60.0)
+        val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredMaxCpus = 60.0)
         site.submit(SimSite.job(1, tasks = 20)) { 30.0 }
         site.run(30.0)
         assertTrue(site.breaches.any { it.startsWith("quota") }, "${site.breaches}")
@@ -91,8 +91,8 @@
         site.submit(SimSite.job(1, tasks = 4)) { 300.0 }
         site.run(25.0)
         // The user's cancellation counts as confirmed, although no controller received it.
-        site.users.getValue(JobId("job-1")).cancelledAtMs = site.sim.nowMs
-        site.run(SimSite.CANCEL_S + 5.0)
+        site.users.getValue(JobId("job-1")).cancelledAtMillis = site.sim.nowMillis
+        site.run(SimSite.CANCEL_SECONDS + 5.0)
         assertTrue(site.breaches.any { it.startsWith("ran_cancelled") }, "${site.breaches}")
     }
 
--- a/src/test/kotlin/copperglade/sim/SimControllers.kt
+++ b/src/test/kotlin/copperglade/sim/SimControllers.kt
@@ -8,9 +8,9 @@
 import copperglade.transport.FaultBarrier
 
 /**
- * The controller processes of a simulated site: real controllers on simulated clocks and connections.
+ * The controller processes of a simulated site: the program's own controllers on simulated clocks and connections.
  *
- * @param faultsEndProcess whether a fault in a decision ends the controller as it ends a real process; else the test fails with it.
+ * @param faultsEndProcess whether an error in a decision terminates the controller, as it does a real process; otherwise the test fails.
  */
 class SimControllers(
     private val sim: Simulation,
@@ -24,10 +24,11 @@
 
     private val processes = HashMap<Int, Process>()
 
+    /** Starts the controller [node] unless it is running. */
     fun start(node: Int) {
         if (processes[node]?.loop?.alive == true) return
         val loop = SimLoop(sim, drift = node * CLOCK_DRIFT_PER_NODE)
-        if (faultsEndProcess) loop.guard = FaultBarrier { crash(node, RESTART_AFTER_MS) }::run
+        if (faultsEndProcess) loop.guard = FaultBarrier { crash(node, RESTART_AFTER_MILLIS) }::run
         val name = SimAddresses.controllerName(node)
         val caller = network.callerOf(name, loop)
         val controller =
@@ -38,16 +39,16 @@
         controller.start()
     }
 
-    /** Ends the process now, and starts it again after [restartAfterMs]. */
-    fun crash(node: Int, restartAfterMs: Double) {
+    /** Terminates the process now, and starts it again after [restartAfterMillis]. */
+    fun crash(node: Int, restartAfterMillis: Double) {
         processes[node]?.loop?.alive = false
-        sim.after(restartAfterMs) { start(node) }
+        sim.after(restartAfterMillis) { start(node) }
     }
 
     fun loopOf(node: Int): SimLoop = processes.getValue(node).loop
 
     companion object {
-        const val RESTART_AFTER_MS = 3000.0
+        const val RESTART_AFTER_MILLIS = 3000.0
         private const val CLOCK_DRIFT_PER_NODE = 0.0001
     }
 }
--- a/src/test/kotlin/copperglade/sim/SimNetwork.kt
+++ b/src/test/kotlin/copperglade/sim/SimNetwork.kt
@@ -13,25 +13,26 @@
 
     private val hosts = HashMap<Endpoint, Host>()
 
-    /** The number of requests that were sent. */
-    var calls = 0
+    /** The number of requests sent by all hosts. */
+    var requestsSent = 0
         private set
 
-    /** What becomes of requests and answers; other than themselves only to see the referee at work. */
+    /** Changes a request of the given sender, or an answer. Only tests set functions other than the identity. */
     var tamperRequest: (String, Request) -> Request = { _, request -> request }
-    var tamperAnswer: (Passage, Request, Reply) -> Reply = { _, _, reply -> reply }
+    var tamperAnswer: (Transmission, Request, Reply) -> Reply = { _, _, reply -> reply }
 
-    /** Gets the body of every message with commands when it is sent. */
-    var commandsSent: (ByteArray) -> Unit = {}
+    /** Receives the body of each message with commands when the message is sent. */
+    var onCommandsSent: (ByteArray) -> Unit = {}
 
+    /** Delivers the requests to [at] to [handler], as the host [name] on [loop]. Replaces the previous listener at [at]. */
     fun listen(at: Endpoint, name: String, loop: SimLoop, handler: RequestHandler) {
         hosts[at] = Host(name, loop, handler)
     }
 
-    /** The connections of the host [name], whose timers and answers run on [loop]. */
+    /** Returns an HTTP client of the host [name], whose timeouts and callbacks run on [loop]. */
     fun callerOf(name: String, loop: SimLoop) = HttpClient { to, original, timeout, done ->
         val call = Call(name, loop, to, original, done)
-        calls++
+        requestsSent++
         loop.after(timeout) { call.finish(null) }
         call.send(tamperRequest(name, original))
     }
@@ -39,9 +40,9 @@
     private fun hostName(at: Endpoint) = hosts[at]?.name ?: "$at"
 
     private fun observe(step: WireStep, from: String, to: String, request: Request, reply: Reply? = null) =
-        observer.observe(WireEvent(step, sim.nowMs, from, to, request, reply))
+        observer.observe(WireEvent(step, sim.nowMillis, from, to, request, reply))
 
-    /** One request of the host [from], up to its answer or its timeout. */
+    /** One request of the host [from], until its answer arrives or its timeout expires. */
     private inner class Call(
         private val from: String,
         private val loop: SimLoop,
@@ -61,15 +62,15 @@
         fun send(request: Request) {
             observe(WireStep.REQUEST_SENT, from, hostName(to), request)
             if (duplicateOneIn > 0 && request.path == HEARTBEAT && sim.random.nextInt(duplicateOneIn) == 0) duplicate(request)
-            if (request.path == COMMAND) commandsSent(request.body)
+            if (request.path == COMMAND) onCommandsSent(request.body)
             val host = hosts[to]
-            if (drops(request)) return
+            if (dropsRequest(request)) return
             if (host == null || !host.loop.alive) {
                 loop.after(2.milliseconds) { finish(null) }
                 return
             }
             val path = request.path.substringBefore('?')
-            travel(Passage(from, host.name, path, answer = false)) { arrive(host, path, request) }
+            transmit(Transmission(from, host.name, path, isAnswer = false)) { arrive(host, path, request) }
         }
 
         private fun arrive(host: Host, path: String, request: Request) {
@@ -77,19 +78,19 @@
                 refusals++
                 return answer(host, path, request, Reply(UNAVAILABLE))
             }
-            val late = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
-            if (late) return applyLate(request)
-            // Another process may listen there by now.
-            hosts[to]?.let { present -> present.loop.whenAwake { handle(host, present, path, request) } }
+            val appliesLate = path == TRANSACTION && lateWriteOneIn > 0 && sim.random.nextInt(lateWriteOneIn) == 0
+            if (appliesLate) return applyLate(request)
+            // A restarted process may have replaced the listener while the request was in transit.
+            hosts[to]?.let { currentHost -> currentHost.loop.whenNotFrozen { handle(host, currentHost, path, request) } }
         }
 
-        private fun handle(host: Host, present: Host, path: String, request: Request) {
-            if (!present.loop.alive) return
-            observe(WireStep.REQUEST_DELIVERED, from, present.name, request)
-            present.loop.guard {
-                present.handler.handle(Request(request.method, request.path, request.body)) { reply ->
+        private fun handle(host: Host, currentHost: Host, path: String, request: Request) {
+            if (!currentHost.loop.alive) return
+            observe(WireStep.REQUEST_DELIVERED, from, currentHost.name, request)
+            currentHost.loop.guard {
+                currentHost.handler.handle(Request(request.method, request.path, request.body)) { reply ->
                     if (host.name == STATE && isRefused(from)) {
-                        withhold(from) { answer(host, path, request, reply) }
+                        withholdAnswer(from) { answer(host, path, request, reply) }
                     } else {
                         answer(host, path, request, reply)
                     }
@@ -98,21 +99,21 @@
         }
 
         private fun answer(host: Host, path: String, request: Request, reply: Reply) {
-            val back = Passage(host.name, from, path, answer = true)
+            val back = Transmission(host.name, from, path, isAnswer = true)
             val sent = tamperAnswer(back, request, reply)
             observe(WireStep.ANSWER_SENT, host.name, from, request, sent)
-            if (path == HEARTBEAT && sent.status == OK) commandsSent(sent.body)
-            travel(back) { loop.whenAwake { finish(sent) } }
+            if (path == HEARTBEAT && sent.status == OK) onCommandsSent(sent.body)
+            transmit(back) { loop.whenNotFrozen { finish(sent) } }
         }
 
         private fun duplicate(request: Request) {
-            sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMs)) {
-                val present = hosts[to]
-                if (present != null && present.loop.alive) {
+            sim.after(500.0 + sim.random.nextInt(maxDuplicateDelayMillis)) {
+                val currentHost = hosts[to]
+                if (currentHost != null && currentHost.loop.alive) {
                     duplicatesDelivered++
-                    val copy = Request(request.method, request.path, forge(request.body))
-                    observe(WireStep.COPY_DELIVERED, from, present.name, copy)
-                    present.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, present.name, from, copy, it) }
+                    val copy = Request(request.method, request.path, tamperDuplicate(request.body))
+                    observe(WireStep.COPY_DELIVERED, from, currentHost.name, copy)
+                    currentHost.handler.handle(copy) { observe(WireStep.ANSWER_DISCARDED, currentHost.name, from, copy, it) }
                 }
             }
         }
--- a/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
+++ b/src/test/kotlin/copperglade/sim/SimSiteFaults.kt
@@ -2,48 +2,43 @@
 
 import copperglade.standin.StandInWorker
 
-// Faults of a simulated site. Cuts last until [heal], lost messages until [loseNothing].
+// Faults of a simulated site. Cuts last until [heal], lost messages until [stopLosingMessages].
 
-// ---- processes ----
-
-/** One of the next decisions of the controller ends in a fault, after [afterReadings] further readings of its clock. */
+/** Makes the controller's clock throw an error after [afterReadings] further readings, so that the decision that reads it fails. */
 fun SimSite.injectFault(node: Int, afterReadings: Int) {
-    controllers.loopOf(node).faultIn = afterReadings
+    controllers.loopOf(node).readingsUntilFault = afterReadings
 }
 
-/** The controller's next decision that reads the time of day ends in a fault: so does each that releases a waiting job. */
+/** Makes the controller's next decision that reads the time of day fail. Each decision that releases a waiting job reads it. */
 fun SimSite.injectFaultAtRelease(node: Int) {
-    controllers.loopOf(node).faultAtWallClock = true
+    controllers.loopOf(node).faultAtWallClockReading = true
 }
 
-/** Starts the controller unless it runs. */
+/** Starts the controller unless it is running. */
 fun SimSite.startController(node: Int) = controllers.start(node)
 
-/** Ends the controller's process now, and starts it again after [backAfterMs]. */
-fun SimSite.crash(node: Int, backAfterMs: Double = SimControllers.RESTART_AFTER_MS) = controllers.crash(node, backAfterMs)
-
-/** Lets a controller's monotonic clock go [rate] times as fast, far beyond the protocol's bound. */
-fun SimSite.slowClock(node: Int, rate: Double) = controllers.loopOf(node).slowDown(rate)
+/** Terminates the controller's process now, and starts it again after [restartAfterMillis]. */
+fun SimSite.crash(node: Int, restartAfterMillis: Double = SimControllers.RESTART_AFTER_MILLIS) = controllers.crash(node, restartAfterMillis)
 
-/** Pauses the controller's process for [ms] while its clock runs on. */
-fun SimSite.freezeController(node: Int, ms: Double) = controllers.loopOf(node).freeze(ms)
+/** Runs a controller's monotonic clock at [rate] times real time, which exceeds the clock drift that the protocol tolerates. */
+fun SimSite.setClockRate(node: Int, rate: Double) = controllers.loopOf(node).setClockRate(rate)
 
-// ---- machines ----
+/** Pauses the controller's process for [durationMillis] while its clock continues. */
+fun SimSite.freezeController(node: Int, durationMillis: Double) = controllers.loopOf(node).freeze(durationMillis)
 
-/** The worker at [index] hangs until it is resumed. */
+/** Makes the worker at [index] hang until it is resumed. Returns the worker, or null if there is none at [index]. */
 fun SimSite.hang(index: Int): StandInWorker? = machines.workers.elementAtOrNull(index)?.also { it.hanging = true }
 
-/** The cloud takes the machine at [index] among those that are up. */
+/** Makes the cloud terminate the machine at [index] among those that are up. */
 fun SimSite.killMachine(index: Int) = machines.kill(index)
 
-fun SimSite.killWorker(name: String) = machines.kill(name)
+/** Makes the cloud terminate the machine [name]. */
+fun SimSite.killMachineNamed(name: String) = machines.kill(name)
 
-/** The machine loses power and is back at once; its worker's sequence numbers start again. */
+/** Cuts the power of a machine, which boots again at once; its worker's sequence numbers restart. */
 fun SimSite.rebootMachine(index: Int) = machines.reboot(index)
 
-// ---- partitions ----
-
-/** Cuts a controller off from everybody, or only from the state service or the workers. */
+/** Cuts a controller off from all hosts, or only from the state service (`state`) or the workers (`workers`). */
 fun SimSite.cutController(node: Int, from: String = "all") {
     val name = SimAddresses.controllerName(node)
     if (from != "workers") network.cut(name, "state")
@@ -51,7 +46,7 @@
         network.cut(name, "cloud")
         peersOf(node).forEach { network.cut(name, it) }
     }
-    if (from != "state") machines.names.forEach { network.cut(name, it) }
+    if (from != "state") machines.workerNames.forEach { network.cut(name, it) }
 }
 
 /** Cuts a controller off from the state service, the cloud and the other controllers, but not from its workers. */
@@ -68,62 +63,64 @@
 
 /** Cuts the machine off from all controllers. */
 fun SimSite.cutMachine(index: Int) {
-    val worker = machines.names.elementAtOrNull(index) ?: return
-    controllerNames().forEach { network.cut(it, worker) }
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return
+    controllerNames().forEach { network.cut(it, workerName) }
 }
 
 /** Cuts the machine off from all controllers but [node]. */
 fun SimSite.cutMachineFromOthers(index: Int, node: Int) {
-    val worker = machines.names.elementAtOrNull(index) ?: return
-    peersOf(node).forEach { network.cut(it, worker) }
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return
+    peersOf(node).forEach { network.cut(it, workerName) }
 }
 
-/** Holds back what controllers send to the machine, while what it sends reaches them. Returns its name; null: there is none. */
+/**
+ * Holds back the messages from controllers to the machine at [index], but not those in the other direction. Returns the name of the
+ * machine, or null if there is none at [index].
+ */
 fun SimSite.cutTrafficToMachine(index: Int): String? {
-    val worker = machines.names.elementAtOrNull(index) ?: return null
-    controllerNames().forEach { network.cutOneWay(it, worker) }
-    return worker
+    val workerName = machines.workerNames.elementAtOrNull(index) ?: return null
+    controllerNames().forEach { network.cutOneWay(it, workerName) }
+    return workerName
 }
 
-/** Holds back what these machines send, while all else is delivered. */
+/** Holds back the messages from these machines to controllers, but not those in the other direction. */
 fun SimSite.holdHeartbeats(workers: Collection<String>) =
-    workers.forEach { worker -> controllerNames().forEach { network.cutOneWay(worker, it) } }
+    workers.forEach { workerName -> controllerNames().forEach { network.cutOneWay(workerName, it) } }
 
-/** Cuts a zone's controllers and machines off from everything outside it. */
+/** Cuts a zone's controllers and machines off from all hosts outside the zone. */
 fun SimSite.cutZone(zone: String) {
     val controllersIn = (0 until nodes).filter { zoneOfController(it) == zone }.map(SimAddresses::controllerName)
     val machinesIn = machines.workers.filter { it.zone == zone }.map { it.name }
-    val outside = controllerNames() - controllersIn.toSet() + (machines.names - machinesIn.toSet())
+    val outside = controllerNames() - controllersIn.toSet() + (machines.workerNames - machinesIn.toSet())
     for (inside in controllersIn + machinesIn) {
         (outside + listOf("state", "cloud", "users")).forEach { network.cut(inside, it) }
     }
 }
 
-/** Cuts all controllers off from each other, and from nothing else. */
+/** Cuts all controllers off from each other, but from no other host. */
 fun SimSite.cutPeers() {
     val names = controllerNames()
     for (one in names.indices) for (other in 0 until one) network.cut(names[one], names[other])
 }
 
+/** Ends all cuts, and delivers the messages that were held back. */
 fun SimSite.heal() = network.heal()
 
-// ---- refused and lost messages ----
-
-/** The state service refuses this controller alone, until [serveController]. */
-fun SimSite.refuseController(node: Int) = network.refuse(SimAddresses.controllerName(node))
+/** Makes the state service refuse this controller alone, until [serveController]. */
+fun SimSite.refuseController(node: Int) = network.refuseCaller(SimAddresses.controllerName(node))
 
-fun SimSite.serveController(node: Int) = network.serveAgain(SimAddresses.controllerName(node))
+fun SimSite.serveController(node: Int) = network.serveCaller(SimAddresses.controllerName(node))
 
-/** Loses answers and direct commands to these machines, while their heartbeats arrive. */
+/** Loses the answers and direct commands to these machines, while their heartbeats reach the controllers. */
 fun SimSite.loseCommandsTo(workers: Collection<String>) {
-    network.loses = { it.to in workers && (if (it.answer) it.path == "/checkin" else it.path == "/do") }
+    network.losesMessage = { it.to in workers && (if (it.isAnswer) it.path == "/checkin" else it.path == "/do") }
 }
 
-/** Loses all requests of these machines, while direct commands reach them and are answered. */
+/** Loses all requests of these machines, while direct commands reach the machines and are answered. */
 fun SimSite.loseRequestsFrom(workers: Collection<String>) {
-    network.loses = { it.from in workers && !it.answer }
+    network.losesMessage = { it.from in workers && !it.isAnswer }
 }
 
-fun SimSite.loseNothing() {
-    network.loses = { false }
+fun SimSite.stopLosingMessages() {
+    network.losesMessage = { false }
 }
