--- a/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
+++ b/src/test/kotlin/copperglade/sim/AvailabilityTest.kt
@@ -8,48 +8,48 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Every accepted job is answered soon after all controllers were down, and soon enough at any time. */
+/** Polls of accepted jobs are answered within seconds of a restart of all controllers, and without long gaps at any other time. */
 class AvailabilityTest {
     @ParameterizedTest
     @ValueSource(ints = [1, 3, 5])
-    fun `every job is answered soon after all controllers were down, whatever their number`(nodes: Int) {
+    fun `every job is answered soon after the restart of all controllers, with 1, 3 or 5 of them`(nodes: Int) {
         val site = SimSite(Simulation(31), nodes = nodes, scale = SiteScale(machinesPerZone = 2))
         repeat(600) { number -> site.sim.after(number * 40.0) { site.submit(SimSite.job(number + 1, tasks = 1)) { 2000.0 } } }
         site.run(60.0)
         assertEquals(600, site.users.values.count { it.accepted })
         (0 until nodes).forEach { site.crash(it, 3000.0) }
         site.run(3.0)
-        val began = site.sim.nowMillis
+        val restartedAtMillis = site.sim.nowMillis
         site.run(15.0)
         assertEquals(
             emptyList<JobId>(),
             site.users.values
-                .filter { it.lastAnswerAtMillis < began }
+                .filter { it.lastAnswerAtMillis < restartedAtMillis }
                 .map { it.spec.id },
         )
         assertEquals(emptyList<String>(), site.breaches)
     }
 
     @Test
-    fun `thousands of finished jobs are answered one by one after a restart of all controllers`() {
+    fun `thousands of finished jobs are answered individually after a restart of all controllers`() {
         val site = SimSite(Simulation(33), nodes = 5, endedBefore = 3000)
         site.run(5.0)
         (0 until site.nodes).forEach { site.crash(it, 200.0) }
-        val asked = HashMap<Int, Boolean>()
+        val answered = HashMap<Int, Boolean>()
 
-        fun ask(number: Int) {
+        fun poll(number: Int) {
             site.request(Request(Method.GET, "/submissions/job-${SimSite.FIRST_ENDED_JOB + number}")) { reply ->
-                if (reply?.status == 200) asked[number] = true else site.sim.after(5000.0) { ask(number) }
+                if (reply?.status == 200) answered[number] = true else site.sim.after(5000.0) { poll(number) }
             }
         }
-        repeat(3000) { site.sim.after(1000.0 + it) { ask(it) } }
+        repeat(3000) { site.sim.after(1000.0 + it) { poll(it) } }
         site.run(30.0)
-        assertEquals(3000, asked.size)
+        assertEquals(3000, answered.size)
         assertEquals(emptyList<String>(), site.breaches)
     }
 
     @Test
-    fun `the referee sees a single job that gets no answer among many that do`() {
+    fun `the referee detects a single unanswered job among many answered ones`() {
         val site = SimSite(Simulation(32))
         site.submitArrays(8)
         site.run(40.0)
--- a/src/test/kotlin/copperglade/sim/CheckpointTest.kt
+++ b/src/test/kotlin/copperglade/sim/CheckpointTest.kt
@@ -6,15 +6,18 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Jobs are cancelled while their tasks checkpoint because more important work preempts them. */
+/** Cancellation of jobs whose tasks are saving a checkpoint because tasks of higher priority preempt them. */
 class CheckpointTest {
-    private val checkpointing = JobId("job-1")
+    private val checkpointingJob = JobId("job-1")
 
-    /** All machines are full of tasks that take a while to checkpoint, then services need their capacity. */
+    /**
+     * Returns a site on which tasks that take [CHECKPOINT_DURATION_SECONDS] to checkpoint fill all machines, and at least two of them are
+     * being preempted for services.
+     */
     private fun siteWithCheckpointingTasks(seed: Long): SimSite {
         val site = SimSite(Simulation(seed), scale = SiteScale(machinesPerZone = 2, teamCpus = 100.0, guaranteedCpus = 100.0))
         site.submit(
-            SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, estimatedSeconds = 300.0, checkpointSeconds = CHECKPOINT_DURATION_S),
+            SimSite.job(1, tasks = 16, cpus = 4.0, spot = false, estimatedSeconds = 300.0, checkpointSeconds = CHECKPOINT_DURATION_SECONDS),
         ) {
             300.0
         }
@@ -24,12 +27,12 @@
         return site
     }
 
-    private fun cancelAndAwaitEnd(site: SimSite, withinSeconds: Double) {
-        assertTrue(site.checkpointingTasks().isNotEmpty(), "nothing saves any more")
-        site.cancel(checkpointing)
-        site.await(10.0) { site.users.getValue(checkpointing).status == "aborted" }
-        assertTrue(site.checkpointingTasks().isNotEmpty(), "all was saved before the cancellation")
-        site.await(withinSeconds) { site.runningTasks().keys.none { it.job == checkpointing } }
+    private fun cancelAndAwaitEnd(site: SimSite, timeoutSeconds: Double) {
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "no task is checkpointing any more")
+        site.cancel(checkpointingJob)
+        site.await(10.0) { site.users.getValue(checkpointingJob).status == "aborted" }
+        assertTrue(site.checkpointingTasks().isNotEmpty(), "all checkpoints were saved before the cancellation")
+        site.await(timeoutSeconds) { site.runningTasks().keys.none { it.job == checkpointingJob } }
         site.assertRulesHold()
     }
 
@@ -38,20 +41,20 @@
     fun `a cancellation ends checkpointing at once`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.cancellationsReplicatedAtOnce = true
-        cancelAndAwaitEnd(site, withinSeconds = 3.0)
+        cancelAndAwaitEnd(site, timeoutSeconds = 3.0)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [2311, 2313, 2314, 2316])
-    fun `a cancellation ends checkpointing in time where the leader crashes just before it`(seed: Long) {
+    fun `a cancellation ends checkpointing in time when the leader crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(site.leader()!!)
-        cancelAndAwaitEnd(site, withinSeconds = SimSite.CANCEL_SECONDS)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [2321, 2322, 2323, 2324])
-    fun `a cancellation ends checkpointing in time where the shard owner crashes just before it`(seed: Long) {
+    fun `a cancellation ends checkpointing in time when the shard owner crashes just before it`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
         site.crash(
             site.ownerOf(
@@ -62,19 +65,19 @@
                     .name,
             ),
         )
-        cancelAndAwaitEnd(site, withinSeconds = SimSite.CANCEL_SECONDS)
+        cancelAndAwaitEnd(site, timeoutSeconds = SimSite.CANCEL_SECONDS)
     }
 
     @ParameterizedTest
     @ValueSource(longs = [2331, 2332])
-    fun `tasks that were checkpointed and preempted are done elsewhere or later`(seed: Long) {
+    fun `tasks that were preempted after a checkpoint complete elsewhere or later`(seed: Long) {
         val site = siteWithCheckpointingTasks(seed)
-        site.await(CHECKPOINT_DURATION_S + 5.0) { site.checkpointingTasks().isEmpty() }
+        site.await(CHECKPOINT_DURATION_SECONDS + 5.0) { site.checkpointingTasks().isEmpty() }
         site.assertRulesHold(900.0)
-        assertEquals("done", site.users.getValue(checkpointing).status)
+        assertEquals("done", site.users.getValue(checkpointingJob).status)
     }
 
     private companion object {
-        const val CHECKPOINT_DURATION_S = 15.0
+        const val CHECKPOINT_DURATION_SECONDS = 15.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/OverloadTest.kt
+++ b/src/test/kotlin/copperglade/sim/OverloadTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Best-effort teams with huge arrays and bursts of tiny jobs, users who poll far more often, and machines that boot late. */
+/** Best-effort teams with huge arrays and bursts of tiny jobs, users who poll far more often than usual, and machines that boot late. */
 class OverloadTest {
     private val bestEffortTeam = TeamName("guest")
     private val scale = SiteScale(machinesPerZone = 10, teamCpus = 400.0, guaranteedCpus = 200.0, valueKb = 4.0)
@@ -19,7 +19,7 @@
     private fun site(seed: Long, nodes: Int = 3) =
         SimSite(Simulation(seed), nodes = nodes, scale = scale, otherTeam = Team(bestEffortTeam, 0.0, 200.0, 0.0, 0.0))
 
-    /** The guaranteed team's work is done in time, and the best-effort team's huge array and burst are done in the end. */
+    /** The guaranteed team's jobs complete in time, and the best-effort team's huge array and burst complete eventually. */
     @ParameterizedTest
     @ValueSource(longs = [2601, 2602, 2603])
     fun `a best-effort team's huge array and burst of tiny jobs are served without delaying guaranteed work`(seed: Long) {
@@ -52,55 +52,55 @@
                 site.submit(tinyJob) { 2.0 }
             }
         }
-        val ended = HashMap<JobId, Double>()
-        site.onJobComplete = { ended[it.spec.id] = (site.sim.nowMillis - it.requestedAtMillis) / 1000 }
+        val completionSeconds = HashMap<JobId, Double>()
+        site.onJobComplete = { completionSeconds[it.spec.id] = (site.sim.nowMillis - it.requestedAtMillis) / 1000 }
         if (seed % 2 == 0L) site.sim.after(20_000.0) { site.leader()?.let { site.crash(it, 1500.0) } }
         site.run(110.0)
-        val late = (1..20).map { JobId("job-$it") }.filter { (ended[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_S }
-        assertTrue(late.size <= 2, "late beside guests: $late")
+        val lateJobs = (1..20).map { JobId("job-$it") }.filter { (completionSeconds[it] ?: Double.MAX_VALUE) > MAX_COMPLETION_SECONDS }
+        assertTrue(lateJobs.size <= 2, "guaranteed jobs that were late: $lateJobs")
         site.assertRulesHold(260.0)
         assertEquals(1, site.users.values.count { it.spec.id == JobId("job-900") && it.status == "done" })
     }
 
-    /** Each job's user polls ten times a second: everybody is answered, and nothing else is delayed. */
+    /** Each job's user polls ten times a second: polls are answered, and no other requests are delayed. */
     @ParameterizedTest
     @ValueSource(longs = [2611, 2612])
     fun `users who poll far more often are answered, and heartbeats and submissions are not delayed`(seed: Long) {
         val site = site(seed)
         site.submitServices(6)
         site.run(25.0)
-        val running = site.runningTasks().mapValues { it.value.name }
+        val assignmentsBefore = site.runningTasks().mapValues { it.value.name }
         repeat(40) { number -> site.submit(SimSite.job(1 + number, tasks = 2)) { 5.0 } }
         site.run(3.0)
-        val reads = site.state.reads
-        var asked = 0
-        var answered = 0
-        repeat(200) { turn ->
-            site.sim.after(turn * 100.0) {
+        val readsBefore = site.state.reads
+        var pollsSent = 0
+        var pollsAnswered = 0
+        repeat(200) { iteration ->
+            site.sim.after(iteration * 100.0) {
                 for (user in site.users.values.filter { it.accepted }) {
-                    asked++
-                    site.requestAt(turn % site.nodes, Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
-                        if (reply?.status == 200) answered++
+                    pollsSent++
+                    site.requestAt(iteration % site.nodes, Request(Method.GET, "/submissions/${user.spec.id}")) { reply ->
+                        if (reply?.status == 200) pollsAnswered++
                     }
                 }
             }
         }
         site.run(22.0)
-        assertTrue(asked > 8000, "$asked questions")
-        assertTrue(answered >= asked * 0.99, "$answered of $asked answered")
+        assertTrue(pollsSent > 8000, "$pollsSent polls sent")
+        assertTrue(pollsAnswered >= pollsSent * 0.99, "$pollsAnswered of $pollsSent answered")
         // Many polls share a read, and finished jobs need none: the load on the state service stays small.
-        val readsPerS = (site.state.reads - reads) / 22.0
-        assertTrue(readsPerS < scale.stateRequestsPerSecond, "$readsPerS readings a second")
-        assertEquals(running, site.runningTasks().filterKeys { it in running }.mapValues { it.value.name })
+        val readsPerSecond = (site.state.reads - readsBefore) / 22.0
+        assertTrue(readsPerSecond < scale.stateRequestsPerSecond, "$readsPerSecond reads per second")
+        assertEquals(assignmentsBefore, site.runningTasks().filterKeys { it in assignmentsBefore }.mapValues { it.value.name })
         site.assertRulesHold()
     }
 
-    /** Machines that never boot are replaced, and late ones used or returned, without launching for the same demand again and again. */
+    /** Machines that never boot are replaced, and late ones are used or returned, without repeated launches for the same demand. */
     @ParameterizedTest
     @ValueSource(longs = [2621, 2622, 2623])
     fun `machines that boot late or never are replaced`(seed: Long) {
         val site = site(seed)
-        // Of the first machines some take five times as long, and the others never boot.
+        // Of the first machines, some take five times as long to boot, and the others never boot.
         site.bootTimeFactor = { number ->
             if (number > 4) {
                 1.0
@@ -112,14 +112,14 @@
         }
         site.submitServices(4)
         site.submitArrays(6)
-        // Without the write-off, only machines that the cloud reports as dead are replaced, after 38 s.
+        // If late machines were not written off, only machines that the cloud reports as failed would be replaced, after 38 s.
         site.await(30.0) { site.runningTasks().keys.count { it.job.text >= "job-500" } >= 16 }
-        assertTrue(site.machinesLaunched <= 16, "${site.machinesLaunched} machines rented")
+        assertTrue(site.machinesLaunched <= 16, "${site.machinesLaunched} machines launched")
         site.assertRulesHold()
     }
 
     private companion object {
-        /** From submission to the end of the last task, where nobody else is served. */
-        const val MAX_COMPLETION_S = 40.0
+        /** Time from a job's submission to the end of its last task when no other team is served. */
+        const val MAX_COMPLETION_SECONDS = 40.0
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineCancellationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.EnumSource
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Cancelling a job cancels its dependents. Each test first shows that its situation came about. */
+/** Cancelling a job cancels its dependents. Each test first asserts that its scenario occurred. */
 class PipelineCancellationTest {
     @ParameterizedTest
     @CsvSource(
@@ -52,14 +52,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = [541, 542, 543])
-    fun `a cancellation races with the end of the last task, and the dependents follow the answer`(seed: Long) {
+    fun `dependents follow the reported status when a cancellation races with the end of the last task`(seed: Long) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var raced = 0
+        var racingCancellations = 0
         site.onJobComplete = { user ->
             if (user.dependencies.isEmpty()) {
                 site.sim.after(random.nextInt(250).toDouble()) {
-                    raced++
+                    racingCancellations++
                     site.cancel(user.spec.id)
                 }
             }
@@ -72,7 +72,7 @@
             }
         }
         site.run(60.0)
-        assertTrue(raced >= 25, "$raced met an end")
+        assertTrue(racingCancellations >= 25, "$racingCancellations cancellations raced with the end of a job")
         site.assertRulesHold()
         val (done, cancelled) = (0 until 30).partition { site.user(100 + it).status == "done" }
         assertTrue(done.isNotEmpty() && cancelled.isNotEmpty(), "${done.size} done, ${cancelled.size} cancelled")
@@ -83,18 +83,18 @@
 
     @ParameterizedTest
     @EnumSource(PipelineShape::class)
-    fun `polls of all controllers right after a cancellation never go back`(shape: PipelineShape) {
+    fun `the status that controllers report right after a cancellation never reverts`(shape: PipelineShape) {
         val site = SimSite(Simulation(591L + shape.ordinal))
         site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val asked = site.network.requestsSent
-        repeat(100) { turn ->
-            shape.dependentsOf(cancelled).forEach { follower -> repeat(site.nodes) { site.poll(id(follower), it) } }
-            if (turn == 20) site.cancel(id(cancelled))
+        val callsBefore = site.network.requestsSent
+        repeat(100) { iteration ->
+            shape.dependentsOf(cancelled).forEach { dependent -> repeat(site.nodes) { site.poll(id(dependent), it) } }
+            if (iteration == 20) site.cancel(id(cancelled))
             site.run(0.05)
         }
-        assertTrue(site.network.requestsSent - asked >= 300)
+        assertTrue(site.network.requestsSent - callsBefore >= 300)
         site.assertStatus("aborted", listOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -112,7 +112,7 @@
         site.run(5.0)
         site.submit(SimSite.job(4, tasks = 2), listOf(id(3))) { 4.0 }
         site.run(60.0)
-        // By now the cancelled job is long over, and whoever knew it by heart has ended.
+        // The cancelled job ended long ago; the restart clears what controllers have cached of it.
         (0 until site.nodes).forEach { site.crash(it, 1500.0) }
         site.run(15.0)
         site.submit(SimSite.job(5, tasks = 2), listOf(id(1))) { 4.0 }
@@ -127,19 +127,19 @@
 
     @ParameterizedTest
     @CsvSource("606,false", "607,false", "608,true", "609,true")
-    fun `a submission races with the cancellation or the end of its dependency`(seed: Long, cancels: Boolean) {
+    fun `a job that is submitted as its dependency is cancelled or ends gets the same status`(seed: Long, cancelsDependency: Boolean) {
         val site = SimSite(Simulation(seed), scale = SiteScale(teamCpus = 100.0))
         val random = site.sim.random
-        var raced = 0
+        var racingSubmissions = 0
 
-        fun follow(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
-            raced++
+        fun submitDependent(number: Int) = site.sim.after(random.nextInt(200).toDouble()) {
+            racingSubmissions++
             site.submit(SimSite.job(200 + number, tasks = 1), listOf(id(100 + number))) { 3.0 }
         }
-        if (!cancels) {
+        if (!cancelsDependency) {
             site.onJobComplete = { user ->
                 if (user.dependencies.isEmpty()) {
-                    follow(
+                    submitDependent(
                         user.spec.id.text
                             .removePrefix("job-1")
                             .toInt(),
@@ -149,19 +149,19 @@
         }
         repeat(24) { number ->
             site.sim.after(number * 1000.0) {
-                site.submit(SimSite.job(100 + number, tasks = 1)) { if (cancels) 100.0 else 3.0 }
+                site.submit(SimSite.job(100 + number, tasks = 1)) { if (cancelsDependency) 100.0 else 3.0 }
             }
-            if (cancels) {
+            if (cancelsDependency) {
                 site.sim.after(number * 1000.0 + 15_000.0) {
                     site.sim.after(random.nextInt(200).toDouble()) { site.cancel(id(100 + number)) }
-                    follow(number)
+                    submitDependent(number)
                 }
             }
         }
         site.run(75.0)
-        assertEquals(24, raced)
+        assertEquals(24, racingSubmissions)
         site.assertRulesHold()
-        site.assertStatus(if (cancels) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
-        if (cancels) site.assertNeverStarted((0 until 24).map { 200 + it })
+        site.assertStatus(if (cancelsDependency) "aborted" else "done", (0 until 24).flatMap { listOf(100 + it, 200 + it) })
+        if (cancelsDependency) site.assertNeverStarted((0 until 24).map { 200 + it })
     }
 }
--- a/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineFaultTest.kt
@@ -5,20 +5,24 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** Pipelines are cancelled or go on while controllers or the state service fail. Each test first shows that its situation came about. */
+/** Pipelines are cancelled or continue while controllers or the state service fail. Each test first asserts that its scenario occurred. */
 class PipelineFaultTest {
     @ParameterizedTest
     @CsvSource("DIAMOND,551,true", "CHAIN,552,true", "FAN,553,false", "CHAIN,554,false")
-    fun `the leader crashes just before or just after a cancellation`(shape: PipelineShape, seed: Long, before: Boolean) {
+    fun `dependents are cancelled when the leader crashes just before or just after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        crashFirst: Boolean,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val former = site.leader()!!
-        if (before) site.crash(former, 4000.0)
+        val formerLeader = site.leader()!!
+        if (crashFirst) site.crash(formerLeader, 4000.0)
         site.cancelAndConfirm(cancelled)
-        if (!before) site.crash(former, 4000.0)
-        site.await(10.0) { site.leader().let { it != null && it != former } }
+        if (!crashFirst) site.crash(formerLeader, 4000.0)
+        site.await(10.0) { site.leader().let { it != null && it != formerLeader } }
         site.run(SimSite.CANCEL_SECONDS)
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -26,14 +30,18 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,561,12", "DIAMOND,562,45", "FAN,563,45")
-    fun `the state service is out right after a cancellation`(shape: PipelineShape, seed: Long, outageS: Double) {
+    fun `dependents are cancelled when the state service is down right after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        outageSeconds: Double,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
         site.state.outage = true
-        site.run(outageS)
+        site.run(outageSeconds)
         assertTrue(site.state.refusedInOutage > 0)
         site.state.outage = false
         site.run(20.0)
@@ -44,7 +52,7 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,566", "DIAMOND,567")
-    fun `a job is cancelled while the state service is out, and its dependency ends meanwhile`(shape: PipelineShape, seed: Long) {
+    fun `no rule is broken when a job is cancelled and its dependency ends in an outage`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workSeconds = 10.0)
         site.awaitRunning(1)
@@ -64,16 +72,20 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,571,3", "DIAMOND,572,12", "FAN,573,35")
-    fun `all controllers are down right after a cancellation`(shape: PipelineShape, seed: Long, downS: Double) {
+    fun `dependents are cancelled when all controllers crash right after the cancellation`(
+        shape: PipelineShape,
+        seed: Long,
+        downSeconds: Double,
+    ) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
         site.cancelAndConfirm(cancelled)
-        val beforeThat = shape.dependentsOf(cancelled).filter { site.user(it).status == "aborted" }
-        (0 until site.nodes).forEach { site.crash(it, downS * 1000) }
-        assertTrue(beforeThat.size < shape.dependentsOf(cancelled).size, "all were told before")
-        site.run(downS + SimSite.CANCEL_SECONDS)
+        val cancelledBefore = shape.dependentsOf(cancelled).filter { site.user(it).status == "aborted" }
+        (0 until site.nodes).forEach { site.crash(it, downSeconds * 1000) }
+        assertTrue(cancelledBefore.size < shape.dependentsOf(cancelled).size, "all dependents were reported cancelled before the crash")
+        site.run(downSeconds + SimSite.CANCEL_SECONDS)
         site.assertStatus("aborted", shape.dependentsOf(cancelled))
         site.assertRulesHold()
         site.assertCancelledFrom(shape, cancelled)
@@ -81,12 +93,12 @@
 
     @ParameterizedTest
     @CsvSource("FAN,574", "FAN,575", "FAN,579")
-    fun `the leader crashes, and the state service is out, as soon as the first final record of a cancelled pipeline is written`(
+    fun `a pipeline is cancelled when the leader crashes and the state service is down as soon as its first end record is written`(
         shape: PipelineShape,
         seed: Long,
     ) {
         val site = SimSite(Simulation(seed))
-        // The whole pipeline waits, so that all of it can be closed as soon as it is cancelled.
+        // The whole pipeline is blocked, so that the end records of all its jobs can be written as soon as it is cancelled.
         site.submit(SimSite.job(90, tasks = 1, estimatedSeconds = 20.0)) { 20.0 }
         site.awaitRunning(90)
         shape.jobs.forEach { number ->
@@ -95,8 +107,9 @@
         site.await(5.0) { shape.jobs.all { site.user(it).accepted } }
         var interrupted = false
         site.network.tamperAnswer = { _, request, reply ->
-            val closes = request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
-            if (closes && reply.status == 200 && !interrupted) {
+            val writesEndRecord =
+                request.path == "/multi" && "\"${Keys.ended(id(1)).removeSuffix("job-1")}job-" in request.body.decodeToString()
+            if (writesEndRecord && reply.status == 200 && !interrupted) {
                 interrupted = true
                 site.state.outage = true
                 site.crash(site.leader()!!, 6000.0)
@@ -105,8 +118,8 @@
         }
         site.cancel(id(1))
         site.await(20.0) { interrupted }
-        val closed = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
-        assertTrue(closed in 1 until shape.jobs.size, "$closed were closed by then")
+        val endRecordCount = shape.jobs.count { site.state.text(Keys.ended(id(it))) != null }
+        assertTrue(endRecordCount in 1 until shape.jobs.size, "$endRecordCount end records were written by then")
         site.run(8.0)
         site.state.outage = false
         site.await(15.0) { site.user(1).cancelledAtMillis != null }
@@ -117,42 +130,42 @@
 
     @ParameterizedTest
     @CsvSource("CHAIN,576", "DIAMOND,577", "FAN,578")
-    fun `all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
+    fun `a pipeline is done although all controllers are down when a job's last task ends`(shape: PipelineShape, seed: Long) {
         val site = SimSite(Simulation(seed))
-        var down = 0
+        var crashesTriggered = 0
         site.onJobComplete = { user ->
             if (user.spec.id == id(1)) {
-                down++
+                crashesTriggered++
                 (0 until site.nodes).forEach { site.crash(it, 4000.0) }
             }
         }
         site.submitAll(shape, workSeconds = 6.0)
         site.run(60.0)
-        assertTrue(down > 0, "no last task ended")
+        assertTrue(crashesTriggered > 0, "no job's last task ended")
         site.assertRulesHold()
         site.assertStatus("done", shape.jobs)
     }
 
     @ParameterizedTest
     @CsvSource("DIAMOND,581,true", "CHAIN,582,true", "DIAMOND,583,false", "FAN,584,false")
-    fun `the leader alone is refused by the state service while a job is cancelled`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
+    fun `dependents are cancelled when the state service refuses only the leader`(shape: PipelineShape, seed: Long, peersCut: Boolean) {
         val site = SimSite(Simulation(seed))
         site.submitAll(shape, workSeconds = 10.0)
         val cancelled = shape.levels[1].first()
         site.awaitRunning(cancelled)
-        val refused = site.leader()!!
-        val refusals = site.network.refusals
-        site.refuseController(refused)
+        val refusedLeader = site.leader()!!
+        val refusalsBefore = site.network.refusals
+        site.refuseController(refusedLeader)
         if (peersCut) site.cutPeers()
         site.run(0.5)
         site.cancelAndConfirm(cancelled)
         repeat(25) {
-            // It has to say what is so, or nothing.
-            shape.jobs.forEach { site.poll(id(it), refused) }
+            // The refused leader has to answer polls correctly or not at all.
+            shape.jobs.forEach { site.poll(id(it), refusedLeader) }
             site.run(1.0)
         }
-        assertTrue(site.network.refusals > refusals, "it was not refused")
-        site.serveController(refused)
+        assertTrue(site.network.refusals > refusalsBefore, "the state service refused no request of the leader")
+        site.serveController(refusedLeader)
         site.heal()
         site.run(SimSite.CANCEL_SECONDS - 25.0)
         site.assertStatus("aborted", shape.dependentsOf(cancelled))
--- a/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
+++ b/src/test/kotlin/copperglade/sim/PipelineRefereeTest.kt
@@ -8,63 +8,63 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The rules of jobs that wait for others, each broken by what is changed on the way, so that the referee has to see it. */
+/** The rules for jobs with dependencies: each test breaks one by changing messages in transit, and asserts that the referee detects it. */
 class PipelineRefereeTest {
     private fun id(number: Int) = JobId("job-$number")
 
-    /** Answers to all questions about [job] say [status], with nothing done and nothing running. */
+    /** Replaces successful answers to polls of [job] with ones that report [status], no tasks done and none running. */
     private fun SimSite.forgeAnswers(job: JobId, status: String) {
         network.tamperAnswer = { passage, request, reply ->
-            val asked = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
-            val forged = """{"nameId":"$job","status":"$status","done":0,"running":0}"""
-            if (asked && reply.status == 200) Reply(200, forged.encodeToByteArray()) else reply
+            val isStatusPoll = passage.to == "users" && request.method == Method.GET && request.path == "/submissions/$job"
+            val forgedBody = """{"nameId":"$job","status":"$status","done":0,"running":0}"""
+            if (isStatusPoll && reply.status == 200) Reply(200, forgedBody.encodeToByteArray()) else reply
         }
     }
 
-    private fun SimSite.twoInLine(workSeconds: Double) {
+    private fun SimSite.submitDependentPair(workSeconds: Double) {
         submit(SimSite.job(1, tasks = 2, estimatedSeconds = workSeconds)) { workSeconds }
         submit(SimSite.job(2, tasks = 2), listOf(id(1))) { 5.0 }
     }
 
     @Test
-    fun `a task that starts before its job's dependency is done`() {
+    fun `the referee detects a task that starts before its job's dependency is done`() {
         val site = SimSite(Simulation(421))
-        var stripped = 0
-        // Controllers don't hear of what is awaited.
+        var strippedSubmissions = 0
+        // Controllers receive submissions without their dependencies.
         site.network.tamperRequest = { from, request ->
             val text = request.body.decodeToString()
             if (from == "users" && "\"awaits\"" in text) {
-                stripped++
+                strippedSubmissions++
                 Request(request.method, request.path, text.replace(AWAITS_FIELD, "").encodeToByteArray())
             } else {
                 request
             }
         }
-        site.twoInLine(workSeconds = 60.0)
+        site.submitDependentPair(workSeconds = 60.0)
         site.run(40.0)
-        assertTrue(stripped > 0, "nothing was awaited")
+        assertTrue(strippedSubmissions > 0, "no submission named a dependency")
         site.assertBreachRecorded("too_early")
     }
 
     @Test
-    fun `a job that is reported queued long after its dependency was cancelled`() {
+    fun `the referee detects a job that is reported queued long after its dependency was cancelled`() {
         val site = SimSite(Simulation(422))
         site.forgeAnswers(id(2), "queued")
-        site.twoInLine(workSeconds = 200.0)
+        site.submitDependentPair(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(5.0)
         assertEquals("aborted", site.users.getValue(id(1)).status)
-        assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "too soon: ${site.breaches}")
+        assertTrue(site.breaches.none { it.startsWith("orphaned ") }, "detected too soon: ${site.breaches}")
         site.run(SimSite.CANCEL_SECONDS + 1.0)
         site.assertBreachRecorded("orphaned")
     }
 
     @Test
-    fun `a job that is reported done although its dependency was cancelled`() {
+    fun `the referee detects a job that is reported done although its dependency was cancelled`() {
         val site = SimSite(Simulation(423))
         site.forgeAnswers(id(2), "done")
-        site.twoInLine(workSeconds = 200.0)
+        site.submitDependentPair(workSeconds = 200.0)
         site.run(15.0)
         site.cancel(id(1))
         site.run(10.0)
@@ -72,11 +72,11 @@
     }
 
     @Test
-    fun `a job that is reported cancelled although nobody cancelled its dependency`() {
+    fun `the referee detects a job that is reported cancelled although its dependency was not cancelled`() {
         val site = SimSite(Simulation(424))
         site.forgeAnswers(id(2), "aborted")
-        site.twoInLine(workSeconds = 200.0)
-        // Another job's cancellation is no reason.
+        site.submitDependentPair(workSeconds = 200.0)
+        // The cancellation of an unrelated job is no reason to cancel job-2.
         site.submit(SimSite.job(3, tasks = 1)) { 200.0 }
         site.sim.after(12_000.0) { site.cancel(id(3)) }
         site.run(30.0)
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `a job that is reported cancelled although its dependency was done when it was cancelled`() {
+    fun `the referee detects a job that is reported cancelled although its dependency was done when it was cancelled`() {
         val site = SimSite(Simulation(425))
         site.submit(SimSite.job(1, tasks = 1)) { 5.0 }
         site.await(40.0) { site.users.getValue(id(1)).completedAtMillis != null }
--- a/src/test/kotlin/copperglade/sim/RulesTest.kt
+++ b/src/test/kotlin/copperglade/sim/ProtocolRulesTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** The real controllers against stand-ins in simulated time, with the referee looking on. */
-class RulesTest {
-    private fun load(site: SimSite, jobs: Int = 14) {
+/** Runs the real controllers against stand-ins in simulated time, while the referee checks the protocol's rules. */
+class ProtocolRulesTest {
+    private fun submitLoad(site: SimSite, jobs: Int = 14) {
         val random = site.sim.random
         repeat(jobs) { number ->
             val service = number % 3 == 0
@@ -22,11 +22,11 @@
                 spot = !service,
                 image = 1 + number % 3,
             )
-            val work = HashMap<Int, Double>()
+            val workSecondsByTask = HashMap<Int, Double>()
             site.sim.after(random.nextInt(60_000).toDouble()) {
                 site.submit(
                     spec,
-                ) { task -> if (service) null else work.getOrPut(task) { 3.0 + random.nextDouble() * 15 } }
+                ) { task -> if (service) null else workSecondsByTask.getOrPut(task) { 3.0 + random.nextDouble() * 15 } }
             }
             if (number % 4 ==
                 0
@@ -36,13 +36,13 @@
         }
     }
 
-    private fun settle(site: SimSite) {
+    private fun healAndAssertRulesHold(site: SimSite) {
         site.heal()
         site.state.outage = false
         site.run(180.0)
         site.checkAnswered()
         assertEquals(emptyList<String>(), site.breaches)
-        assertTrue(site.starts > 0, "nothing ran")
+        assertTrue(site.starts > 0, "no task started")
         val unfinished = site.users.values
             .filter { it.workSeconds(0) != null && !it.finished }
             .map { it.spec.id }
@@ -50,35 +50,35 @@
     }
 
     @Test
-    fun `a scenario without faults serves every job and leaves only final records`() {
+    fun `a scenario without faults serves every job and leaves only end records`() {
         val site = SimSite(Simulation(1))
-        load(site)
+        submitLoad(site)
         site.run(120.0)
-        settle(site)
-        val live = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
-        assertTrue(live.all { site.users.getValue(it).workSeconds(0) == null }, "finished jobs still live: $live")
+        healAndAssertRulesHold(site)
+        val liveJobs = site.state.keys("cg/now/live/").map { JobId(it.removePrefix("cg/now/live/")) }
+        assertTrue(liveJobs.all { site.users.getValue(it).workSeconds(0) == null }, "finished jobs still live: $liveJobs")
     }
 
     @Test
-    fun `the referee sees tasks that run twice when controllers do not wait for the lease`() {
+    fun `the referee detects tasks that run twice when controllers do not wait for the lease`() {
         val site = SimSite(Simulation(3), configuredLeaseSeconds = 2.0)
-        // What may be stopped for the service leaves room for it at once.
+        // Preempting job-2 leaves capacity for the service at once.
         site.submit(SimSite.job(2, tasks = 16, spot = false)) { 600.0 }
         site.submit(SimSite.job(1, tasks = 12, service = true, spot = false)) { null }
         site.run(20.0)
-        val busy = site
+        val busyMachine = site
             .runningTasks()
             .filterKeys { it.job == JobId("job-1") }
             .values
             .first()
             .name
-        site.cutMachine(site.workerNames().indexOf(busy))
+        site.cutMachine(site.workerNames().indexOf(busyMachine))
         site.run(9.0)
         assertTrue(site.breaches.any { it.startsWith("ran_twice") }, "${site.breaches}")
     }
 
     @Test
-    fun `the referee sees a team beyond its limit`() {
+    fun `the referee detects a team beyond its limit`() {
         val site = SimSite(Simulation(4), scale = SiteScale(teamCpus = 10.0), configuredMaxCpus = 60.0)
         site.submit(SimSite.job(1, tasks = 20)) { 30.0 }
         site.run(30.0)
@@ -86,44 +86,44 @@
     }
 
     @Test
-    fun `the referee sees tasks that outlive their job's cancellation`() {
+    fun `the referee detects tasks that outlive their job's cancellation`() {
         val site = SimSite(Simulation(5))
         site.submit(SimSite.job(1, tasks = 4)) { 300.0 }
         site.run(25.0)
-        // The user believes it is cancelled, though nobody was asked.
+        // The user's cancellation counts as confirmed, although no controller received it.
         site.users.getValue(JobId("job-1")).cancelledAtMillis = site.sim.nowMillis
         site.run(SimSite.CANCEL_SECONDS + 5.0)
         assertTrue(site.breaches.any { it.startsWith("ran_cancelled") }, "${site.breaches}")
     }
 
     @Test
-    fun `an outage of the state service as long as two leases costs no task`() {
+    fun `an outage of the state service that is longer than a lease ends no task`() {
         val site = SimSite(Simulation(6))
         site.submit(SimSite.job(1, tasks = 6)) { 200.0 }
         site.run(30.0)
-        val running = site.runningTasks().toMap()
-        assertEquals(6, running.size)
-        // Session leases are far shorter than this outage: it takes the peers' endorsements to outlive it.
+        val assignmentsBefore = site.runningTasks().toMap()
+        assertEquals(6, assignmentsBefore.size)
+        // Session leases are far shorter than this outage: only the peers' endorsements let shard owners extend their workers' leases.
         site.state.outage = true
         site.run(14.0)
         site.state.outage = false
         site.run(5.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
     }
 
     @Test
-    fun `the workers of an isolated controller find another before their leases expire`() {
+    fun `the workers of an isolated controller find another controller before their leases expire`() {
         val site = SimSite(Simulation(7))
         site.submit(SimSite.job(1, tasks = 24, service = true, spot = false)) { null }
         site.run(40.0)
-        val running = site.runningTasks().toMap()
-        assertEquals(24, running.size)
+        val assignmentsBefore = site.runningTasks().toMap()
+        assertEquals(24, assignmentsBefore.size)
         site.cutController(1)
         site.run(25.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
         site.heal()
         site.run(30.0)
-        assertEquals(running, site.runningTasks().toMap())
+        assertEquals(assignmentsBefore, site.runningTasks().toMap())
         assertEquals(emptyList<String>(), site.breaches)
     }
 
@@ -132,7 +132,7 @@
     fun `no rule is broken by random faults`(seed: Long) {
         val site = SimSite(Simulation(seed))
         val random = site.sim.random
-        load(site)
+        submitLoad(site)
         repeat(8) {
             site.sim.after(15_000.0 + random.nextInt(100_000)) {
                 when (random.nextInt(9)) {
@@ -167,6 +167,6 @@
             }
         }
         site.run(150.0)
-        settle(site)
+        healAndAssertRulesHold(site)
     }
 }
